--- a/packages/interface/src/fennelcove/facts.py
+++ b/packages/interface/src/fennelcove/facts.py
@@ -50,7 +50,7 @@
             raise PlatformSettingsError("found no list", f"field {self.path}.{key}")
         return value
 
-    def maybe(self, key: str) -> float | None:
+    def optional_number(self, key: str) -> float | None:
         """A finite number, or None where it is absent."""
         value = self.tree.get(key)
         if value is None:
@@ -61,7 +61,7 @@
 
     def number(self, key: str, default: float | None = None) -> float:
         """A finite number; without a default it is required."""
-        value = self.maybe(key)
+        value = self.optional_number(key)
         if value is None:
             value = default
         if value is None:
@@ -72,7 +72,7 @@
         """A list of finite numbers."""
         return tuple(SettingsReader({key: item}, self.path).number(key) for item in self.items(key))
 
-    def micros(self, key: str) -> int:
+    def microseconds(self, key: str) -> int:
         """A time in microseconds, from milliseconds; 0 where it is absent."""
         return round(self.number(key, 0.0) * 1000)
 
@@ -110,13 +110,13 @@
     if any(not 0 <= value < rung_count for value in floor):
         raise PlatformSettingsError("found rungs that the ladder lacks", "field Facts.FamilyInfo.ClassFloor")
     service_classes: dict[str, ServiceClass] = {}
-    for i, lane in enumerate(root.sections("Lanes")):
-        service_classes[lane.text("Name", str(i))] = ServiceClass(
-            latency_objective_us=round(lane.number("AimMs") * 1000),
-            priority_weight=lane.number("Importance", 1.0),
-            effect=lane.choice("Effect", "free", Effect),
-            scope=lane.choice("DedupScope", "all", Scope),
-            key_ttl_us=lane.micros("KeyTtlMs"),
+    for i, class_settings in enumerate(root.sections("Lanes")):
+        service_classes[class_settings.text("Name", str(i))] = ServiceClass(
+            latency_objective_us=round(class_settings.number("AimMs") * 1000),
+            priority_weight=class_settings.number("Importance", 1.0),
+            effect=class_settings.choice("Effect", "free", Effect),
+            scope=class_settings.choice("DedupScope", "all", Scope),
+            key_ttl_us=class_settings.microseconds("KeyTtlMs"),
             rate_scale=value_at(scale, i, 1.0),
             min_rung=int(value_at(floor, i, 0)),
             seats=int(value_at(seats, i, 0)),
@@ -135,22 +135,22 @@
     root = SettingsReader(tree)
     info, rules, allowed = root.section("FamilyInfo"), root.section("Rules"), root.section("Allowed")
     prices, goal = root.section("Prices"), root.section("Goal")
-    ladder, worth = info.numbers("LevelKb"), info.numbers("WorthByRung")
-    if not ladder or len(worth) != len(ladder):
+    ladder, utilities = info.numbers("LevelKb"), info.numbers("WorthByRung")
+    if not ladder or len(utilities) != len(ladder):
         raise PlatformSettingsError("found no ladder of rungs", "field Facts.FamilyInfo.LevelKb, WorthByRung")
     service_classes = read_service_classes(root, rung_count=len(ladder))
     kinds = [item for item in root.items("Kinds") if isinstance(item, str)]
     streams = info.numbers("KindStreams")
-    fields_told = tuple(str(item) for item in root.section("LoadReport").items("Fields"))
-    send_cap = allowed.maybe("SendCap")
-    ask_within = rules.maybe("AskWithinMs")
+    report_fields = tuple(str(item) for item in root.section("LoadReport").items("Fields"))
+    attempt_limit = allowed.optional_number("SendCap")
+    poll_window_ms = rules.optional_number("AskWithinMs")
     settings = Settings(
         service_classes=service_classes,
         front_count=max(1, int(root.number("Balancers", 1))),
         front_index=int(root.number("Index", 0)),
         zone=root.text("Zone", ""),
         ladder_kb=ladder,
-        rung_utilities=worth,
+        rung_utilities=utilities,
         streams_by_kind={kind: int(value_at(streams, i, 0)) for i, kind in enumerate(kinds)},
         kb_per_weight=info.number("KbPerWeight", 0.0),
         total_links_kb=info.number("AllLinksKb", 0.0),
@@ -158,23 +158,23 @@
         rack_count=max(1, int(info.number("Racks", 1))),
         cell_count=max(1, int(info.number("Places", 1))),
         uplink_kb=info.number("RackLinkKb", 0.0),
-        reports_uplinks="x1" in fields_told,
-        report_delay_us=info.micros("SeenAfterMs"),
-        report_interval_us=info.micros("ReportsEveryMs"),
+        reports_uplinks="x1" in report_fields,
+        report_delay_us=info.microseconds("SeenAfterMs"),
+        report_interval_us=info.microseconds("ReportsEveryMs"),
         rejects_at=info.number("Guard", 0.0),
         cross_zone_price=prices.number("CrossZone", 0.0),
-        max_attempts=None if send_cap is None else int(send_cap),
-        retry_after_us=allowed.micros("MaxRetryAfterMs") if allowed.tree.get("RetryAfter") else None,
+        max_attempts=None if attempt_limit is None else int(attempt_limit),
+        retry_after_us=allowed.microseconds("MaxRetryAfterMs") if allowed.tree.get("RetryAfter") else None,
         must_poll_list=root.text("Discovery", "push") == "ask",
-        list_poll_window_us=None if ask_within is None else round(ask_within * 1000),
+        list_poll_window_us=None if poll_window_ms is None else round(poll_window_ms * 1000),
         start_capacity=rules.number("StartCapacity", 1.0),
-        warm_up_us=rules.micros("RampTimeMs"),
+        warm_up_us=rules.microseconds("RampTimeMs"),
         slow_start_slack_us=round(
-            max(0.0, rules.number("FallMultiple", 1.0) - 1) * rules.micros("TipAfterMs")
+            max(0.0, rules.number("FallMultiple", 1.0) - 1) * rules.microseconds("TipAfterMs")
         ),
-        retry_base=rules.maybe("BudgetFree"),
+        retry_base=rules.optional_number("BudgetFree"),
         retry_ratio=rules.number("ExtraRatio", 0.0),
-        retry_window_us=rules.micros("ResendSpanMs"),
+        retry_window_us=rules.microseconds("ResendSpanMs"),
         probe_price=prices.number("Probe", 0.0) if allowed.tree.get("MayProbe") else None,
         peer_price=prices.number("Peer", 0.0) if allowed.tree.get("Peers") else None,
         has_unsolicited_reports=root.section("LoadReport").text("Source", "answers") == "answers",
@@ -183,7 +183,7 @@
         worst_class_weight=goal.number("WorstClass", 0.0) / (goal.number("Whole", 1.0) or 1.0),
         rung_switch_cost_us=round(info.number("SwitchCostS", 0.0) * 1_000_000),
     )
-    return settings, fields_told
+    return settings, report_fields
 
 
 @dataclass(frozen=True, slots=True)
@@ -203,5 +203,9 @@
     """
     root = SettingsReader(tree)
     allowed = root.section("Allowed")
-    longest_us = max((lane.micros("HardLimitMs") for lane in root.sections("Lanes")), default=0)
-    return ConnectionSettings(allowed.micros("ConnectTimeoutMs"), allowed.micros("ConnIdleMs"), longest_us)
+    longest_us = max(
+        (class_settings.microseconds("HardLimitMs") for class_settings in root.sections("Lanes")), default=0
+    )
+    return ConnectionSettings(
+        allowed.microseconds("ConnectTimeoutMs"), allowed.microseconds("ConnIdleMs"), longest_us
+    )
--- a/packages/placement/src/fennelcove/placement/attempts.py
+++ b/packages/placement/src/fennelcove/placement/attempts.py
@@ -34,9 +34,9 @@
 
 def may_use_server(state: PolicyState, session: Session, server: Server) -> bool:
     """Whether this server may get an attempt of the session (rules 2, 3 and 4)."""
-    is_paced = is_warming_up(state, server) and not has_slow_start_turn(state, server)
-    is_repeat = any(attempt.server is server for attempt in session.attempts)
-    is_usable = server.state is ServerState.ACTIVE and not is_paced and not is_repeat
+    is_awaiting_turn = is_warming_up(state, server) and not has_slow_start_turn(state, server)
+    is_already_tried = any(attempt.server is server for attempt in session.attempts)
+    is_usable = server.state is ServerState.ACTIVE and not is_awaiting_turn and not is_already_tried
     if not is_usable or not state.may_use(session.id, server.address):
         return False
     return session.service_class.effect is not Effect.GUARDED or all(
@@ -45,28 +45,35 @@
 
 
 def is_repeat_safe(state: PolicyState, service_class: ServiceClass, attempt: Attempt, server: Server) -> bool:
-    same = {Scope.ZONE: attempt.server.zone == server.zone, Scope.CELL: attempt.server.cell == server.cell}
+    is_same_scope = {
+        Scope.ZONE: attempt.server.zone == server.zone,
+        Scope.CELL: attempt.server.cell == server.cell,
+    }
     is_key_valid = state.now_us - attempt.sent_us < service_class.key_ttl_us
-    return is_key_valid and same.get(service_class.scope, True)
+    return is_key_valid and is_same_scope.get(service_class.scope, True)
 
 
 def may_reject(state: PolicyState, session: Session) -> bool:
     """Whether a rejection is safe: what may have run must be harmless or recognised everywhere."""
-    is_keyed = session.service_class.effect is Effect.GUARDED and session.service_class.scope is Scope.ALL
-    return session.service_class.effect is Effect.FREE or is_keyed or not may_have_run(session)
+    is_recognised_everywhere = (
+        session.service_class.effect is Effect.GUARDED and session.service_class.scope is Scope.ALL
+    )
+    return (
+        session.service_class.effect is Effect.FREE or is_recognised_everywhere or not may_have_run(session)
+    )
 
 
 def open_attempt(state: PolicyState, session: Session, server: Server) -> None:
     session.attempts.append(Attempt(server, state.now_us))
     server.sessions[session] = None
-    note_if_inactive(state, server)
+    mark_changed_if_inactive(state, server)
     state.record_contact(server)
     seat = (session.title, session.service_class)
     state.seats[seat] = state.seats.get(seat, 0) + 1
     state.record_rate_change(session, state.rate_kb(session, session.rung))
 
 
-def note_if_inactive(state: PolicyState, server: Server) -> None:
+def mark_changed_if_inactive(state: PolicyState, server: Server) -> None:
     """Have the next list look at a server that drains or has left: its sessions have changed."""
     if server.state is not ServerState.ACTIVE:
         state.changed_inactive_servers[server] = None
@@ -74,7 +81,7 @@
 
 def close_attempt(state: PolicyState, session: Session, attempt: Attempt) -> None:
     attempt.server.sessions.pop(session, None)
-    note_if_inactive(state, attempt.server)
+    mark_changed_if_inactive(state, attempt.server)
     seat = (session.title, session.service_class)
     state.seats[seat] -= 1
     if not state.seats[seat]:  # a client may invent titles without end
--- a/packages/placement/src/fennelcove/placement/bitrate_adaptation.py
+++ b/packages/placement/src/fennelcove/placement/bitrate_adaptation.py
@@ -4,14 +4,20 @@
 from fennelcove.placement.state import RESERVE, RAISE_MARGIN, PolicyState, record_sent
 
 
-def rationed_top_rung(state: PolicyState, session: Session, replicas: list[Server]) -> int:
+def initial_top_rung(state: PolicyState, session: Session, replicas: list[Server]) -> int:
     """The top rung of a new session, while others there, or anywhere, wait for steps of twice its utility."""
     others = [other for server in replicas for other in server.sessions] or state.sessions.values()
-    wanted = max((utility_per_kb(state, other, other.rung + 1) for other in others
+    best_waiting_utility = max((utility_per_kb(state, other, other.rung + 1) for other in others
                   if other.state is SessionState.PLAYING and other.rung < other.top_rung), default=0.0)
     floor = session.service_class.min_rung
-    return next((rung for rung in range(session.top_rung, floor, -1)
-                 if utility_per_kb(state, session, rung) >= wanted / 2), min(session.top_rung, floor))
+    return next(
+        (
+            rung
+            for rung in range(session.top_rung, floor, -1)
+            if utility_per_kb(state, session, rung) >= best_waiting_utility / 2
+        ),
+        min(session.top_rung, floor),
+    )
 
 
 def utility_per_kb(state: PolicyState, session: Session, rung: int, *, is_lowering: bool = False) -> float:
@@ -26,7 +32,7 @@
 def repays_switch(state: PolicyState, session: Session, rung: int, price: float = 0.0) -> bool:
     """Whether a raise yields more in the time left than the switch, and a price per typical play."""
     gain = state.settings.rung_utilities[rung] - state.settings.rung_utilities[session.rung]
-    cost_us = state.settings.rung_switch_cost_us + price * state.typical_watch_us
+    cost_us = state.settings.rung_switch_cost_us + price * state.typical_play_us
     return gain * state.remaining_play_us(session) > cost_us
 
 
@@ -83,10 +89,10 @@
                    for index, session in enumerate(playing)
                    for rung in range(session.service_class.min_rung + 1, session.rung + 1))
     excess_kb = excess * sum(state.rate_kb(session, session.rung) for session in playing)
-    chance, rungs = state.draw_uniform(), dict[Session, int]()
+    uniform_draw, rungs = state.draw_uniform(), dict[Session, int]()
     for _, _, _, rung, session in steps:
         step_kb = state.rate_kb(session, rung) - state.rate_kb(session, rung - 1)
-        if excess_kb <= chance * step_kb:
+        if excess_kb <= uniform_draw * step_kb:
             break  # a step larger than the rest is taken by chance, or each front would take one
         if rungs.get(session, session.rung) == rung:
             rungs[session] = rung - 1
@@ -110,10 +116,10 @@
                     if session.state is SessionState.PLAYING
                     for rung in range(session.rung + 1, session.top_rung + 1)
                     if repays_switch(state, session, session.top_rung)), reverse=True)
-    chance, rungs, spent_kb = state.draw_uniform(), dict[Session, int](), 0.0
+    uniform_draw, rungs, spent_kb = state.draw_uniform(), dict[Session, int](), 0.0
     for _, _, _, rung, session in steps:
         step_kb = state.rate_kb(session, rung) - state.rate_kb(session, rung - 1)
-        fits = step_kb < residual_kb - spent_kb and chance * step_kb < budget_kb - spent_kb
+        fits = step_kb < residual_kb - spent_kb and uniform_draw * step_kb < budget_kb - spent_kb
         if fits and rungs.get(session, session.rung) == rung - 1:
             rungs[session] = rung  # a step larger than the budget is taken by chance, by one of the fronts
             spent_kb += step_kb
--- a/packages/placement/src/fennelcove/placement/health.py
+++ b/packages/placement/src/fennelcove/placement/health.py
@@ -9,7 +9,7 @@
 from fennelcove.state_machine import Transition, TransitionTable, Unlisted
 
 MAX_STRIKES = 8
-CLOSED = (Health.WELL, Health.TRIAL)  # as a circuit breaker: attempts are sent
+ADMITTING_STATES = (Health.WELL, Health.TRIAL)  # as a circuit breaker: attempts are sent
 FAULTS = (Outcome.SERVER_ERROR, Outcome.REJECTED, Outcome.NO_ANSWER)
 CONNECTION_FAULTS = (Outcome.NO_CONNECTION, Outcome.CONNECTION_LOST)
 
@@ -17,8 +17,8 @@
 def is_healthy(state: PolicyState, server: Server) -> bool:
     if server.health is Health.SHUT and state.now_us >= server.shut_until_us:
         server.health = Health.TRIAL
-    is_tried = any(session.state is SessionState.JOINING for session in server.sessions)
-    return server.health is Health.WELL or (server.health is Health.TRIAL and not is_tried)
+    is_trial_pending = any(session.state is SessionState.JOINING for session in server.sessions)
+    return server.health is Health.WELL or (server.health is Health.TRIAL and not is_trial_pending)
 
 
 def record_outcome(state: PolicyState, server: Server, outcome: Outcome) -> None:
@@ -34,8 +34,10 @@
 
 def suspend(state: PolicyState, server: Server) -> None:
     """Leave a server alone, for twice as long with each strike, and report it full to other fronts."""
-    unit_us = min(item.latency_objective_us for item in state.settings.service_classes.values())
-    server.shut_until_us = state.now_us + min(unit_us * 2 ** (server.strikes + 1), state.settings.warm_up_us)
+    base_pause_us = min(item.latency_objective_us for item in state.settings.service_classes.values())
+    server.shut_until_us = state.now_us + min(
+        base_pause_us * 2 ** (server.strikes + 1), state.settings.warm_up_us
+    )
     server.strikes = min(server.strikes + 1, MAX_STRIKES)
     notify_shard_owner(state, server.cell, loads=(CellLoad(server.cell, inf, None, 0),))
 
@@ -46,11 +48,26 @@
     server.link.report = None
 
 
-HEALTH_TRANSITIONS: TransitionTable[Health, Outcome, HealthAction] = TransitionTable({
-    (Health.SHUT, Outcome.SERVED): Transition(Health.SHUT, (remove_strike,)),
-    **{(health, Outcome.SERVED): Transition(Health.WELL, (remove_strike,)) for health in CLOSED},
-    **{(health, fault): Transition(Health.SHUT, (suspend,)) for health in CLOSED for fault in FAULTS},
-    **{(Health.SHUT, lost): Transition(Health.SHUT, (mark_restarted,)) for lost in CONNECTION_FAULTS},
-    **{(health, lost): Transition(Health.SHUT, (mark_restarted, suspend))
-       for health in CLOSED for lost in CONNECTION_FAULTS},
-}, unlisted=Unlisted.IGNORE)
+HEALTH_TRANSITIONS: TransitionTable[Health, Outcome, HealthAction] = TransitionTable(
+    {
+        (Health.SHUT, Outcome.SERVED): Transition(Health.SHUT, (remove_strike,)),
+        **{
+            (health, Outcome.SERVED): Transition(Health.WELL, (remove_strike,)) for health in ADMITTING_STATES
+        },
+        **{
+            (health, fault): Transition(Health.SHUT, (suspend,))
+            for health in ADMITTING_STATES
+            for fault in FAULTS
+        },
+        **{
+            (Health.SHUT, connection_fault): Transition(Health.SHUT, (mark_restarted,))
+            for connection_fault in CONNECTION_FAULTS
+        },
+        **{
+            (health, connection_fault): Transition(Health.SHUT, (mark_restarted, suspend))
+            for health in ADMITTING_STATES
+            for connection_fault in CONNECTION_FAULTS
+        },
+    },
+    unlisted=Unlisted.IGNORE,
+)
--- a/packages/placement/src/fennelcove/placement/load_polling.py
+++ b/packages/placement/src/fennelcove/placement/load_polling.py
@@ -19,9 +19,11 @@
         state.effects.send_peer_message(owner, PeerMessage(index, loads=loads, sent_rates=rates))
 
 
-def load_of(state: PolicyState, server: Server, *, with_sent: bool) -> CellLoad:
+def cell_load(state: PolicyState, server: Server, *, include_sent: bool) -> CellLoad:
     links = (server.link, server.rack.uplink)
-    shares = [link.utilization() if with_sent and link.report is not None else link.report for link in links]
+    shares = [
+        link.utilization() if include_sent and link.report is not None else link.report for link in links
+    ]
     reported_us = min((link.as_of_us for link in links if link.report is not None), default=state.now_us)
     return CellLoad(server.cell, shares[0], shares[1], state.now_us - reported_us)
 
@@ -32,17 +34,25 @@
         return False
     awaited = session.awaited = dict[Server, None]()
     since_us = state.now_us - state.settings.report_delay_us
-    unheard = [server for server in replicas if server.link.report is None or server.link.as_of_us < since_us]
+    stale_servers = [
+        server for server in replicas if server.link.report is None or server.link.as_of_us < since_us
+    ]
     if state.may_probe and not is_fleet_full(state):
-        drawn = state.random_source.sample(unheard, min(MAX_PROBES, len(unheard)))
-        awaited = session.awaited = dict.fromkeys(drawn)
+        sampled = state.random_source.sample(stale_servers, min(MAX_PROBES, len(stale_servers)))
+        awaited = session.awaited = dict.fromkeys(sampled)
         for server in awaited:
             state.effects.probe(server.address)
     elif state.settings.peer_price is not None:
-        rest = [server for server in unheard if shard_owner(state, server.cell) != state.settings.front_index]
-        is_many = len(rest) > MAX_POLLED_CELLS
-        drawn = state.random_source.sample(rest, MAX_POLLED_CELLS) if is_many else rest
-        awaited = session.awaited = dict.fromkeys(drawn)
+        remote_servers = [
+            server
+            for server in stale_servers
+            if shard_owner(state, server.cell) != state.settings.front_index
+        ]
+        exceeds_limit = len(remote_servers) > MAX_POLLED_CELLS
+        sampled = (
+            state.random_source.sample(remote_servers, MAX_POLLED_CELLS) if exceeds_limit else remote_servers
+        )
+        awaited = session.awaited = dict.fromkeys(sampled)
         poll_shard_owners(state, [server.cell for server in awaited])
     for server in awaited:
         server.waiting_sessions[session] = state.polling_sessions[session] = None
@@ -59,15 +69,19 @@
 
 def is_fleet_full(state: PolicyState) -> bool:
     """Whether most servers with a recent report were full: polling then costs more than it finds."""
-    seen = [s for s in state.contacted if state.now_us - max(s.link.as_of_us, s.link.full_until_us) < MARK_US]
-    full = sum(state.residual_link(server) <= 0 or state.uplink_utilization(server.rack) >= 1 - RESERVE
-               for server in seen)
-    return full > len(seen) / 2
+    recent_servers = [
+        server
+        for server in state.contacted
+        if state.now_us - max(server.link.as_of_us, server.link.full_until_us) < MARK_US
+    ]
+    full_count = sum(state.residual_link(server) <= 0 or state.uplink_utilization(server.rack) >= 1 - RESERVE
+                     for server in recent_servers)
+    return full_count > len(recent_servers) / 2
 
 
-def plan_probe(state: PolicyState, server: Server) -> None:
+def schedule_probe(state: PolicyState, server: Server) -> None:
     """Plan a probe once a typical play, twice as long after each that raised nothing: each has a price."""
     if state.may_probe and server.sessions and server.next_probe_us is None:
-        interval_us = server.probe_interval_us or int(state.draw_uniform() * state.typical_watch_us)
+        interval_us = server.probe_interval_us or int(state.draw_uniform() * state.typical_play_us)
         server.next_probe_us = state.now_us + interval_us
         state.effects.set_timer(TimerName.PROBE, interval_us)
--- a/packages/placement/src/fennelcove/placement/load_reports.py
+++ b/packages/placement/src/fennelcove/placement/load_reports.py
@@ -2,7 +2,7 @@
 
 from fennelcove.interface import PeerMessage, ProbeCompleted, ReportKind, SessionReport
 from fennelcove.placement.bitrate_adaptation import adapt_rungs, relieve_link, relieve_uplink, repays_switch
-from fennelcove.placement.load_polling import MAX_POLLED_CELLS, load_of, notify_shard_owner, plan_probe
+from fennelcove.placement.load_polling import MAX_POLLED_CELLS, cell_load, notify_shard_owner, schedule_probe
 from fennelcove.placement.records import Rack, Server, Session, SessionEvent, SessionState
 from fennelcove.placement.session_transitions import apply_event
 from fennelcove.placement.state import RESERVE, MARK_US, FULL_DELIVERY, PolicyState, observe_load, record_sent
@@ -28,7 +28,7 @@
     else:
         server.link.full_until_us = state.now_us
     if kind is ReportKind.UPLINK or (kind is ReportKind.LINK and not state.settings.reports_uplinks):
-        notify_shard_owner(state, server.cell, loads=(load_of(state, server, with_sent=False),))
+        notify_shard_owner(state, server.cell, loads=(cell_load(state, server, include_sent=False),))
 
 
 def on_short_delivery(state: PolicyState, server: Server, delivered: float) -> None:
@@ -45,9 +45,9 @@
 
 def is_uplink_short(state: PolicyState, rack: Rack) -> bool:
     """Whether most links of a rack deliver short with capacity left, so that its uplink must be short."""
-    short = sum(server.is_in_rack and state.now_us < server.link.full_until_us
+    short_count = sum(server.is_in_rack and state.now_us < server.link.full_until_us
                 and (server.link.report or 0.0) < 1 - RESERVE for server in rack.known_servers)
-    return 2 * short > len(rack.servers)
+    return 2 * short_count > len(rack.servers)
 
 
 def on_load_received(state: PolicyState, server: Server) -> None:
@@ -69,14 +69,16 @@
 
 def on_probe_timer(state: PolicyState) -> None:
     price, now_us = state.settings.probe_price or 0.0, state.now_us
-    for server in [s for s in state.contacted if s.next_probe_us is not None and s.next_probe_us <= now_us]:
+    for server in [
+        each for each in state.contacted if each.next_probe_us is not None and each.next_probe_us <= now_us
+    ]:
         server.next_probe_us = None
         playing = [session for session in server.sessions if session.state is SessionState.PLAYING]
         is_worthwhile = any(repays_switch(state, session, session.top_rung, price) for session in playing)
         if now_us >= server.link.full_until_us and is_worthwhile:
             state.effects.probe(server.address)
         else:
-            plan_probe(state, server)  # what is full or not worth it now may be later
+            schedule_probe(state, server)  # what is full or not worth it now may be later
 
 
 def on_probe_completed(state: PolicyState, event: ProbeCompleted) -> None:
@@ -87,17 +89,20 @@
         rungs = sum(session.rung for session in server.sessions)
         adapt_rungs(state, server, None)
         has_raised = sum(session.rung for session in server.sessions) > rungs
-        play_us = int(state.typical_watch_us)
+        play_us = int(state.typical_play_us)
         server.probe_interval_us = play_us if has_raised else min(2 * server.probe_interval_us, 8 * play_us)
     on_load_received(state, server)
-    plan_probe(state, server)
+    schedule_probe(state, server)
 
 
 def on_peer_message(state: PolicyState, event: PeerMessage) -> None:
     """Late, doubled or of another build, it changes loads only, and none of a server restarted since."""
     if event.polled_cells and event.sender < state.settings.front_count:
-        loads = tuple(load_of(state, server, with_sent=True) for cell in event.polled_cells[:MAX_POLLED_CELLS]
-                      for server in state.active_replicas(cell)[:1])
+        loads = tuple(
+            cell_load(state, server, include_sent=True)
+            for cell in event.polled_cells[:MAX_POLLED_CELLS]
+            for server in state.active_replicas(cell)[:1]
+        )
         state.effects.send_peer_message(event.sender, PeerMessage(state.settings.front_index, loads=loads))
     for cell, rate_kb in event.sent_rates:
         for server in state.active_replicas(cell):
--- a/packages/placement/src/fennelcove/placement/policy.py
+++ b/packages/placement/src/fennelcove/placement/policy.py
@@ -9,7 +9,7 @@
                                   TimerName, TopRungChanged)
 from fennelcove.placement import attempts, health, load_reports, server_list, server_selection, slow_start
 from fennelcove.placement.bitrate_adaptation import raise_rungs, set_rungs
-from fennelcove.placement.load_polling import plan_probe
+from fennelcove.placement.load_polling import schedule_probe
 from fennelcove.placement.quotas import quota_share
 from fennelcove.placement.records import Session, SessionEvent, SessionState
 from fennelcove.placement.session_transitions import apply_event
@@ -61,16 +61,16 @@
         session = self.add_session(event.request)
         session.state, session.has_report, session.started_us = SessionState.PLAYING, True, self.now_us
         attempts.open_attempt(self, session, self.servers[event.server])
-        plan_probe(self, session.server)
+        schedule_probe(self, session.server)
 
     def on_migration_requested(self, event: MigrationRequested) -> None:
         """Place a session anew before it ends; earlier attempts go along, so that each rule counts them."""
         old = self.sessions[event.id]
         counted = old.attempts[-1:] if old.service_class.effect is Effect.FREE else old.attempts
-        past = [attempt for attempt in counted if attempt.may_have_run]
+        previous_attempts = [attempt for attempt in counted if attempt.may_have_run]
         session = self.sessions[event.new_id] = Session(
             event.new_id, old.service_class, old.title, old.cells, old.top_rung, self.now_us,
-            self.now_us + event.timeout_us, old.expected_play_us, rung=old.rung, attempts=past)
+            self.now_us + event.timeout_us, old.expected_play_us, rung=old.rung, attempts=previous_attempts)
         apply_event(self, session, SessionEvent.TRY)
 
     def on_budget_snapshot(self, event: BudgetSnapshot) -> None:
@@ -85,7 +85,7 @@
             health.record_outcome(self, attempt.server, Outcome.SERVER_ERROR)
         session.started_us = self.now_us
         apply_event(self, session, SessionEvent.STARTED)
-        plan_probe(self, session.server)
+        schedule_probe(self, session.server)
 
     def on_top_rung_changed(self, session: Session, event: TopRungChanged) -> None:
         session.top_rung = max(event.top_rung, session.service_class.min_rung)  # a raise waits for capacity
@@ -105,7 +105,7 @@
         if not attempt.has_server_error and (not is_playing or event.outcome is Outcome.CONNECTION_LOST):
             health.record_outcome(self, attempt.server, event.outcome)
         if is_playing:
-            self.typical_watch_us += (self.now_us - session.started_us - self.typical_watch_us) / 8
+            self.typical_play_us += (self.now_us - session.started_us - self.typical_play_us) / 8
             for server in list(attempt.server.rack.loaded_servers):
                 if server.is_in_rack and server.sessions:
                     raise_rungs(self, server, 0)  # capacity is free at once; reports may be late or stay out
--- a/packages/placement/src/fennelcove/placement/quotas.py
+++ b/packages/placement/src/fennelcove/placement/quotas.py
@@ -19,8 +19,8 @@
     while times_us and times_us[0] < state.now_us - MARK_US:
         times_us.popleft()
     quota = state.settings.quotas[event.tenant] / state.settings.front_count * MARK_US / 1_000_000
-    within = min(1.0, (quota + 1) / (len(times_us) + 1))
-    return within + (1 - within) * state.settings.over_quota_utility
+    share_within_quota = min(1.0, (quota + 1) / (len(times_us) + 1))
+    return share_within_quota + (1 - share_within_quota) * state.settings.over_quota_utility
 
 
 def anticipate_title_surge(state: PolicyState, session: Session, rate_kb: float) -> None:
--- a/packages/placement/src/fennelcove/placement/server_selection.py
+++ b/packages/placement/src/fennelcove/placement/server_selection.py
@@ -5,11 +5,11 @@
 from fennelcove.placement.records import Placement, ScoredServer, Server, Servers, Session
 from fennelcove.placement.state import RESERVE, PolicyState
 
-EXPONENT, THRESHOLD = 0.5, 1.0  # n and r of the design page
+UTILIZATION_EXPONENT, NETWORK_BOTTLENECK_THRESHOLD = 0.5, 1.0  # n and r of the design page
 
 
 def utilization_factor(residual_share: float) -> float:
-    return residual_share**-EXPONENT if residual_share > 0 else inf
+    return residual_share**-UTILIZATION_EXPONENT if residual_share > 0 else inf
 
 
 def update_residuals(state: PolicyState, replicas: Servers) -> None:
@@ -25,28 +25,31 @@
         rack.residual_uplink = 1 - RESERVE - state.uplink_utilization(rack)
 
 
-def utilization_factors(server: Server, rate_kb: float, spare: float = 0.0) -> tuple[float, float]:
-    link = server.residual_link + spare - rate_kb / server.link.capacity_kb
-    uplink = server.rack.residual_uplink + spare - rate_kb / server.rack.uplink.capacity_kb
+def utilization_factors(server: Server, rate_kb: float, usable_reserve: float = 0.0) -> tuple[float, float]:
+    link = server.residual_link + usable_reserve - rate_kb / server.link.capacity_kb
+    uplink = server.rack.residual_uplink + usable_reserve - rate_kb / server.rack.uplink.capacity_kb
     return utilization_factor(min(link, server.residual_streams)), utilization_factor(uplink)
 
 
 def choose_placement(state: PolicyState, session: Session, top: int, replicas: Servers) -> Placement | None:
-    in_zone = [server for server in replicas if server.zone == state.settings.zone]
-    near, far = place_highest(state, session, top, in_zone), place_highest(state, session, top, replicas)
-    if near is None or far is None:
-        return near or far
-    gain = state.settings.rung_utilities[far.rung] - state.settings.rung_utilities[near.rung]
+    local_replicas = [server for server in replicas if server.zone == state.settings.zone]
+    local, any_zone = (
+        place_highest(state, session, top, local_replicas),
+        place_highest(state, session, top, replicas),
+    )
+    if local is None or any_zone is None:
+        return local or any_zone
+    gain = state.settings.rung_utilities[any_zone.rung] - state.settings.rung_utilities[local.rung]
     price = state.settings.cross_zone_price * state.mean_offered_utility
-    return far if gain * session.service_class.priority_weight > price else near
+    return any_zone if gain * session.service_class.priority_weight > price else local
 
 
 def place_highest(state: PolicyState, session: Session, top: int, replicas: Servers) -> Placement | None:
     floor = session.service_class.min_rung
     for rung in range(top, floor - 1, -1):
-        spare = RESERVE if rung == floor else 0.0  # the lowest rung may use the reserve
+        usable_reserve = RESERVE if rung == floor else 0.0  # the lowest rung may use the reserve
         rate_kb = state.rate_kb(session, rung)
-        scored = [(server, *utilization_factors(server, rate_kb, spare)) for server in replicas]
+        scored = [(server, *utilization_factors(server, rate_kb, usable_reserve)) for server in replicas]
         if feasible := [row for row in scored if row[1] < inf and row[2] < inf]:
             return Placement(draw_server(state, feasible), rung)
     return None
@@ -54,6 +57,8 @@
 
 def draw_server(state: PolicyState, feasible: list[ScoredServer]) -> Server:
     """Draw uniformly where the network is the bottleneck, else by the inverse of the server's factor."""
-    if sum(network for _, _, network in feasible) > THRESHOLD * sum(factor for _, factor, _ in feasible):
+    if sum(network for _, _, network in feasible) > NETWORK_BOTTLENECK_THRESHOLD * sum(
+        factor for _, factor, _ in feasible
+    ):
         return state.random_source.choice(feasible)[0]
     return state.random_source.choices(feasible, [1 / factor for _, factor, _ in feasible])[0][0]
--- a/packages/placement/src/fennelcove/placement/session_transitions.py
+++ b/packages/placement/src/fennelcove/placement/session_transitions.py
@@ -24,7 +24,7 @@
     server_selection.update_residuals(state, replicas)
     if load_polling.poll_before_placement(state, session, replicas):
         return None  # it waits for the loads
-    top_rung = bitrate_adaptation.rationed_top_rung(state, session, replicas)
+    top_rung = bitrate_adaptation.initial_top_rung(state, session, replicas)
     placement = server_selection.choose_placement(state, session, top_rung, replicas)
     if placement is None:
         return SessionEvent.NO_ROOM if attempts.may_reject(state, session) else SessionEvent.STUCK
--- a/packages/placement/src/fennelcove/placement/slow_start.py
+++ b/packages/placement/src/fennelcove/placement/slow_start.py
@@ -19,15 +19,26 @@
 
 def has_slow_start_turn(state: PolicyState, server: Server) -> bool:
     """Whether a turn of this front is open; unused ones lapse, or many at once would overload the server."""
-    now = elapsed_turns(state, server, state.now_us)
-    slack = now - elapsed_turns(state, server, state.now_us - state.settings.slow_start_slack_us)
+    turns_now = elapsed_turns(state, server, state.now_us)
+    slack_turns = turns_now - elapsed_turns(state, server, state.now_us - state.settings.slow_start_slack_us)
     last_us = server.last_attempt_us or state.created_us * state.list_is_fresh
     is_current = last_us >= (server.started_us or 1)  # else it was before the server's restart
-    since = max(elapsed_turns(state, server, last_us) + 1e-6 if is_current else -inf, now - max(1, slack))
-    first = crc32(b"%d" % server.started_us + server.address.encode()) / 2**32 * state.settings.front_count
-    return any(state.owns_turn(turn) for turn in range(ceil(since - first), floor(now - first) + 1))
+    since_turns = max(
+        elapsed_turns(state, server, last_us) + 1e-6 if is_current else -inf, turns_now - max(1, slack_turns)
+    )
+    turn_offset = (
+        crc32(b"%d" % server.started_us + server.address.encode()) / 2**32 * state.settings.front_count
+    )
+    return any(
+        state.owns_turn(turn)
+        for turn in range(ceil(since_turns - turn_offset), floor(turns_now - turn_offset) + 1)
+    )
 
 
 def elapsed_turns(state: PolicyState, server: Server, at_us: int) -> float:
-    age = max(0, uptime_us(state, server) - state.now_us + at_us) / state.settings.warm_up_us
-    return server.max_streams * age * (1 - (1 - state.settings.start_capacity) * (1 - age / 2))
+    warm_up_fraction = max(0, uptime_us(state, server) - state.now_us + at_us) / state.settings.warm_up_us
+    return (
+        server.max_streams
+        * warm_up_fraction
+        * (1 - (1 - state.settings.start_capacity) * (1 - warm_up_fraction / 2))
+    )
--- a/packages/placement/src/fennelcove/placement/state.py
+++ b/packages/placement/src/fennelcove/placement/state.py
@@ -19,10 +19,10 @@
 class LinkLoad(LinkReport):
     """Load of a server's link or a rack's uplink in shares of its size: the last report and later sends."""
 
-    def observe(self, asked: float | None, as_of_us: int) -> None:
-        if asked is None or (self.report is not None and as_of_us < self.as_of_us):
+    def observe(self, reported_share: float | None, as_of_us: int) -> None:
+        if reported_share is None or (self.report is not None and as_of_us < self.as_of_us):
             return  # an older report must not undo a newer one
-        self.report, self.as_of_us = asked, as_of_us
+        self.report, self.as_of_us = reported_share, as_of_us
         while self.unreported and self.unreported[0][0] <= as_of_us:  # a new sum would cost thousands
             self.unreported_kb -= self.unreported.popleft()[1]
         self.unreported_kb = self.unreported_kb if self.unreported else 0.0
@@ -58,7 +58,7 @@
         self.racks = [Rack(LinkLoad(uplink_kb)) for _ in range(settings.rack_count)]
         self.tenant_request_times_us = {tenant: deque[int](maxlen=1024) for tenant in settings.quotas}
         self.may_probe = settings.probe_price is not None and not settings.has_unsolicited_reports
-        self.typical_watch_us = float(settings.warm_up_us or MARK_US)  # not 0: ages are divided by it
+        self.typical_play_us = float(settings.warm_up_us or MARK_US)  # not 0: ages are divided by it
         # Hooks that a host may replace: whose slow-start turn it is, and whether a session may use a server.
         self.owns_turn: Callable[[int], bool] = lambda n: n % settings.front_count == settings.front_index
         self.may_use: Callable[[str, str], bool] = lambda session_id, address: True
@@ -70,8 +70,8 @@
     def mean_utilization(self) -> float:
         """What a link without a report is taken to carry; computed once for all decisions of an instant."""
         if self.cached_mean_at_us != self.now_us:
-            latest = list(self.contacted)[-MAX_SAMPLED_LINKS:]
-            active = [server.link for server in latest if server.state is ServerState.ACTIVE]
+            recent_servers = list(self.contacted)[-MAX_SAMPLED_LINKS:]
+            active = [server.link for server in recent_servers if server.state is ServerState.ACTIVE]
             reported = [min(1.0, link.utilization()) for link in active if link.report is not None]
             # Nothing reported: the middle, as in the paper. Else no single report may count for all servers.
             samples = (reported or [0.5]) if self.settings.rejects_at else [*reported, 0.25, 0.75]
@@ -81,23 +81,29 @@
             self.cached_mean, self.cached_mean_at_us = mean + spread, self.now_us
         return self.cached_mean
 
-    def aged_utilization(self, link: LinkLoad, own: float, others: float) -> float:
+    def aged_utilization(self, link: LinkLoad, own_share: float, others_share: float) -> float:
         """Utilization of a link, moved from its report to the usual load as the report ages."""
         overdue_us = max(0, self.now_us - link.as_of_us - self.usual_report_age_us)
-        weight = exp(-overdue_us / self.typical_watch_us)
-        return weight * link.utilization() + (1 - weight) * min(1.0, own + others)
+        weight = exp(-overdue_us / self.typical_play_us)
+        return weight * link.utilization() + (1 - weight) * min(1.0, own_share + others_share)
 
     def link_utilization(self, server: Server) -> float:
         link, mean = server.link, self.mean_utilization()
-        own = server.own_kb / link.capacity_kb
-        others = mean * (1 - 1 / self.settings.front_count)
-        return max(own, mean if link.report is None else self.aged_utilization(link, own, others))
+        own_share = server.own_kb / link.capacity_kb
+        others_share = mean * (1 - 1 / self.settings.front_count)
+        return max(
+            own_share, mean if link.report is None else self.aged_utilization(link, own_share, others_share)
+        )
 
     def uplink_utilization(self, rack: Rack) -> float:
-        own = self.rack_own_kb(rack) / rack.uplink.capacity_kb
+        own_share = self.rack_own_kb(rack) / rack.uplink.capacity_kb
         mean = self.mean_utilization() if self.settings.reports_uplinks else 0.0  # guesses would stay
-        others = mean * (1 - 1 / self.settings.front_count)
-        return own if rack.uplink.report is None else self.aged_utilization(rack.uplink, own, others)
+        others_share = mean * (1 - 1 / self.settings.front_count)
+        return (
+            own_share
+            if rack.uplink.report is None
+            else self.aged_utilization(rack.uplink, own_share, others_share)
+        )
 
     def record_contact(self, server: Server) -> None:
         """Count a server among those contacted; past the sample's size in the order of the last contacts."""
@@ -141,10 +147,10 @@
 
     def class_utility(self, service_class: ServiceClass) -> float:
         if self.class_utilities_at_us != self.now_us:
-            self.class_utilities, self.class_utilities_at_us = self.weigh_classes(), self.now_us
+            self.class_utilities, self.class_utilities_at_us = self.compute_class_utilities(), self.now_us
         return self.class_utilities[service_class]
 
-    def weigh_classes(self) -> dict[ServiceClass, float]:
+    def compute_class_utilities(self) -> dict[ServiceClass, float]:
         """Weight of each class in the goal, which counts the worst served class once more."""
         weights = {item: item.priority_weight for item in self.settings.service_classes.values()}
         offered, earned = dict.fromkeys(weights, 0.0), dict.fromkeys(weights, 0.0)
@@ -152,14 +158,14 @@
             weight = session.service_class.priority_weight
             offered[session.service_class] += weight * self.settings.rung_utilities[session.top_rung]
             earned[session.service_class] += weight * self.settings.rung_utilities[session.rung]
-        if held := [item for item in weights if offered[item]]:
-            worst = min(held, key=lambda item: earned[item] / offered[item])
+        if offered_classes := [item for item in weights if offered[item]]:
+            worst = min(offered_classes, key=lambda item: earned[item] / offered[item])
             weights[worst] *= 1 + self.settings.worst_class_weight / (offered[worst] / sum(offered.values()))
         return weights
 
     def remaining_play_us(self, session: Session) -> float:
         if (expected_us := session.expected_play_us) is None:
-            return self.typical_watch_us
+            return self.typical_play_us
         played_us = self.now_us - session.started_us
         return max(expected_us - played_us, expected_us / 2)  # a guess that has run out leaves half of it
 
--- a/packages/simulator-adapter/src/fennelcove/simulator_adapter/__main__.py
+++ b/packages/simulator-adapter/src/fennelcove/simulator_adapter/__main__.py
@@ -121,21 +121,21 @@
         Raises:
             WireError: the line is malformed, or not expected here.
         """
-        name, fields = codec.split(line)
+        name, fields = codec.split_line(line)
         if self._partial_list is not None:
             self._add_entry(self._partial_list, name, fields)
         elif name == "turn":
             if self._now_us is not None:
                 raise WireError("a turn inside a turn")
-            self._now_us = codec.micros(fields, "WallMs")
+            self._now_us = codec.microseconds(fields, "WallMs")
         elif self._now_us is None:
             raise WireError(f"message {name!r} outside a turn")
         elif name == "commit":
             self._now_us = None
             return True
         elif name == "pool":
-            size = codec.whole(fields, "RowsIn")
-            self._partial_list = PartialList(codec.whole(fields, "Buffer"), size, [])
+            size = codec.integer(fields, "RowsIn")
+            self._partial_list = PartialList(codec.integer(fields, "Buffer"), size, [])
             self._store_complete_list(self._partial_list)
         else:
             self._on_front_message(name, fields, self._now_us)
@@ -151,7 +151,7 @@
     def _add_entry(self, partial: PartialList, name: str, fields: Fields) -> None:
         if name != "entry":
             raise WireError(f"message {name!r} where an entry was due")
-        partial.entries.append(codec.entry(fields))
+        partial.entries.append(codec.list_entry(fields))
         self._store_complete_list(partial)
 
     def _store_complete_list(self, partial: PartialList) -> None:
@@ -160,7 +160,7 @@
             self._partial_list = None
 
     def _on_front_message(self, name: str, fields: Fields, now_us: int) -> None:
-        index = codec.whole(fields, "Front")
+        index = codec.integer(fields, "Front")
         if name == "up":
             self._start_front(index, fields, now_us)
         elif name == "crash_now":
@@ -171,9 +171,9 @@
                 self._fronts[index].policy.handle(event, now_us)
 
     def _start_front(self, index: int, fields: Fields, now_us: int) -> None:
-        settings, report_fields = codec.settings(fields)
+        settings, report_fields = codec.read_settings(fields)
         writer = EffectWriter(index, self._reply_lines)
-        policy = PlacementPolicy(settings, codec.whole(fields, "Entropy"), writer, now_us)
+        policy = PlacementPolicy(settings, codec.integer(fields, "Entropy"), writer, now_us)
         self._fronts[index] = RunningFront(policy, report_fields)
 
     def _decode(self, name: str, fields: Fields, index: int) -> Event | None:
@@ -198,10 +198,10 @@
 
     def _list_update(self, fields: Fields) -> ListUpdate:
         mode = codec.choice(fields, "Mode", ListMode)
-        codec.whole(fields, "Epoch")  # not used, but must be well formed
+        codec.integer(fields, "Epoch")  # not used, but must be well formed
         if mode is ListMode.FAILED:
             return ListUpdate(mode, ())
-        buffer = codec.whole(fields, "Buffer")
+        buffer = codec.integer(fields, "Buffer")
         if buffer not in self._lists:
             raise WireError(f"found no list: {buffer}", "field Buffer")
         return ListUpdate(mode, self._lists[buffer])
--- a/packages/simulator-adapter/src/fennelcove/simulator_adapter/codec.py
+++ b/packages/simulator-adapter/src/fennelcove/simulator_adapter/codec.py
@@ -41,7 +41,7 @@
     advice = "Look at the line named: the simulator and this adapter must be of one version"
 
 
-def split(line: str) -> tuple[str, Fields]:
+def split_line(line: str) -> tuple[str, Fields]:
     """Split a line into its message name and its fields."""
     name, _, rest = line.partition(" ")
     fields: Fields = {}
@@ -78,7 +78,7 @@
     return value
 
 
-def whole(fields: Fields, key: str, default: int | None = None) -> int:
+def integer(fields: Fields, key: str, default: int | None = None) -> int:
     """A whole number."""
     if key not in fields and default is not None:
         return default
@@ -92,7 +92,7 @@
         return int(value)
 
 
-def micros(fields: Fields, key: str, default: int | None = None) -> int:
+def microseconds(fields: Fields, key: str, default: int | None = None) -> int:
     """A time, from milliseconds."""
     if key not in fields and default is not None:
         return default
@@ -123,16 +123,16 @@
         raise WireError(f"found an unknown value: {raw!r}", f"field {key}") from None
 
 
-def entry(fields: Fields) -> ListEntry:
+def list_entry(fields: Fields) -> ListEntry:
     """One line of a server list."""
     return ListEntry(
         address=text(fields, "Server"),
         zone=text(fields, "FailureDomain"),
         kind=text(fields, "Hw"),
-        cell=whole(fields, "Place"),
+        cell=integer(fields, "Place"),
         state=choice(fields, "State", ServerState),
         weight=number(fields, "Share", 1.0),
-        started_us=micros(fields, "CameUpMs", 0),
+        started_us=microseconds(fields, "CameUpMs", 0),
     )
 
 
@@ -140,19 +140,19 @@
     """A client's request of a session."""
     if text(fields, "TierClass") not in settings.service_classes:
         raise WireError(f"found a name that the settings lack: {fields['TierClass']!r}", "field TierClass")
-    if not 0 <= whole(fields, "TopRung") < len(settings.ladder_kb):
+    if not 0 <= integer(fields, "TopRung") < len(settings.ladder_kb):
         raise WireError(f"found a rung off the ladder: {fields['TopRung']!r}", "field TopRung")
     return Request(
         id=text(fields, "Job"),
         service_class=text(fields, "TierClass"),
-        title=whole(fields, "Asset"),
-        first_cell=whole(fields, "StartCell"),
-        cell_count=whole(fields, "CellsInRow"),
-        top_rung=whole(fields, "TopRung"),
-        timeout_us=micros(fields, "BudgetMs", 0),
+        title=integer(fields, "Asset"),
+        first_cell=integer(fields, "StartCell"),
+        cell_count=integer(fields, "CellsInRow"),
+        top_rung=integer(fields, "TopRung"),
+        timeout_us=microseconds(fields, "BudgetMs", 0),
         tenant=fields.get("Party", ""),
         is_repeat=flag(fields, "Returned"),
-        expected_play_us=at_least(fields, "CostGuessMs", micros(fields, "CostGuessMs", 0)) or None,
+        expected_play_us=at_least(fields, "CostGuessMs", microseconds(fields, "CostGuessMs", 0)) or None,
     )
 
 
@@ -163,7 +163,7 @@
 
 def attempt_number(fields: Fields) -> int:
     """Index of an attempt among those of its session."""
-    number = whole(fields, "Try")
+    number = integer(fields, "Try")
     if number < 0:
         raise WireError(f"found a negative number: {number}", "field Try")
     return number
@@ -171,7 +171,7 @@
 
 def session_started(fields: Fields) -> SessionStarted:
     """A session that has started to play."""
-    return SessionStarted(text(fields, "Job"), attempt_number(fields), micros(fields, "TookMs"))
+    return SessionStarted(text(fields, "Job"), attempt_number(fields), microseconds(fields, "TookMs"))
 
 
 def attempt_completed(fields: Fields, report_fields: tuple[str, ...]) -> AttemptCompleted:
@@ -190,7 +190,7 @@
     return ProbeCompleted(
         server=text(fields, "Server"),
         outcome=choice(fields, "Reason", Outcome),
-        duration_us=micros(fields, "TookMs", 0),
+        duration_us=microseconds(fields, "TookMs", 0),
         report=load_report(fields, report_fields),
     )
 
@@ -199,7 +199,7 @@
     """Another front's message; None for bytes that are none of this project's."""
     raw = text(fields, "Msg")
     try:
-        return decode(whole(fields, "Neighbour"), b"" if raw == "-" else bytes.fromhex(raw))
+        return decode(integer(fields, "Neighbour"), b"" if raw == "-" else bytes.fromhex(raw))
     except ValueError:
         raise WireError(f"found no hex: {raw!r}", "field Msg") from None
 
@@ -218,13 +218,13 @@
 
 def session_report(fields: Fields, settings: Settings) -> SessionReport | None:
     """A report on a playing session; None for a kind that the interface doesn't have."""
-    kind, level = whole(fields, "Kind"), number(fields, "Level")
-    job, server = text(fields, "Job"), text(fields, "Server")
+    kind, level = integer(fields, "Kind"), number(fields, "Level")
+    session_id, server = text(fields, "Job"), text(fields, "Server")
     if kind not in ReportKind.__members__.values():
         return None
     if kind == ReportKind.RUNG and not 0 <= level < len(settings.ladder_kb):
         raise WireError(f"found a rung off the ladder: {fields['Level']!r}", "field Level")
-    return SessionReport(job, server, ReportKind(kind), level)
+    return SessionReport(session_id, server, ReportKind(kind), level)
 
 
 def client_gone(fields: Fields) -> ClientGone:
@@ -234,13 +234,13 @@
 
 def timer_fired(fields: Fields) -> TimerFired:
     """A timer that has fired."""
-    name = whole(fields, "Name")
+    name = integer(fields, "Name")
     if name not in TimerName.__members__.values():
         raise WireError(f"found no timer of a front: {name}", "field Name")
     return TimerFired(name)
 
 
-def settings(fields: Fields) -> tuple[Settings, tuple[str, ...]]:
+def read_settings(fields: Fields) -> tuple[Settings, tuple[str, ...]]:
     """The settings, and the names of a load report's values."""
     try:
         return facts_reader.read_settings(json.loads(text(fields, "Facts")))
