--- a/packages/interface/src/fennelcove/facts.py
+++ b/packages/interface/src/fennelcove/facts.py
@@ -1,4 +1,4 @@
-"""Reads the settings that a front gets at its start, on the simulator's wire and in a node's file."""
+"""Reads the platform settings of a front, sent by the simulator or stored in a node's file."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 
 def load_report(values: dict[str, float]) -> LoadReport:
-    """The load report of named values; names that no front uses are ignored."""
+    """The load report with these values by name; unused names are ignored."""
     return LoadReport(values.get("x0", values.get("util")), values.get("x1"))
 
 
 class SettingsReader:
-    """Reads typed values out of nested settings; an error names the field that can't be used."""
+    """Reads typed values from nested settings; its errors name the invalid field."""
 
     def __init__(self, tree: Any, path: str = "Facts") -> None:
         if not isinstance(tree, dict):
-            raise PlatformSettingsError("found no object", f"field {path}")
+            raise PlatformSettingsError("not an object", f"field {path}")
         self.tree: dict[str, Any] = tree
         self.path = path
 
     def section(self, key: str) -> SettingsReader:
-        """The reader of a nested object; an empty one where it is absent."""
+        """The reader of a nested object; an empty one if absent."""
         return SettingsReader(self.tree.get(key, {}), f"{self.path}.{key}")
 
     def sections(self, key: str) -> list[SettingsReader]:
@@ -44,19 +44,19 @@
         return [SettingsReader(item, f"{self.path}.{key}[{i}]") for i, item in enumerate(self.items(key))]
 
     def items(self, key: str) -> list[Any]:
-        """A list; an empty one where it is absent."""
+        """A list; empty if absent."""
         value = self.tree.get(key, [])
         if not isinstance(value, list):
-            raise PlatformSettingsError("found no list", f"field {self.path}.{key}")
+            raise PlatformSettingsError("not a list", f"field {self.path}.{key}")
         return value
 
     def optional_number(self, key: str) -> float | None:
-        """A finite number, or None where it is absent."""
+        """A finite number, or None if absent."""
         value = self.tree.get(key)
         if value is None:
             return None
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-            raise PlatformSettingsError("found no number", f"field {self.path}.{key}")
+            raise PlatformSettingsError("not a finite number", f"field {self.path}.{key}")
         return float(value)
 
     def number(self, key: str, default: float | None = None) -> float:
@@ -65,7 +65,7 @@
         if value is None:
             value = default
         if value is None:
-            raise PlatformSettingsError("found nothing", f"field {self.path}.{key}")
+            raise PlatformSettingsError("missing", f"field {self.path}.{key}")
         return value
 
     def numbers(self, key: str) -> tuple[float, ...]:
@@ -73,14 +73,14 @@
         return tuple(SettingsReader({key: item}, self.path).number(key) for item in self.items(key))
 
     def microseconds(self, key: str) -> int:
-        """A time in microseconds, from milliseconds; 0 where it is absent."""
+        """A time in microseconds, from a value in milliseconds; 0 if absent."""
         return round(self.number(key, 0.0) * 1000)
 
     def text(self, key: str, default: str) -> str:
-        """A text."""
+        """A string."""
         value = self.tree.get(key, default)
         if not isinstance(value, str):
-            raise PlatformSettingsError("found no text", f"field {self.path}.{key}")
+            raise PlatformSettingsError("not a string", f"field {self.path}.{key}")
         return value
 
     def choice(self, key: str, default: str, kind: Callable[[str], E]) -> E:
@@ -89,13 +89,11 @@
         try:
             return kind(value)
         except ValueError:
-            raise PlatformSettingsError(
-                f"found an unknown value: {value!r}", f"field {self.path}.{key}"
-            ) from None
+            raise PlatformSettingsError(f"unknown value: {value!r}", f"field {self.path}.{key}") from None
 
 
 def value_at(values: tuple[float, ...], index: int, default: float) -> float:
-    """A value for each service class or kind, where the settings give it."""
+    """The value at an index, or a default past the end."""
     return values[index] if index < len(values) else default
 
 
@@ -108,7 +106,7 @@
     info = root.section("FamilyInfo")
     scale, floor, seats = (info.numbers(key) for key in ("ClassScale", "ClassFloor", "ClassSeats"))
     if any(not 0 <= value < rung_count for value in floor):
-        raise PlatformSettingsError("found rungs that the ladder lacks", "field Facts.FamilyInfo.ClassFloor")
+        raise PlatformSettingsError("rung outside of the bitrate ladder", "field Facts.FamilyInfo.ClassFloor")
     service_classes: dict[str, ServiceClass] = {}
     for i, class_settings in enumerate(root.sections("Lanes")):
         service_classes[class_settings.text("Name", str(i))] = ServiceClass(
@@ -122,7 +120,7 @@
             seats=int(value_at(seats, i, 0)),
         )
     if not service_classes:
-        raise PlatformSettingsError("found no room types", "field Facts.Lanes")
+        raise PlatformSettingsError("no service classes", "field Facts.Lanes")
     return service_classes
 
 
@@ -137,7 +135,10 @@
     prices, goal = root.section("Prices"), root.section("Goal")
     ladder, utilities = info.numbers("LevelKb"), info.numbers("WorthByRung")
     if not ladder or len(utilities) != len(ladder):
-        raise PlatformSettingsError("found no ladder of rungs", "field Facts.FamilyInfo.LevelKb, WorthByRung")
+        raise PlatformSettingsError(
+            "bitrate ladder empty, or not one utility for each rung",
+            "field Facts.FamilyInfo.LevelKb, WorthByRung",
+        )
     service_classes = read_service_classes(root, rung_count=len(ladder))
     kinds = [item for item in root.items("Kinds") if isinstance(item, str)]
     streams = info.numbers("KindStreams")
@@ -188,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSettings:
-    """Limits of connections and of the longest wait, in microseconds; 0 where a setting is absent."""
+    """Time-outs of connections, and the longest client timeout, in microseconds; 0 if not set."""
 
     connect_us: int
     idle_us: int
@@ -196,7 +197,7 @@
 
 
 def connection_settings(tree: Any) -> ConnectionSettings:
-    """The part of the settings that transports need.
+    """The settings that transports need.
 
     Raises:
         PlatformSettingsError: as `read_settings`.
--- a/packages/interface/src/fennelcove/interface.py
+++ b/packages/interface/src/fennelcove/interface.py
@@ -1,6 +1,6 @@
-"""Types between the placement policy and its host: settings, events and effects.
+"""Types shared by the placement policy and its host: settings, events and effects.
 
-They know no wire. Times are whole microseconds, rates are kB a second.
+They do not depend on a wire format. Times are integers in microseconds, rates are in kB/s.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class Effect(Enum):
-    """What a repeated set-up does to a client: whether it is idempotent."""
+    """Whether a set-up is idempotent: the effect of sending it again."""
 
     FREE = "free"  # harmless
     GUARDED = "guarded"  # harmless where the idempotency key is recognised
-    SINGLE_SHOT = "single_shot"  # never to be sent twice
+    SINGLE_SHOT = "single_shot"  # must not be sent twice
 
 
 class Scope(Enum):
@@ -35,7 +35,7 @@
     NO_ANSWER = "no_answer"
     NO_CONNECTION = "no_connection"
     CONNECTION_LOST = "connection_lost"
-    CANCELLED = "called_off"  # its client has gone
+    CANCELLED = "called_off"  # the client disconnected
     NOT_SENT = "not_sent"  # the host could not send it
 
 
@@ -52,8 +52,8 @@
 
     INCREMENTAL = "INCREMENTAL"  # changed entries only
     FULL = "FULL"
-    SAVED = "SAVED"  # a full list of before a restart
-    FAILED = "FAILED"  # the request of a list failed
+    SAVED = "SAVED"  # a full list saved before a restart
+    FAILED = "FAILED"  # the request for a list failed
 
 
 class ReportKind(IntEnum):
@@ -67,57 +67,57 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ServiceClass:
-    """The terms of one service class."""
+    """Objectives and limits of one service class."""
 
     latency_objective_us: int  # from a request to the start of its session
     priority_weight: float  # utility of a session at full quality
     effect: Effect
     scope: Scope
-    key_ttl_us: int  # how long servers keep an idempotency key
-    rate_scale: float  # its rates over those of the ladder
-    min_rung: int  # lowest rung
-    seats: int  # sessions of a title at once; 0: any number
+    key_ttl_us: int  # how long servers remember an idempotency key
+    rate_scale: float  # its rates, relative to those of the ladder
+    min_rung: int  # lowest rung that its sessions may have
+    seats: int  # concurrent sessions of a title; 0: unlimited
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Settings:
-    """Settings that a front gets at its start; an optional one that is absent is None."""
+    """Settings that a front receives at its start; an absent optional one is None."""
 
     service_classes: dict[str, ServiceClass]
-    front_count: int  # how many there are
-    front_index: int  # of this one among them
-    zone: str  # where this front runs
+    front_count: int
+    front_index: int  # index of this front among all fronts
+    zone: str  # zone of this front
     ladder_kb: tuple[float, ...]  # rate of each rung, before a class's scale
-    rung_utilities: tuple[float, ...]  # utility of each rung, over that of full quality
-    streams_by_kind: dict[str, int]  # sessions that a server can serve at once, by its kind
-    kb_per_weight: float  # link capacity for each unit of a server's weight
-    total_links_kb: float  # link capacity of all servers
-    has_listed_sizes: bool  # the list gives weights
-    rack_count: int  # how many there are; a cell belongs to one
-    cell_count: int  # how many there are
+    rung_utilities: tuple[float, ...]  # utility of each rung, relative to full quality
+    streams_by_kind: dict[str, int]  # concurrent sessions of a server, by its kind
+    kb_per_weight: float  # link capacity per unit of a server's weight
+    total_links_kb: float  # total link capacity of all servers
+    has_listed_sizes: bool  # the server list contains weights
+    rack_count: int  # each cell belongs to one rack
+    cell_count: int
     uplink_kb: float  # capacity of a rack's uplink; 0: not stated
-    reports_uplinks: bool  # load reports give the uplink's utilization
-    report_delay_us: int  # age of a report when it comes
-    report_interval_us: int  # interval of reports
+    reports_uplinks: bool  # load reports contain the uplink's utilization
+    report_delay_us: int  # age of a report on arrival
+    report_interval_us: int
     rejects_at: float  # threshold from which servers reject set-ups; 0: they reject none
-    cross_zone_price: float  # over the mean utility of a request
-    max_attempts: int | None  # attempts of a session at most
-    retry_after_us: int | None  # longest Retry-After of a rejection
-    must_poll_list: bool  # a server list comes only when it is polled
-    list_poll_window_us: int | None  # how old the list may get
-    start_capacity: float  # of a server that has just started, over its full capacity
-    warm_up_us: int  # how long a server warms up
-    retry_base: float | None  # retries within the span that need no requests; None: no retry budget
-    retry_ratio: float  # retries for each request within the span
+    cross_zone_price: float  # relative to the mean utility of a request
+    max_attempts: int | None  # attempts per session; None: unlimited
+    retry_after_us: int | None  # longest Retry-After of a rejection; None: not allowed
+    must_poll_list: bool  # the server list is sent only when polled
+    list_poll_window_us: int | None  # highest age that the list may reach
+    start_capacity: float  # of a server that has just started, relative to its full capacity
+    warm_up_us: int  # duration of a server's slow start
+    retry_base: float | None  # retries within the window that are always allowed; None: no retry budget
+    retry_ratio: float  # further retries for each request within the window
     retry_window_us: int
-    probe_price: float | None = None  # over a session's utility, for each probe; None: none may be sent
-    peer_price: float | None = None  # over a session's utility, for each full message; None: none may be sent
-    has_unsolicited_reports: bool = True  # attempts and sessions bring load reports
-    quotas: dict[str, float] = field(default_factory=dict)  # requests a second over all fronts, by tenant
-    over_quota_utility: float = 1.0  # what a request past its tenant's quota counts, over its utility
-    worst_class_weight: float = 0.0  # of the worst served class in the goal, over the weight of the whole
-    slow_start_slack_us: int = 0  # how far ahead of its slow-start pace a warming server may be
-    rung_switch_cost_us: int = 0  # playing time that each change of rung costs
+    probe_price: float | None = None  # per probe, relative to a session's utility; None: not allowed
+    peer_price: float | None = None  # per full message, relative to a session's utility; None: not allowed
+    has_unsolicited_reports: bool = True  # load reports arrive with attempts and sessions
+    quotas: dict[str, float] = field(default_factory=dict)  # requests per second over all fronts, by tenant
+    over_quota_utility: float = 1.0  # share of utility that counts for a request over its tenant's quota
+    worst_class_weight: float = 0.0  # of the worst-served class in the goal, relative to the total
+    slow_start_slack_us: int = 0  # how far a server may be ahead of its slow-start pace
+    rung_switch_cost_us: int = 0  # cost of a rung change, as playing time
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -129,8 +129,8 @@
     kind: str
     cell: int
     state: ServerState
-    weight: float  # of its link; 1.0 where the list gives none
-    started_us: int  # 0: not known, long ago
+    weight: float  # of its link; 1.0 if the list contains none
+    started_us: int  # 0: unknown, long ago
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -152,14 +152,14 @@
     cell_count: int
     top_rung: int
     timeout_us: int
-    tenant: str = ""  # whose quota it counts against
+    tenant: str = ""  # the tenant whose quota it counts against
     is_repeat: bool = False  # the client has requested it before
-    expected_play_us: int | None = None  # from its start; of a handover, from now
+    expected_play_us: int | None = None  # from the start of the session; for a handover, from now
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Handover:
-    """A session that already plays when the front starts."""
+    """A session that is already playing when the front starts."""
 
     request: Request
     server: str
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class SessionStarted:
-    """An attempt has succeeded: the session plays."""
+    """An attempt has succeeded: the session is playing."""
 
     id: str
     attempt: int
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class LoadReport:
-    """Utilization of a server's link and its rack's uplink; None where it is not reported."""
+    """Utilization of a server's link and its rack's uplink; None if not reported."""
 
     link: float | None
     uplink: float | None
@@ -184,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ProbeCompleted:
-    """The end of a probe; it succeeded where the outcome is SERVED."""
+    """A probe has ended; it succeeded if the outcome is SERVED."""
 
     server: str
     outcome: Outcome
@@ -194,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellLoad:
-    """What a front knows of the server in a cell: utilizations, None where unknown, and their age."""
+    """Load of the server in a cell, as known to a front: utilizations, None if unknown, and their age."""
 
     cell: int
     link: float | None
@@ -204,9 +204,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another front.
+    """A message between two fronts.
 
-    It polls for the loads of cells, answers with loads, or announces rates that were just sent to cells.
+    It polls for the loads of cells, answers with loads, or announces rates just assigned to cells.
     """
 
     sender: int
@@ -217,7 +217,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class AttemptCompleted:
-    """An attempt has ended; where `is_finished`, its session has ended too."""
+    """An attempt has ended; if `is_finished`, its session has ended too."""
 
     id: str
     attempt: int
@@ -238,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class TopRungChanged:
-    """The highest rung that a client can use has changed, by its own measurement or its server's."""
+    """The highest rung that a client can use has changed, as measured by the client or its server."""
 
     id: str
     top_rung: int
@@ -258,14 +258,14 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ClientGone:
-    """The client of a session that does not play yet has gone."""
+    """The client of a session that is not playing yet has disconnected."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ServerSnapshot:
-    """What this front knew of a server before its own restart; the server has not restarted since."""
+    """State of a server from before this front's own restart; the server has not restarted since."""
 
     server: str
     strikes: int
@@ -315,7 +315,7 @@
 
 
 class Effects(Protocol):
-    """What a policy requests of its host."""
+    """Actions that a policy requests from its host."""
 
     def start_attempt(self, id: str, server: str, timeout_us: int) -> None:
         """Send an attempt to set a session up on a server."""
@@ -339,7 +339,7 @@
         """Send a message to another front."""
 
     def set_timer(self, name: int, delay_us: int) -> None:
-        """Have a `TimerFired` of a `TimerName` come after a delay."""
+        """Deliver a `TimerFired` with the name of a `TimerName` after a delay."""
 
     def watch_list(self) -> None:
         """Subscribe to the server list."""
--- a/packages/placement/src/fennelcove/placement/__init__.py
+++ b/packages/placement/src/fennelcove/placement/__init__.py
@@ -1,4 +1,4 @@
-"""The placement policy: `PlacementPolicy` is all that a host needs; the rest serves observers and tests."""
+"""Placement policy: hosts need `PlacementPolicy` only; the other names are for observers and tests."""
 
 from fennelcove.placement.policy import PlacementPolicy
 from fennelcove.placement.records import Attempt, Health, Server, Session, SessionEvent, SessionState
--- a/packages/placement/src/fennelcove/placement/attempts.py
+++ b/packages/placement/src/fennelcove/placement/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: whether and where one may be sent, how long it may take, and what it counts for."""
+"""Attempts to set a session up: whether and where one may be sent, its time-out and its bookkeeping."""
 
 from fennelcove.interface import Effect, Scope, ServerState, ServiceClass
 from fennelcove.placement.load_polling import notify_shard_owner
@@ -9,7 +9,7 @@
 
 
 def may_attempt(state: PolicyState, session: Session) -> bool:
-    """Whether any attempt may be sent now (rules 1, 2, 5 and 6)."""
+    """Whether the session may send an attempt to any server now (rules 1, 2, 5 and 6)."""
     service_class, max_attempts = session.service_class, state.settings.max_attempts
     is_impossible = (state.now_us >= session.deadline_us or session.top_rung < service_class.min_rung
                      or (max_attempts and len(session.attempts) >= max_attempts)
@@ -19,10 +19,12 @@
 
 
 def may_have_run(session: Session) -> bool:
+    """Whether a server may have carried out any of the session's attempts."""
     return any(attempt.may_have_run for attempt in session.attempts)
 
 
 def within_retry_budget(state: PolicyState) -> bool:
+    """Whether the retry budget of the last `retry_window_us` allows another retry."""
     settings = state.settings
     if settings.retry_base is None:
         return True
@@ -33,7 +35,7 @@
 
 
 def may_use_server(state: PolicyState, session: Session, server: Server) -> bool:
-    """Whether this server may get an attempt of the session (rules 2, 3 and 4)."""
+    """Whether the session may send an attempt to this server (rules 2, 3 and 4)."""
     is_awaiting_turn = is_warming_up(state, server) and not has_slow_start_turn(state, server)
     is_already_tried = any(attempt.server is server for attempt in session.attempts)
     is_usable = server.state is ServerState.ACTIVE and not is_awaiting_turn and not is_already_tried
@@ -45,6 +47,7 @@
 
 
 def is_repeat_safe(state: PolicyState, service_class: ServiceClass, attempt: Attempt, server: Server) -> bool:
+    """Whether a server still recognises the idempotency key of an earlier attempt."""
     is_same_scope = {
         Scope.ZONE: attempt.server.zone == server.zone,
         Scope.CELL: attempt.server.cell == server.cell,
@@ -54,7 +57,7 @@
 
 
 def may_reject(state: PolicyState, session: Session) -> bool:
-    """Whether a rejection is safe: what may have run must be harmless or recognised everywhere."""
+    """Whether a rejection is safe: no attempt may have run, or a repeat does no harm on any server."""
     is_recognised_everywhere = (
         session.service_class.effect is Effect.GUARDED and session.service_class.scope is Scope.ALL
     )
@@ -64,6 +67,7 @@
 
 
 def open_attempt(state: PolicyState, session: Session, server: Server) -> None:
+    """Record a new attempt, and count its seat and its rate."""
     session.attempts.append(Attempt(server, state.now_us))
     server.sessions[session] = None
     mark_changed_if_inactive(state, server)
@@ -74,28 +78,30 @@
 
 
 def mark_changed_if_inactive(state: PolicyState, server: Server) -> None:
-    """Have the next list look at a server that drains or has left: its sessions have changed."""
+    """Have the next list update revisit a draining or departed server whose sessions have changed."""
     if server.state is not ServerState.ACTIVE:
         state.changed_inactive_servers[server] = None
 
 
 def close_attempt(state: PolicyState, session: Session, attempt: Attempt) -> None:
+    """Release the seat and the rate of an attempt that has ended."""
     attempt.server.sessions.pop(session, None)
     mark_changed_if_inactive(state, attempt.server)
     seat = (session.title, session.service_class)
     state.seats[seat] -= 1
-    if not state.seats[seat]:  # a client may invent titles without end
+    if not state.seats[seat]:  # clients choose the titles: empty entries would accumulate without limit
         del state.seats[seat]
     state.record_rate_change(session, -state.rate_kb(session, session.rung))
 
 
 def send_attempt(state: PolicyState, session: Session, server: Server, rung: int) -> None:
+    """Send an attempt at a rung, and count it in the retry budget and in the loads."""
     if session.attempts and state.settings.retry_base is not None:
         state.retry_times.append(state.now_us)
     session.rung, server.last_attempt_us = rung, state.now_us
     rate_kb = state.rate_kb(session, rung)
     open_attempt(state, session, server)
-    if len(session.attempts) == 1:  # a retry is no further request for its title
+    if len(session.attempts) == 1:  # a retry is not another request for the title
         anticipate_title_surge(state, session, rate_kb)
     notify_shard_owner(state, server.cell, rates=((server.cell, round(rate_kb)),))
     state.effects.set_rung(session.id, rung)
@@ -103,7 +109,10 @@
 
 
 def attempt_timeout_us(state: PolicyState, session: Session) -> int:
-    """Half of what is left to the latency objective, so that another replica can still meet it."""
+    """Half of the time left to the latency objective, so that another replica can still meet it.
+
+    It is at least a quarter of the objective, but never ends after the client's timeout.
+    """
     objective_us = session.service_class.latency_objective_us
     left_us = max(session.requested_us + objective_us - state.now_us, objective_us // 2)
     return max(1, min(left_us // 2, session.deadline_us - state.now_us))
--- a/packages/placement/src/fennelcove/placement/bitrate_adaptation.py
+++ b/packages/placement/src/fennelcove/placement/bitrate_adaptation.py
@@ -1,11 +1,14 @@
-"""Bitrate adaptation: rungs of new sessions, lowered where a link is overloaded, raised into lasting room."""
+"""Bitrate adaptation: rungs of new sessions, lowered on overloaded links, raised into lasting capacity."""
 
 from fennelcove.placement.records import Rack, Server, Session, SessionState
 from fennelcove.placement.state import RESERVE, RAISE_MARGIN, PolicyState, record_sent
 
 
 def initial_top_rung(state: PolicyState, session: Session, replicas: list[Server]) -> int:
-    """The top rung of a new session, while others there, or anywhere, wait for steps of twice its utility."""
+    """Highest rung whose step has at least half the utility of the best step that others wait for.
+
+    The others are this front's sessions on the replicas, or all of its sessions if there are none there.
+    """
     others = [other for server in replicas for other in server.sessions] or state.sessions.values()
     best_waiting_utility = max((utility_per_kb(state, other, other.rung + 1) for other in others
                   if other.state is SessionState.PLAYING and other.rung < other.top_rung), default=0.0)
@@ -21,7 +24,7 @@
 
 
 def utility_per_kb(state: PolicyState, session: Session, rung: int, *, is_lowering: bool = False) -> float:
-    """Utility of the step up to a rung for each kB a second; lowering it costs a switch as well."""
+    """Utility of the step up to a rung per kB/s; a lowering also costs a switch of rungs."""
     gain = state.settings.rung_utilities[rung] - state.settings.rung_utilities[rung - 1]
     if is_lowering:
         gain += state.settings.rung_switch_cost_us / max(state.remaining_play_us(session), 1.0)
@@ -30,24 +33,28 @@
 
 
 def repays_switch(state: PolicyState, session: Session, rung: int, price: float = 0.0) -> bool:
-    """Whether a raise yields more in the time left than the switch, and a price per typical play."""
+    """Whether a raise yields more in the time left than the switch and a price, per typical play, cost."""
     gain = state.settings.rung_utilities[rung] - state.settings.rung_utilities[session.rung]
     cost_us = state.settings.rung_switch_cost_us + price * state.typical_play_us
     return gain * state.remaining_play_us(session) > cost_us
 
 
 def set_rungs(state: PolicyState, rungs: dict[Session, int]) -> None:
+    """Change the rungs of sessions, and notify the host."""
     for session, rung in rungs.items():
         state.change_rung(session, rung)
         state.effects.set_rung(session.id, rung)
 
 
 def relieve_link(state: PolicyState, server: Server, load: float, other_fronts: int) -> None:
-    """Take this front's part of an overload off a server's link: short delivery costs more than a rung."""
+    """Take this front's part of an overload off a server's link.
+
+    Short delivery costs more than a lower rung.
+    """
     if load <= 1:
         return
     excess = 1 - (1 - RESERVE) / load
-    if other_fronts:  # they got the same report, and relieve it now too
+    if other_fronts:  # they got the same report, and relieve the link too
         record_relief(state, server, excess)
     lower_rungs(state, [server], excess)
 
@@ -59,7 +66,7 @@
     excess = 1 - (1 - RESERVE) / load
     if other_fronts:
         known = [server for server in rack.known_servers if server.is_in_rack]
-        # One entry for all links that were never reported: one for each of thousands took all memory.
+        # One entry for all links without a report: an entry for each of thousands exhausted the memory.
         unknown_kb = max(0.0, rack.capacity_kb - sum(server.link.capacity_kb for server in known))
         rack.uplink.record_sent(-excess * state.mean_utilization() * unknown_kb, state.now_us)
         for server in known:
@@ -68,22 +75,28 @@
 
 
 def record_relief(state: PolicyState, server: Server, excess: float) -> None:
-    """Count a share off what other fronts send to a server."""
+    """Record that other fronts lower their load on a server by a share."""
     relief_kb = -excess * state.others_kb(server)
     server.rack.uplink.record_sent(relief_kb, state.now_us)
-    if server.link.report is not None:  # else it is taken to carry the mean anyway
+    if server.link.report is not None:  # else it counts with the mean utilization
         server.link.record_sent(relief_kb, state.now_us)
 
 
 def adapt_rungs(state: PolicyState, server: Server, other_fronts: int | None) -> None:
-    """Answer a report of a server's load that other fronts got too; None: a probe of this front's own."""
+    """Adapt rungs to a report of a server's load.
+
+    The report went to `other_fronts` other fronts too; None: it answers a probe of this front.
+    """
     relieve_link(state, server, state.link_utilization(server), other_fronts or 0)
     relieve_uplink(state, server.rack, state.uplink_utilization(server.rack), other_fronts or 0)
     raise_rungs(state, server, other_fronts)
 
 
 def lower_rungs(state: PolicyState, servers: list[Server], excess: float) -> None:
-    """Take a share off servers: steps of least utility first, ranked among all that this front holds."""
+    """Take a share of the load off servers.
+
+    The steps of least utility come first, ranked among all sessions of this front.
+    """
     playing = state.playing_sessions()
     steps = sorted((utility_per_kb(state, session, rung, is_lowering=True), index, -rung, rung, session)
                    for index, session in enumerate(playing)
@@ -93,7 +106,7 @@
     for _, _, _, rung, session in steps:
         step_kb = state.rate_kb(session, rung) - state.rate_kb(session, rung - 1)
         if excess_kb <= uniform_draw * step_kb:
-            break  # a step larger than the rest is taken by chance, or each front would take one
+            break  # a step larger than the rest is taken with a probability, else each front would take one
         if rungs.get(session, session.rung) == rung:
             rungs[session] = rung - 1
             excess_kb -= step_kb
@@ -102,13 +115,16 @@
 
 
 def raise_rungs(state: PolicyState, server: Server, other_fronts: int | None) -> None:
-    """Give lasting capacity to the steps of most utility; this front's part is its share of the load."""
+    """Assign lasting capacity to the steps of most utility.
+
+    If other fronts got the report too, this front's part is its share of the load.
+    """
     uplink, own_kb, others_kb = server.rack.uplink, server.own_kb, state.others_kb(server)
     link_kb = (state.residual_link(server) - RAISE_MARGIN) * server.link.capacity_kb
     uplink_load_kb = state.uplink_utilization(server.rack) * uplink.capacity_kb
     uplink_kb = (1 - RESERVE - RAISE_MARGIN) * uplink.capacity_kb - uplink_load_kb
     residual_kb = budget_kb = min(link_kb, uplink_kb)
-    if other_fronts is not None:  # they too raise into what this report shows
+    if other_fronts is not None:  # they raise rungs into the same capacity
         link_share = own_kb / max(own_kb + others_kb, 1.0)
         budget_kb = min(link_kb * link_share, uplink_kb * own_kb / max(own_kb, uplink_load_kb, 1.0))
     steps = sorted(((utility_per_kb(state, session, rung), index, -rung, rung, session)
@@ -121,7 +137,7 @@
         step_kb = state.rate_kb(session, rung) - state.rate_kb(session, rung - 1)
         fits = step_kb < residual_kb - spent_kb and uniform_draw * step_kb < budget_kb - spent_kb
         if fits and rungs.get(session, session.rung) == rung - 1:
-            rungs[session] = rung  # a step larger than the budget is taken by chance, by one of the fronts
+            rungs[session] = rung  # a step larger than the budget is taken with a probability, by one front
             spent_kb += step_kb
     if other_fronts and spent_kb:
         record_sent(server, min(spent_kb, budget_kb) * others_kb / own_kb, state.now_us)
--- a/packages/placement/src/fennelcove/placement/health.py
+++ b/packages/placement/src/fennelcove/placement/health.py
@@ -1,4 +1,4 @@
-"""Health of servers: what this front's own attempts show, and when a suspended server is tried again."""
+"""Health of servers: circuit breakers that follow the outcomes of this front's own attempts."""
 
 from math import inf
 
@@ -9,12 +9,13 @@
 from fennelcove.state_machine import Transition, TransitionTable, Unlisted
 
 MAX_STRIKES = 8
-ADMITTING_STATES = (Health.WELL, Health.TRIAL)  # as a circuit breaker: attempts are sent
+ADMITTING_STATES = (Health.WELL, Health.TRIAL)  # the circuit breaker lets attempts through
 FAULTS = (Outcome.SERVER_ERROR, Outcome.REJECTED, Outcome.NO_ANSWER)
 CONNECTION_FAULTS = (Outcome.NO_CONNECTION, Outcome.CONNECTION_LOST)
 
 
 def is_healthy(state: PolicyState, server: Server) -> bool:
+    """Whether an attempt may be sent to a server; a suspension that has run out is ended."""
     if server.health is Health.SHUT and state.now_us >= server.shut_until_us:
         server.health = Health.TRIAL
     is_trial_pending = any(session.state is SessionState.JOINING for session in server.sessions)
@@ -22,6 +23,7 @@
 
 
 def record_outcome(state: PolicyState, server: Server, outcome: Outcome) -> None:
+    """Apply the outcome of an attempt to its server's circuit breaker."""
     transition = HEALTH_TRANSITIONS.apply(server.health, outcome)
     server.health = transition.state
     for action in transition.actions:
@@ -29,11 +31,12 @@
 
 
 def remove_strike(state: PolicyState, server: Server) -> None:
+    """Count a success against the earlier faults of a server."""
     server.strikes = max(0, server.strikes - 1)
 
 
 def suspend(state: PolicyState, server: Server) -> None:
-    """Leave a server alone, for twice as long with each strike, and report it full to other fronts."""
+    """Suspend a server, for twice as long with each strike, and report it as full to other fronts."""
     base_pause_us = min(item.latency_objective_us for item in state.settings.service_classes.values())
     server.shut_until_us = state.now_us + min(
         base_pause_us * 2 ** (server.strikes + 1), state.settings.warm_up_us
@@ -43,7 +46,7 @@
 
 
 def mark_restarted(state: PolicyState, server: Server) -> None:
-    """Let a server warm up before the list reports its restart; the turn that it took stays used."""
+    """Have a server warm up before the list reports its restart; its last slow-start turn stays used."""
     server.started_us = server.last_attempt_us = state.now_us
     server.link.report = None
 
--- a/packages/placement/src/fennelcove/placement/load_polling.py
+++ b/packages/placement/src/fennelcove/placement/load_polling.py
@@ -1,25 +1,29 @@
-"""Polls for loads that no report brings: probes of servers, and messages to the fronts that keep cells."""
+"""Polls for loads that no report contains: probes of servers, and messages to the owners of shards."""
 
 from fennelcove.interface import CellLoad, PeerMessage, TimerName
 from fennelcove.placement.records import Loads, SentRates, Server, Session
 from fennelcove.placement.state import RESERVE, MARK_US, PolicyState
 
-MAX_PROBES = 2  # for a session: of two known replicas the better is nearly as good as of all
-MAX_POLLED_CELLS = 8  # in a message: a title may be on all servers, and thousands may be requested
-CELLS_PER_SHARD = 4  # in a row, as a title's are, of the paper's directory, which is sharded over all fronts
+MAX_PROBES = 2  # per session: the better of two replicas is nearly as good as the best of all
+MAX_POLLED_CELLS = 8  # per message: a title may be on all servers, and thousands of sessions may be requested
+# Consecutive, as the cells of a title are. As in the paper, the load directory is sharded over all fronts.
+CELLS_PER_SHARD = 4
 
 
 def shard_owner(state: PolicyState, cell: int) -> int:
+    """Index of the front that collects the loads of a cell."""
     return cell // CELLS_PER_SHARD % state.settings.front_count
 
 
 def notify_shard_owner(state: PolicyState, cell: int, loads: Loads = (), rates: SentRates = ()) -> None:
+    """Send loads or rates of a cell to the front that owns its shard, if messages are allowed."""
     owner, index = shard_owner(state, cell), state.settings.front_index
     if state.settings.peer_price is not None and owner != index:
         state.effects.send_peer_message(owner, PeerMessage(index, loads=loads, sent_rates=rates))
 
 
 def cell_load(state: PolicyState, server: Server, *, include_sent: bool) -> CellLoad:
+    """Last reported load of a server, optionally with the rates assigned since."""
     links = (server.link, server.rack.uplink)
     shares = [
         link.utilization() if include_sent and link.report is not None else link.report for link in links
@@ -29,7 +33,11 @@
 
 
 def poll_before_placement(state: PolicyState, session: Session, replicas: list[Server]) -> bool:
-    """Poll for loads of replicas without a young report, once; whether the session waits for them."""
+    """Poll once for loads of replicas without a recent report.
+
+    Returns:
+        Whether the session waits for the loads.
+    """
     if session.awaited is not None:
         return False
     awaited = session.awaited = dict[Server, None]()
@@ -62,13 +70,14 @@
 
 
 def poll_shard_owners(state: PolicyState, cells: list[int]) -> None:
+    """Poll for the loads of cells, with one message to each shard owner."""
     for owner in sorted({shard_owner(state, cell) for cell in cells}):
         owned = tuple(cell for cell in cells if shard_owner(state, cell) == owner)
         state.effects.send_peer_message(owner, PeerMessage(state.settings.front_index, polled_cells=owned))
 
 
 def is_fleet_full(state: PolicyState) -> bool:
-    """Whether most servers with a recent report were full: polling then costs more than it finds."""
+    """Whether most servers with a recent report are full: a poll then costs more than it yields."""
     recent_servers = [
         server
         for server in state.contacted
@@ -80,7 +89,11 @@
 
 
 def schedule_probe(state: PolicyState, server: Server) -> None:
-    """Plan a probe once a typical play, twice as long after each that raised nothing: each has a price."""
+    """Schedule the next probe of a server that has sessions.
+
+    Since probes have a price, their interval is a typical playing time and doubles after each probe that
+    raised no rung.
+    """
     if state.may_probe and server.sessions and server.next_probe_us is None:
         interval_us = server.probe_interval_us or int(state.draw_uniform() * state.typical_play_us)
         server.next_probe_us = state.now_us + interval_us
--- a/packages/placement/src/fennelcove/placement/load_reports.py
+++ b/packages/placement/src/fennelcove/placement/load_reports.py
@@ -1,4 +1,4 @@
-"""Loads reported by playing sessions, probes and other fronts: rungs adapt, waiting sessions are placed."""
+"""Loads reported by playing sessions, probes and other fronts: adapts rungs, and places waiting sessions."""
 
 from fennelcove.interface import PeerMessage, ProbeCompleted, ReportKind, SessionReport
 from fennelcove.placement.bitrate_adaptation import adapt_rungs, relieve_link, relieve_uplink, repays_switch
@@ -9,16 +9,19 @@
 
 
 def on_session_report(state: PolicyState, session: Session, event: SessionReport) -> None:
+    """Record a measurement of a playing session, and adapt rungs to it."""
     if session.state is not SessionState.PLAYING:
         return
     server, kind, other_fronts = session.server, event.kind, state.settings.front_count - 1
     seen_us = state.now_us - state.settings.report_delay_us
-    reported_us = seen_us if session.has_report else session.attempts[-1].sent_us - 1  # the first lacks it
+    # The first report of a session does not include the session itself.
+    reported_us = seen_us if session.has_report else session.attempts[-1].sent_us - 1
     if kind is ReportKind.RUNG:
         state.change_rung(session, int(event.level))
     elif kind is ReportKind.LINK:
         server.link.observe(event.level, reported_us)
-        adapt_rungs(state, server, other_fronts if session.has_report else 0)  # the first has no other reader
+        # Only this front gets the first report.
+        adapt_rungs(state, server, other_fronts if session.has_report else 0)
         session.has_report = True
     elif kind is ReportKind.UPLINK:
         server.rack.uplink.observe(event.level, reported_us)
@@ -32,11 +35,12 @@
 
 
 def on_short_delivery(state: PolicyState, server: Server, delivered: float) -> None:
+    """Mark a link as full; without a recent report, take the load of the link or uplink from the delivery."""
     other_fronts, rack = state.settings.front_count - 1, server.rack
     load, seen_us = 1 / max(delivered, RESERVE), state.now_us - state.settings.report_delay_us
     server.link.full_until_us = state.now_us + MARK_US
     if server.link.as_of_us < seen_us - state.settings.report_interval_us:
-        server.link.observe(load, seen_us)  # no report comes in time: this is the only measure
+        server.link.observe(load, seen_us)  # no report is recent: this is the only measurement
         relieve_link(state, server, load, other_fronts)
     elif not state.settings.reports_uplinks and is_uplink_short(state, rack):
         rack.uplink.observe(load, seen_us)
@@ -44,13 +48,14 @@
 
 
 def is_uplink_short(state: PolicyState, rack: Rack) -> bool:
-    """Whether most links of a rack deliver short with capacity left, so that its uplink must be short."""
+    """Whether most links of a rack deliver short with capacity left, so that its uplink is the bottleneck."""
     short_count = sum(server.is_in_rack and state.now_us < server.link.full_until_us
                 and (server.link.report or 0.0) < 1 - RESERVE for server in rack.known_servers)
     return 2 * short_count > len(rack.servers)
 
 
 def on_load_received(state: PolicyState, server: Server) -> None:
+    """Place the sessions whose last awaited load was that of this server."""
     waiting, server.waiting_sessions = server.waiting_sessions, {}
     for session in waiting:
         awaited = session.awaited or {}
@@ -60,6 +65,7 @@
 
 
 def on_poll_timeout(state: PolicyState) -> None:
+    """Place the sessions that have waited long enough for polled loads."""
     for session in [item for item in state.polling_sessions if state.now_us >= state.poll_deadline_us(item)]:
         del state.polling_sessions[session]
         for server in session.awaited or ():
@@ -68,6 +74,7 @@
 
 
 def on_probe_timer(state: PolicyState) -> None:
+    """Send each probe that is due and that a possible raise repays."""
     price, now_us = state.settings.probe_price or 0.0, state.now_us
     for server in [
         each for each in state.contacted if each.next_probe_us is not None and each.next_probe_us <= now_us
@@ -78,10 +85,11 @@
         if now_us >= server.link.full_until_us and is_worthwhile:
             state.effects.probe(server.address)
         else:
-            schedule_probe(state, server)  # what is full or not worth it now may be later
+            schedule_probe(state, server)  # a full link or a raise that does not pay may change
 
 
 def on_probe_completed(state: PolicyState, event: ProbeCompleted) -> None:
+    """Adapt rungs to a probe's report, and schedule the next probe of its server."""
     if (server := state.servers.get(event.server)) is None:
         return
     if event.report:
@@ -96,7 +104,11 @@
 
 
 def on_peer_message(state: PolicyState, event: PeerMessage) -> None:
-    """Late, doubled or of another build, it changes loads only, and none of a server restarted since."""
+    """Answer a poll, and record the loads and rates of a message.
+
+    A late or duplicate message, or one of another version, can change loads only. Loads of before a server's
+    restart are ignored.
+    """
     if event.polled_cells and event.sender < state.settings.front_count:
         loads = tuple(
             cell_load(state, server, include_sent=True)
--- a/packages/placement/src/fennelcove/placement/policy.py
+++ b/packages/placement/src/fennelcove/placement/policy.py
@@ -1,4 +1,4 @@
-"""The policy of one session front: a host calls handle(event, now_us) in order; it answers by its Effects."""
+"""Policy of one session front: a host calls `handle` for each event in order, and carries out the effects."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,7 +20,10 @@
 
 
 class PlacementPolicy(PolicyState):
-    """Places sessions and adapts their rungs; beside the events, hosts use the queries named first."""
+    """Places sessions and adapts their rungs.
+
+    Hosts pass events to `handle`, and may use the functions assigned below as methods.
+    """
 
     update_residuals = server_selection.update_residuals
     utilization_factors = staticmethod(server_selection.utilization_factors)
@@ -32,13 +35,15 @@
     on_poll_timeout = load_reports.on_poll_timeout
 
     def handle(self, event: Event, now_us: int) -> None:
+        """Handle an event; those of sessions that have ended are ignored."""
         self.now_us = now_us
         if not isinstance(event, SESSION_EVENTS):
             EVENT_HANDLERS[type(event)](self, event)
-        elif session := self.sessions.get(event.id):  # else it has ended
+        elif session := self.sessions.get(event.id):
             SESSION_EVENT_HANDLERS[type(event)](self, session, event)
 
     def on_request(self, event: Request) -> None:
+        """Add a requested session, and place it."""
         if self.settings.retry_base is not None:
             self.request_times.append(self.now_us)
         session = self.add_session(event)
@@ -48,6 +53,7 @@
         apply_event(self, session, SessionEvent.TRY)
 
     def add_session(self, event: Request) -> Session:
+        """Add a session, at the lowest rung of its class."""
         service_class = self.settings.service_classes[event.service_class]
         cell_count = self.settings.cell_count
         cells = tuple((event.first_cell + i) % cell_count for i in range(min(event.cell_count, cell_count)))
@@ -58,13 +64,14 @@
         return session
 
     def on_handover(self, event: Handover) -> None:
+        """Add a session that plays already, on its server."""
         session = self.add_session(event.request)
         session.state, session.has_report, session.started_us = SessionState.PLAYING, True, self.now_us
         attempts.open_attempt(self, session, self.servers[event.server])
         schedule_probe(self, session.server)
 
     def on_migration_requested(self, event: MigrationRequested) -> None:
-        """Place a session anew before it ends; earlier attempts go along, so that each rule counts them."""
+        """Place a session under a new id; attempts that may have run are copied, so that rules count them."""
         old = self.sessions[event.id]
         counted = old.attempts[-1:] if old.service_class.effect is Effect.FREE else old.attempts
         previous_attempts = [attempt for attempt in counted if attempt.may_have_run]
@@ -74,12 +81,15 @@
         apply_event(self, session, SessionEvent.TRY)
 
     def on_budget_snapshot(self, event: BudgetSnapshot) -> None:
+        """Restore the requests and retries that were counted before a restart."""
         self.request_times.extendleft(self.now_us - age_us for age_us in reversed(event.request_ages_us))
         self.retry_times.extendleft(self.now_us - age_us for age_us in reversed(event.retry_ages_us))
 
     def on_session_started(self, session: Session, event: SessionStarted) -> None:
+        """Record the outcomes of a session's attempts, now that one has succeeded."""
         health.record_outcome(self, session.server, Outcome.SERVED)
-        # An error counts against its server once another has served the request: else it is the client's.
+        # An error counts against its server only if another one serves the request: else the request is the
+        # likely cause.
         for attempt in [attempt for attempt in session.attempts if attempt.has_server_error]:
             attempt.has_server_error = False
             health.record_outcome(self, attempt.server, Outcome.SERVER_ERROR)
@@ -88,11 +98,13 @@
         schedule_probe(self, session.server)
 
     def on_top_rung_changed(self, session: Session, event: TopRungChanged) -> None:
+        """Lower a playing session to its new highest rung at once."""
         session.top_rung = max(event.top_rung, session.service_class.min_rung)  # a raise waits for capacity
         if session.state is SessionState.PLAYING and session.rung > session.top_rung:
             set_rungs(self, {session: session.top_rung})
 
     def on_attempt_completed(self, session: Session, event: AttemptCompleted) -> None:
+        """Release an attempt that has ended, record its outcome, and advance its session."""
         if event.attempt >= len(session.attempts):
             return
         attempt, is_playing = session.attempts[event.attempt], session.state is SessionState.PLAYING
@@ -108,7 +120,7 @@
             self.typical_play_us += (self.now_us - session.started_us - self.typical_play_us) / 8
             for server in list(attempt.server.rack.loaded_servers):
                 if server.is_in_rack and server.sessions:
-                    raise_rungs(self, server, 0)  # capacity is free at once; reports may be late or stay out
+                    raise_rungs(self, server, 0)  # the capacity is free now; reports may be late or missing
         elif event.report:
             observe_load(attempt.server, event.report, attempt.sent_us - self.settings.report_delay_us)
         apply_event(self, session, SessionEvent.FINISHED if event.is_finished else SessionEvent.FAILED)
--- a/packages/placement/src/fennelcove/placement/quotas.py
+++ b/packages/placement/src/fennelcove/placement/quotas.py
@@ -1,4 +1,4 @@
-"""Request rates: tenants beyond their quota, and titles that all fronts are asked for at once."""
+"""Request rates: tenants over their quota, and surges of requests for one title."""
 
 from collections import deque
 
@@ -7,11 +7,11 @@
 from fennelcove.placement.state import MARK_US, PolicyState, record_sent
 
 MAX_TRACKED_TITLES = 4096
-SURGE_REQUESTS = 3  # requests for one title, before a report could show them, that make a surge
+SURGE_REQUESTS = 3  # requests for a title within the usual age of a report that make a surge
 
 
 def quota_share(state: PolicyState, event: Request) -> float:
-    """What a request counts: less, as more of its tenant come than this front's part of the quota."""
+    """Share of a request's utility that counts; it falls as its tenant exceeds its quota at this front."""
     if (times_us := state.tenant_request_times_us.get(event.tenant)) is None:
         return 1.0
     if not event.is_repeat:
@@ -24,7 +24,10 @@
 
 
 def anticipate_title_surge(state: PolicyState, session: Session, rate_kb: float) -> None:
-    """Count what other fronts likely send too, or all fill a title's few replicas before one is reported."""
+    """In a surge of requests for a title, count the load that other fronts probably add to its replicas.
+
+    Otherwise all fronts together overload the few replicas before a report shows the load.
+    """
     times_us = state.title_request_times_us.setdefault(session.title, deque(maxlen=SURGE_REQUESTS))
     times_us.append(state.now_us)
     if len(state.title_request_times_us) > MAX_TRACKED_TITLES:
--- a/packages/placement/src/fennelcove/placement/server_list.py
+++ b/packages/placement/src/fennelcove/placement/server_list.py
@@ -1,4 +1,4 @@
-"""The server list: adds, updates and forgets servers, and polls for a list."""
+"""Server list: adds, updates and removes servers, and polls for a list."""
 
 from bisect import insort
 
@@ -8,9 +8,10 @@
 
 
 def on_list(state: PolicyState, event: ListUpdate) -> None:
+    """Apply a list update; after a failed poll, schedule the next one."""
     settings = state.settings
     state.failed_list_polls = state.failed_list_polls + 1 if event.mode is ListMode.FAILED else 0
-    if event.mode is ListMode.FAILED:  # polled again at once, the one list service would stay overloaded
+    if event.mode is ListMode.FAILED:  # immediate polls would keep the one list service overloaded
         pause_us = max(1, (settings.list_poll_window_us or settings.warm_up_us) // 8)
         state.effects.set_timer(TimerName.POLL_LIST, pause_us * min(4, state.failed_list_polls))
         return
@@ -21,16 +22,16 @@
     state.kb_per_stream = state.kb_per_stream or (settings.total_links_kb / streams if streams else 0.0)
     for entry in event.entries:
         on_list_entry(state, entry)
-    if event.mode is not ListMode.INCREMENTAL:  # the others of an incremental list are as they were
+    if event.mode is not ListMode.INCREMENTAL:  # an incremental list leaves the other servers unchanged
         state.changed_inactive_servers = dict.fromkeys(
             server for server in state.servers.values() if server.state is not ServerState.ACTIVE)
     update_racks(state)
     if event.mode is ListMode.SAVED:
-        poll_endpoint_list(state)  # the saved list may be old: a full one is worth one call
+        poll_endpoint_list(state)  # the saved list may be out of date: a full one is worth one request
 
 
 def update_racks(state: PolicyState) -> None:
-    """Exclude inactive servers from racks once they are empty, and forget those that left."""
+    """Remove inactive servers without sessions from their racks, and delete those that left the list."""
     oldest_us = state.now_us - state.settings.warm_up_us
     for server in list(state.changed_inactive_servers):
         update_membership(server)
@@ -46,7 +47,7 @@
 
 
 def update_membership(server: Server) -> None:
-    """Include a server in its rack's servers, in the order of the list, or exclude it."""
+    """Add a server to its rack's servers, in the order of the list, or remove it."""
     was_in_rack = server.is_in_rack
     server.is_in_rack = server.state is ServerState.ACTIVE or bool(server.sessions)
     if server.is_in_rack == was_in_rack:
@@ -60,6 +61,7 @@
 
 
 def on_list_entry(state: PolicyState, entry: ListEntry) -> None:
+    """Add or update the server of a list entry."""
     server = state.servers.get(entry.address) or add_server(state, entry)
     server.state = entry.state
     update_membership(server)
@@ -67,12 +69,13 @@
         state.changed_inactive_servers.pop(server, None)
     else:
         state.changed_inactive_servers[server] = None
-    if entry.started_us > server.started_us:  # a new process has no sessions and no faults of its last one
+    if entry.started_us > server.started_us:  # a new process has no sessions and no faults yet
         server.started_us, server.health, server.strikes = entry.started_us, Health.WELL, 0
         server.link.report = server.last_attempt_us = None
 
 
 def add_server(state: PolicyState, entry: ListEntry) -> Server:
+    """Add a server whose link capacity follows from its weight or its streams."""
     rack = state.racks[entry.cell % state.settings.rack_count]
     streams = state.settings.streams_by_kind.get(entry.kind, 0)
     by_streams_kb = 0.0 if state.settings.has_listed_sizes else streams * state.kb_per_stream
@@ -86,10 +89,12 @@
 
 
 def poll_endpoint_list(state: PolicyState) -> None:
+    """Request a full list; subscribe again if lists come only when polled."""
     (state.effects.watch_list if state.settings.must_poll_list else state.effects.fetch_list)()
 
 
 def on_server_snapshot(state: PolicyState, event: ServerSnapshot) -> None:
+    """Restore what this front knew of a server before its own restart."""
     if server := state.servers.get(event.server):
         server.strikes = event.strikes
         if event.suspended_for_us:
--- a/packages/placement/src/fennelcove/placement/server_selection.py
+++ b/packages/placement/src/fennelcove/placement/server_selection.py
@@ -1,24 +1,29 @@
-"""Server selection: the highest rung that some replica can serve, and a draw by utilization factors there."""
+"""Server selection: the highest rung that a replica can serve, and a draw weighted by utilization factors."""
 
 from math import inf
 
 from fennelcove.placement.records import Placement, ScoredServer, Server, Servers, Session
 from fennelcove.placement.state import RESERVE, PolicyState
 
-UTILIZATION_EXPONENT, NETWORK_BOTTLENECK_THRESHOLD = 0.5, 1.0  # n and r of the design page
+UTILIZATION_EXPONENT, NETWORK_BOTTLENECK_THRESHOLD = 0.5, 1.0  # n and r on the design page
 
 
 def utilization_factor(residual_share: float) -> float:
+    """Factor that grows as the free share of a resource shrinks; infinite if nothing is free."""
     return residual_share**-UTILIZATION_EXPONENT if residual_share > 0 else inf
 
 
 def update_residuals(state: PolicyState, replicas: Servers) -> None:
-    """Set what is free of links, uplinks and streams once for all rungs: thousands may retry at once."""
+    """Compute the free shares of links, uplinks and streams.
+
+    Once for all rungs, since thousands of sessions may retry at once.
+    """
     rates = [state.rate_kb(session, session.rung) for session in state.playing_sessions()]
     mean_rate_kb = sum(rates) / len(rates) if rates else inf
     for server in replicas:
         server.residual_link = state.residual_link(server)
-        others_kb = 0.0 if server.link.report is None else state.others_kb(server)  # guesses fill no streams
+        # Without a report, the assumed load of other fronts fills no streams.
+        others_kb = 0.0 if server.link.report is None else state.others_kb(server)
         streams = len(server.sessions) + others_kb / mean_rate_kb
         server.residual_streams = 1 - (streams + 1) / server.max_streams if server.max_streams else 1.0
     for rack in dict.fromkeys(server.rack for server in replicas):
@@ -26,12 +31,14 @@
 
 
 def utilization_factors(server: Server, rate_kb: float, usable_reserve: float = 0.0) -> tuple[float, float]:
+    """Utilization factors of a server and of its network after a rate is added."""
     link = server.residual_link + usable_reserve - rate_kb / server.link.capacity_kb
     uplink = server.rack.residual_uplink + usable_reserve - rate_kb / server.rack.uplink.capacity_kb
     return utilization_factor(min(link, server.residual_streams)), utilization_factor(uplink)
 
 
 def choose_placement(state: PolicyState, session: Session, top: int, replicas: Servers) -> Placement | None:
+    """Place in the front's zone, unless a higher rung elsewhere is worth the cross-zone price."""
     local_replicas = [server for server in replicas if server.zone == state.settings.zone]
     local, any_zone = (
         place_highest(state, session, top, local_replicas),
@@ -45,6 +52,7 @@
 
 
 def place_highest(state: PolicyState, session: Session, top: int, replicas: Servers) -> Placement | None:
+    """Place at the highest feasible rung; None if no rung is feasible."""
     floor = session.service_class.min_rung
     for rung in range(top, floor - 1, -1):
         usable_reserve = RESERVE if rung == floor else 0.0  # the lowest rung may use the reserve
@@ -56,7 +64,7 @@
 
 
 def draw_server(state: PolicyState, feasible: list[ScoredServer]) -> Server:
-    """Draw uniformly where the network is the bottleneck, else by the inverse of the server's factor."""
+    """Draw uniformly if the network is the bottleneck, else weighted by the inverse of the factor."""
     if sum(network for _, _, network in feasible) > NETWORK_BOTTLENECK_THRESHOLD * sum(
         factor for _, factor, _ in feasible
     ):
--- a/packages/simulator-adapter/src/fennelcove/simulator_adapter/__init__.py
+++ b/packages/simulator-adapter/src/fennelcove/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts many fronts on the simulator's wire."""
+"""Runs the placement policies of many fronts against the simulator."""
--- a/packages/simulator-adapter/src/fennelcove/simulator_adapter/__main__.py
+++ b/packages/simulator-adapter/src/fennelcove/simulator_adapter/__main__.py
@@ -16,20 +16,20 @@
 from fennelcove.simulator_adapter import codec
 from fennelcove.simulator_adapter.codec import Fields, WireError
 
-# Messages that are decoded alone.
+# Decoders of messages that need no settings.
 DECODERS: dict[str, Callable[[Fields], Event | None]] = {
     "note_from": codec.peer_message,
     "established": codec.session_started,
     "cancelled_by_client": codec.client_gone,
     "fired": codec.timer_fired,
 }
-# Messages that are checked against the settings.
+# Decoders of messages that are checked against the settings.
 SETTINGS_DECODERS: dict[str, Callable[[Fields, Settings], Event | None]] = {
     "order": codec.request,
     "existing": codec.handover,
     "interim": codec.session_report,
 }
-# Messages that carry a load report, whose values the settings name.
+# Decoders of messages with a load report, whose values are named by the settings.
 REPORT_DECODERS: dict[str, Callable[[Fields, tuple[str, ...]], Event]] = {
     "report_back": codec.attempt_completed,
     "probe_result": codec.probe_completed,
@@ -37,7 +37,7 @@
 
 
 class EffectWriter:
-    """Collects one front's effects as lines of the reply."""
+    """Collects the effects of one front as lines of the reply."""
 
     def __init__(self, front: int, reply_lines: list[str]) -> None:
         self.front = front
@@ -63,7 +63,7 @@
         self._write("give_up", f"Job={id}")
 
     def migrate(self, id: str) -> None:
-        """Ask for a migration of a session."""
+        """Request the migration of a session."""
         self._write("migrate", f"Job={id}")
 
     def probe(self, server: str) -> None:
@@ -71,7 +71,7 @@
         self._write("inspect", f"Server={server}")
 
     def send_peer_message(self, front: int, message: PeerMessage) -> None:
-        """Send a message to another front, in as many parts as its bytes need."""
+        """Send a message to another front, in as many parts as its size requires."""
         for part in encode(message):
             self._write("announce", f"Target={front} Msg={part.hex()}")
 
@@ -93,12 +93,12 @@
     """A front that the simulator has started."""
 
     policy: PlacementPolicy
-    report_fields: tuple[str, ...]  # names of a load report's values, in the order of the wire
+    report_fields: tuple[str, ...]  # names of the values in a load report, in the order of the protocol
 
 
 @dataclass(frozen=True, slots=True)
 class PartialList:
-    """A server list whose entries are still coming in."""
+    """A server list whose entries have not all been received."""
 
     buffer: int
     size: int
@@ -106,7 +106,7 @@
 
 
 class Host:
-    """Hands each event to its front and collects the effects of all fronts."""
+    """Passes each event to its front, and collects the effects of all fronts."""
 
     def __init__(self) -> None:
         self._reply_lines: list[str] = []
@@ -116,7 +116,10 @@
         self._now_us: int | None = None  # time of the turn in progress
 
     def receive_line(self, line: str) -> bool:
-        """Handle one line; whether a reply is due.
+        """Handle one line.
+
+        Returns:
+            Whether a reply is due.
 
         Raises:
             WireError: the line is malformed, or not expected here.
@@ -126,7 +129,7 @@
             self._add_entry(self._partial_list, name, fields)
         elif name == "turn":
             if self._now_us is not None:
-                raise WireError("a turn inside a turn")
+                raise WireError("turn message before the commit of the previous turn")
             self._now_us = codec.microseconds(fields, "WallMs")
         elif self._now_us is None:
             raise WireError(f"message {name!r} outside a turn")
@@ -142,7 +145,7 @@
         return False
 
     def take_reply(self) -> str:
-        """The reply to the turn that has ended; it is given once."""
+        """The reply to the turn that has ended; a second call returns no effects."""
         self._reply_lines.append("done\n")
         reply = "".join(self._reply_lines)
         self._reply_lines.clear()
@@ -150,7 +153,7 @@
 
     def _add_entry(self, partial: PartialList, name: str, fields: Fields) -> None:
         if name != "entry":
-            raise WireError(f"message {name!r} where an entry was due")
+            raise WireError(f"message {name!r} instead of an entry")
         partial.entries.append(codec.list_entry(fields))
         self._store_complete_list(partial)
 
@@ -177,7 +180,7 @@
         self._fronts[index] = RunningFront(policy, report_fields)
 
     def _decode(self, name: str, fields: Fields, index: int) -> Event | None:
-        """The event of a message; None for one that the front has no use for."""
+        """The event of a message; None for one that the policy does not use."""
         event: Event | None = None
         if name in DECODERS:
             event = DECODERS[name](fields)
@@ -186,32 +189,32 @@
         elif name not in SETTINGS_DECODERS and name not in REPORT_DECODERS:
             raise WireError(f"unknown message {name!r}")
         if index not in self._fronts:
-            raise WireError(f"found no running front: {index}", "field Front")
+            raise WireError(f"front is not running: {index}", "field Front")
         front = self._fronts[index]
         if name in REPORT_DECODERS:
             return REPORT_DECODERS[name](fields, front.report_fields)
         if name in SETTINGS_DECODERS:
             event = SETTINGS_DECODERS[name](fields, front.policy.settings)
         if isinstance(event, Handover) and event.server not in front.policy.servers:
-            raise WireError(f"found a server on no list of this front: {event.server!r}", "field Server")
+            raise WireError(f"server is on no list of this front: {event.server!r}", "field Server")
         return event
 
     def _list_update(self, fields: Fields) -> ListUpdate:
         mode = codec.choice(fields, "Mode", ListMode)
-        codec.integer(fields, "Epoch")  # not used, but must be well formed
+        codec.integer(fields, "Epoch")  # not used, but must be valid
         if mode is ListMode.FAILED:
             return ListUpdate(mode, ())
         buffer = codec.integer(fields, "Buffer")
         if buffer not in self._lists:
-            raise WireError(f"found no list: {buffer}", "field Buffer")
+            raise WireError(f"no list in this buffer: {buffer}", "field Buffer")
         return ListUpdate(mode, self._lists[buffer])
 
 
 def run(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Serve until the input ends.
+    """Handle lines until the input ends.
 
     Returns:
-        The exit status: 1 where a line could not be used, else 0.
+        The exit status: 1 if a line is invalid, else 0.
     """
     host = Host()
     line_count = 0
@@ -226,7 +229,7 @@
         print(f"fennelcove: line {line_count}: {error.lines()}", file=errors)
         return 1
     except UnicodeDecodeError:
-        print(f"fennelcove: line {line_count + 1}: text is not UTF-8", file=errors)
+        print(f"fennelcove: line {line_count + 1}: input is not UTF-8", file=errors)
         return 1
     return 0
 
--- a/packages/simulator-adapter/src/fennelcove/simulator_adapter/codec.py
+++ b/packages/simulator-adapter/src/fennelcove/simulator_adapter/codec.py
@@ -1,4 +1,4 @@
-"""Decodes the lines of the simulator's wire into the interface's types."""
+"""Decodes lines of the simulator's protocol into the types of the interface."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     while rest:
         key, equals, value = rest.partition("=")
         if not equals or not key or " " in key:
-            raise WireError("found no value", f"field {key!r}")
+            raise WireError("missing value", f"field {key!r}")
         if key == "Facts":
             fields[key] = value
             break
@@ -61,7 +61,7 @@
     try:
         return fields[key]
     except KeyError:
-        raise WireError("found nothing", f"field {key}") from None
+        raise WireError("missing", f"field {key}") from None
 
 
 def number(fields: Fields, key: str, default: float | None = None) -> float:
@@ -72,14 +72,14 @@
     try:
         value = float(raw)
     except ValueError:
-        raise WireError(f"found no number: {raw!r}", f"field {key}") from None
+        raise WireError(f"not a number: {raw!r}", f"field {key}") from None
     if not math.isfinite(value):
-        raise WireError(f"found no finite number: {raw!r}", f"field {key}")
+        raise WireError(f"not a finite number: {raw!r}", f"field {key}")
     return value
 
 
 def integer(fields: Fields, key: str, default: int | None = None) -> int:
-    """A whole number."""
+    """An integer."""
     if key not in fields and default is not None:
         return default
     raw = text(fields, key)
@@ -88,21 +88,21 @@
     except ValueError:
         value = number(fields, key)
         if value != int(value):
-            raise WireError(f"found no whole number: {raw!r}", f"field {key}") from None
+            raise WireError(f"not an integer: {raw!r}", f"field {key}") from None
         return int(value)
 
 
 def microseconds(fields: Fields, key: str, default: int | None = None) -> int:
-    """A time, from milliseconds."""
+    """A time in microseconds, from a value in milliseconds."""
     if key not in fields and default is not None:
         return default
     return round(number(fields, key) * 1000)
 
 
 def at_least(fields: Fields, key: str, value: int, min_value: int = 0) -> int:
-    """A value that must not be under a minimum."""
+    """A value that must not be below a minimum."""
     if value < min_value:
-        raise WireError(f"found a value under {min_value}: {fields[key]!r}", f"field {key}")
+        raise WireError(f"value below {min_value}: {fields[key]!r}", f"field {key}")
     return value
 
 
@@ -110,7 +110,7 @@
     """A flag, 0 or 1; absent means 0."""
     raw = fields.get(key, "0")
     if raw not in ("0", "1"):
-        raise WireError(f"found neither 1 nor 0: {raw!r}", f"field {key}")
+        raise WireError(f"neither 0 nor 1: {raw!r}", f"field {key}")
     return raw == "1"
 
 
@@ -120,7 +120,7 @@
     try:
         return kind(raw)
     except ValueError:
-        raise WireError(f"found an unknown value: {raw!r}", f"field {key}") from None
+        raise WireError(f"unknown value: {raw!r}", f"field {key}") from None
 
 
 def list_entry(fields: Fields) -> ListEntry:
@@ -137,11 +137,11 @@
 
 
 def request(fields: Fields, settings: Settings) -> Request:
-    """A client's request of a session."""
+    """A client's request for a session."""
     if text(fields, "TierClass") not in settings.service_classes:
-        raise WireError(f"found a name that the settings lack: {fields['TierClass']!r}", "field TierClass")
+        raise WireError(f"unknown service class: {fields['TierClass']!r}", "field TierClass")
     if not 0 <= integer(fields, "TopRung") < len(settings.ladder_kb):
-        raise WireError(f"found a rung off the ladder: {fields['TopRung']!r}", "field TopRung")
+        raise WireError(f"rung outside of the bitrate ladder: {fields['TopRung']!r}", "field TopRung")
     return Request(
         id=text(fields, "Job"),
         service_class=text(fields, "TierClass"),
@@ -157,15 +157,15 @@
 
 
 def handover(fields: Fields, settings: Settings) -> Handover:
-    """A session that plays already."""
+    """A session that is already playing."""
     return Handover(request(fields, settings), text(fields, "Server"))
 
 
 def attempt_number(fields: Fields) -> int:
-    """Index of an attempt among those of its session."""
+    """Index of an attempt within its session."""
     number = integer(fields, "Try")
     if number < 0:
-        raise WireError(f"found a negative number: {number}", "field Try")
+        raise WireError(f"negative number: {number}", "field Try")
     return number
 
 
@@ -175,7 +175,7 @@
 
 
 def attempt_completed(fields: Fields, report_fields: tuple[str, ...]) -> AttemptCompleted:
-    """The outcome of an attempt, with the load report that came along."""
+    """The outcome of an attempt, with the load report in the same message."""
     return AttemptCompleted(
         id=text(fields, "Job"),
         attempt=attempt_number(fields),
@@ -186,7 +186,7 @@
 
 
 def probe_completed(fields: Fields, report_fields: tuple[str, ...]) -> ProbeCompleted:
-    """The end of a probe, with the load report that came along."""
+    """The outcome of a probe, with the load report in the same message."""
     return ProbeCompleted(
         server=text(fields, "Server"),
         outcome=choice(fields, "Reason", Outcome),
@@ -196,39 +196,39 @@
 
 
 def peer_message(fields: Fields) -> PeerMessage | None:
-    """Another front's message; None for bytes that are none of this project's."""
+    """Another front's message; None for bytes that are not in this project's format."""
     raw = text(fields, "Msg")
     try:
         return decode(integer(fields, "Neighbour"), b"" if raw == "-" else bytes.fromhex(raw))
     except ValueError:
-        raise WireError(f"found no hex: {raw!r}", "field Msg") from None
+        raise WireError(f"not hexadecimal: {raw!r}", "field Msg") from None
 
 
 def load_report(fields: Fields, names: tuple[str, ...]) -> LoadReport | None:
-    """The values that the server sent, by name."""
+    """The load report in a message, whose values are named by the settings; None if it has none."""
     raw = fields.get("Feedback", "")
     if raw in ("", "-"):
         return None
     parts = raw.split(",")
     if len(parts) != len(names):
-        raise WireError(f"found {len(parts)} values, not {len(names)}", "field Feedback")
+        raise WireError(f"{len(parts)} values instead of {len(names)}", "field Feedback")
     values = {name: number({"Feedback": part}, "Feedback") for name, part in zip(names, parts, strict=True)}
     return facts_reader.load_report(values)
 
 
 def session_report(fields: Fields, settings: Settings) -> SessionReport | None:
-    """A report on a playing session; None for a kind that the interface doesn't have."""
+    """A report on a playing session; None for an unknown kind."""
     kind, level = integer(fields, "Kind"), number(fields, "Level")
     session_id, server = text(fields, "Job"), text(fields, "Server")
     if kind not in ReportKind.__members__.values():
         return None
     if kind == ReportKind.RUNG and not 0 <= level < len(settings.ladder_kb):
-        raise WireError(f"found a rung off the ladder: {fields['Level']!r}", "field Level")
+        raise WireError(f"rung outside of the bitrate ladder: {fields['Level']!r}", "field Level")
     return SessionReport(session_id, server, ReportKind(kind), level)
 
 
 def client_gone(fields: Fields) -> ClientGone:
-    """The client of a session has gone."""
+    """The disconnect of a session's client."""
     return ClientGone(text(fields, "Job"))
 
 
@@ -236,7 +236,7 @@
     """A timer that has fired."""
     name = integer(fields, "Name")
     if name not in TimerName.__members__.values():
-        raise WireError(f"found no timer of a front: {name}", "field Name")
+        raise WireError(f"unknown timer: {name}", "field Name")
     return TimerFired(name)
 
 
@@ -245,6 +245,6 @@
     try:
         return facts_reader.read_settings(json.loads(text(fields, "Facts")))
     except json.JSONDecodeError as error:
-        raise WireError(f"found no JSON: {error}", "field Facts") from None
+        raise WireError(f"not JSON: {error}", "field Facts") from None
     except facts_reader.PlatformSettingsError as error:
         raise WireError(error.happened, error.where) from None
