--- a/packages/placement/src/fennelcove/placement/__init__.py
+++ b/packages/placement/src/fennelcove/placement/__init__.py
@@ -2,7 +2,19 @@
 
 from fennelcove.placement.policy import PlacementPolicy
 from fennelcove.placement.records import Attempt, Health, Server, Session, SessionEvent, SessionState
-from fennelcove.placement.state import RESERVE, RAISE_MARGIN, MARK_US, FULL_DELIVERY, LinkLoad
+from fennelcove.placement.state import FULL_DELIVERY, MARK_US, RAISE_MARGIN, RESERVE, LinkLoad
 
-__all__ = ["FULL_DELIVERY", "MARK_US", "RAISE_MARGIN", "RESERVE", "Attempt", "Health", "LinkLoad",
-           "PlacementPolicy", "Server", "Session", "SessionEvent", "SessionState"]
+__all__ = [
+    "FULL_DELIVERY",
+    "MARK_US",
+    "RAISE_MARGIN",
+    "RESERVE",
+    "Attempt",
+    "Health",
+    "LinkLoad",
+    "PlacementPolicy",
+    "Server",
+    "Session",
+    "SessionEvent",
+    "SessionState",
+]
--- a/packages/placement/src/fennelcove/placement/attempts.py
+++ b/packages/placement/src/fennelcove/placement/attempts.py
@@ -11,10 +11,13 @@
 def may_attempt(state: PolicyState, session: Session) -> bool:
     """Whether the session may send an attempt to any server now (rules 1, 2, 5 and 6)."""
     service_class, max_attempts = session.service_class, state.settings.max_attempts
-    is_impossible = (state.now_us >= session.deadline_us or session.top_rung < service_class.min_rung
-                     or (max_attempts and len(session.attempts) >= max_attempts)
-                     or 0 < service_class.seats <= state.seats.get((session.title, service_class), 0)
-                     or (service_class.effect is Effect.SINGLE_SHOT and may_have_run(session)))
+    is_impossible = (
+        state.now_us >= session.deadline_us
+        or session.top_rung < service_class.min_rung
+        or (max_attempts and len(session.attempts) >= max_attempts)
+        or 0 < service_class.seats <= state.seats.get((session.title, service_class), 0)
+        or (service_class.effect is Effect.SINGLE_SHOT and may_have_run(session))
+    )
     return not is_impossible and (not session.attempts or within_retry_budget(state))
 
 
@@ -43,7 +46,9 @@
         return False
     return session.service_class.effect is not Effect.GUARDED or all(
         is_repeat_safe(state, session.service_class, attempt, server)
-        for attempt in session.attempts if attempt.may_have_run)
+        for attempt in session.attempts
+        if attempt.may_have_run
+    )
 
 
 def is_repeat_safe(state: PolicyState, service_class: ServiceClass, attempt: Attempt, server: Server) -> bool:
--- a/packages/placement/src/fennelcove/placement/bitrate_adaptation.py
+++ b/packages/placement/src/fennelcove/placement/bitrate_adaptation.py
@@ -1,7 +1,7 @@
 """Bitrate adaptation: rungs of new sessions, lowered on overloaded links, raised into lasting capacity."""
 
 from fennelcove.placement.records import Rack, Server, Session, SessionState
-from fennelcove.placement.state import RESERVE, RAISE_MARGIN, PolicyState, record_sent
+from fennelcove.placement.state import RAISE_MARGIN, RESERVE, PolicyState, record_sent
 
 
 def initial_top_rung(state: PolicyState, session: Session, replicas: list[Server]) -> int:
@@ -10,8 +10,14 @@
     The others are this front's sessions on the replicas, or all of its sessions if there are none there.
     """
     others = [other for server in replicas for other in server.sessions] or state.sessions.values()
-    best_waiting_utility = max((utility_per_kb(state, other, other.rung + 1) for other in others
-                  if other.state is SessionState.PLAYING and other.rung < other.top_rung), default=0.0)
+    best_waiting_utility = max(
+        (
+            utility_per_kb(state, other, other.rung + 1)
+            for other in others
+            if other.state is SessionState.PLAYING and other.rung < other.top_rung
+        ),
+        default=0.0,
+    )
     floor = session.service_class.min_rung
     return next(
         (
@@ -98,9 +104,11 @@
     The steps of least utility come first, ranked among all sessions of this front.
     """
     playing = state.playing_sessions()
-    steps = sorted((utility_per_kb(state, session, rung, is_lowering=True), index, -rung, rung, session)
-                   for index, session in enumerate(playing)
-                   for rung in range(session.service_class.min_rung + 1, session.rung + 1))
+    steps = sorted(
+        (utility_per_kb(state, session, rung, is_lowering=True), index, -rung, rung, session)
+        for index, session in enumerate(playing)
+        for rung in range(session.service_class.min_rung + 1, session.rung + 1)
+    )
     excess_kb = excess * sum(state.rate_kb(session, session.rung) for session in playing)
     uniform_draw, rungs = state.draw_uniform(), dict[Session, int]()
     for _, _, _, rung, session in steps:
@@ -127,11 +135,16 @@
     if other_fronts is not None:  # they raise rungs into the same capacity
         link_share = own_kb / max(own_kb + others_kb, 1.0)
         budget_kb = min(link_kb * link_share, uplink_kb * own_kb / max(own_kb, uplink_load_kb, 1.0))
-    steps = sorted(((utility_per_kb(state, session, rung), index, -rung, rung, session)
-                    for index, session in enumerate(server.sessions)
-                    if session.state is SessionState.PLAYING
-                    for rung in range(session.rung + 1, session.top_rung + 1)
-                    if repays_switch(state, session, session.top_rung)), reverse=True)
+    steps = sorted(
+        (
+            (utility_per_kb(state, session, rung), index, -rung, rung, session)
+            for index, session in enumerate(server.sessions)
+            if session.state is SessionState.PLAYING
+            for rung in range(session.rung + 1, session.top_rung + 1)
+            if repays_switch(state, session, session.top_rung)
+        ),
+        reverse=True,
+    )
     uniform_draw, rungs, spent_kb = state.draw_uniform(), dict[Session, int](), 0.0
     for _, _, _, rung, session in steps:
         step_kb = state.rate_kb(session, rung) - state.rate_kb(session, rung - 1)
--- a/packages/placement/src/fennelcove/placement/load_reports.py
+++ b/packages/placement/src/fennelcove/placement/load_reports.py
@@ -5,7 +5,7 @@
 from fennelcove.placement.load_polling import MAX_POLLED_CELLS, cell_load, notify_shard_owner, schedule_probe
 from fennelcove.placement.records import Rack, Server, Session, SessionEvent, SessionState
 from fennelcove.placement.session_transitions import apply_event
-from fennelcove.placement.state import RESERVE, MARK_US, FULL_DELIVERY, PolicyState, observe_load, record_sent
+from fennelcove.placement.state import FULL_DELIVERY, MARK_US, RESERVE, PolicyState, observe_load, record_sent
 
 
 def on_session_report(state: PolicyState, session: Session, event: SessionReport) -> None:
@@ -49,8 +49,12 @@
 
 def is_uplink_short(state: PolicyState, rack: Rack) -> bool:
     """Whether most links of a rack deliver short with capacity left, so that its uplink is the bottleneck."""
-    short_count = sum(server.is_in_rack and state.now_us < server.link.full_until_us
-                and (server.link.report or 0.0) < 1 - RESERVE for server in rack.known_servers)
+    short_count = sum(
+        server.is_in_rack
+        and state.now_us < server.link.full_until_us
+        and (server.link.report or 0.0) < 1 - RESERVE
+        for server in rack.known_servers
+    )
     return 2 * short_count > len(rack.servers)
 
 
--- a/packages/placement/src/fennelcove/placement/policy.py
+++ b/packages/placement/src/fennelcove/placement/policy.py
@@ -3,10 +3,26 @@
 from collections.abc import Callable
 from typing import Any
 
-from fennelcove.interface import (AttemptCompleted, BudgetSnapshot, ClientGone, Effect, Event, Handover,
-                                  ListUpdate, MigrationRequested, Outcome, PeerMessage, ProbeCompleted,
-                                  Request, ServerSnapshot, SessionReport, SessionStarted, TimerFired,
-                                  TimerName, TopRungChanged)
+from fennelcove.interface import (
+    AttemptCompleted,
+    BudgetSnapshot,
+    ClientGone,
+    Effect,
+    Event,
+    Handover,
+    ListUpdate,
+    MigrationRequested,
+    Outcome,
+    PeerMessage,
+    ProbeCompleted,
+    Request,
+    ServerSnapshot,
+    SessionReport,
+    SessionStarted,
+    TimerFired,
+    TimerName,
+    TopRungChanged,
+)
 from fennelcove.placement import attempts, health, load_reports, server_list, server_selection, slow_start
 from fennelcove.placement.bitrate_adaptation import raise_rungs, set_rungs
 from fennelcove.placement.load_polling import schedule_probe
@@ -58,8 +74,15 @@
         cell_count = self.settings.cell_count
         cells = tuple((event.first_cell + i) % cell_count for i in range(min(event.cell_count, cell_count)))
         session = self.sessions[event.id] = Session(
-            event.id, service_class, event.title, cells, event.top_rung, self.now_us,
-            self.now_us + event.timeout_us, event.expected_play_us)
+            event.id,
+            service_class,
+            event.title,
+            cells,
+            event.top_rung,
+            self.now_us,
+            self.now_us + event.timeout_us,
+            event.expected_play_us,
+        )
         session.rung = min(service_class.min_rung, event.top_rung)
         return session
 
@@ -76,8 +99,17 @@
         counted = old.attempts[-1:] if old.service_class.effect is Effect.FREE else old.attempts
         previous_attempts = [attempt for attempt in counted if attempt.may_have_run]
         session = self.sessions[event.new_id] = Session(
-            event.new_id, old.service_class, old.title, old.cells, old.top_rung, self.now_us,
-            self.now_us + event.timeout_us, old.expected_play_us, rung=old.rung, attempts=previous_attempts)
+            event.new_id,
+            old.service_class,
+            old.title,
+            old.cells,
+            old.top_rung,
+            self.now_us,
+            self.now_us + event.timeout_us,
+            old.expected_play_us,
+            rung=old.rung,
+            attempts=previous_attempts,
+        )
         apply_event(self, session, SessionEvent.TRY)
 
     def on_budget_snapshot(self, event: BudgetSnapshot) -> None:
@@ -127,17 +159,25 @@
 
 
 TIMER_HANDLERS: dict[int, Callable[[PlacementPolicy], None]] = {
-    TimerName.POLL_LIST: server_list.poll_endpoint_list, TimerName.PROBE: load_reports.on_probe_timer,
-    TimerName.POLL_DEADLINE: load_reports.on_poll_timeout}
+    TimerName.POLL_LIST: server_list.poll_endpoint_list,
+    TimerName.PROBE: load_reports.on_probe_timer,
+    TimerName.POLL_DEADLINE: load_reports.on_poll_timeout,
+}
 EVENT_HANDLERS: dict[type, Callable[[PlacementPolicy, Any], None]] = {
-    Request: PlacementPolicy.on_request, Handover: PlacementPolicy.on_handover,
+    Request: PlacementPolicy.on_request,
+    Handover: PlacementPolicy.on_handover,
     MigrationRequested: PlacementPolicy.on_migration_requested,
-    BudgetSnapshot: PlacementPolicy.on_budget_snapshot, ServerSnapshot: server_list.on_server_snapshot,
-    ListUpdate: server_list.on_list, ProbeCompleted: load_reports.on_probe_completed,
+    BudgetSnapshot: PlacementPolicy.on_budget_snapshot,
+    ServerSnapshot: server_list.on_server_snapshot,
+    ListUpdate: server_list.on_list,
+    ProbeCompleted: load_reports.on_probe_completed,
     PeerMessage: load_reports.on_peer_message,
-    TimerFired: lambda policy, event: TIMER_HANDLERS[event.name](policy)}
+    TimerFired: lambda policy, event: TIMER_HANDLERS[event.name](policy),
+}
 SESSION_EVENT_HANDLERS: dict[type, Callable[[PlacementPolicy, Session, Any], None]] = {
-    SessionStarted: PlacementPolicy.on_session_started, SessionReport: load_reports.on_session_report,
+    SessionStarted: PlacementPolicy.on_session_started,
+    SessionReport: load_reports.on_session_report,
     AttemptCompleted: PlacementPolicy.on_attempt_completed,
     TopRungChanged: PlacementPolicy.on_top_rung_changed,
-    ClientGone: lambda policy, session, _: apply_event(policy, session, SessionEvent.CLIENT_GONE)}
+    ClientGone: lambda policy, session, _: apply_event(policy, session, SessionEvent.CLIENT_GONE),
+}
--- a/packages/placement/src/fennelcove/placement/server_list.py
+++ b/packages/placement/src/fennelcove/placement/server_list.py
@@ -24,7 +24,8 @@
         on_list_entry(state, entry)
     if event.mode is not ListMode.INCREMENTAL:  # an incremental list leaves the other servers unchanged
         state.changed_inactive_servers = dict.fromkeys(
-            server for server in state.servers.values() if server.state is not ServerState.ACTIVE)
+            server for server in state.servers.values() if server.state is not ServerState.ACTIVE
+        )
     update_racks(state)
     if event.mode is ListMode.SAVED:
         poll_endpoint_list(state)  # the saved list may be out of date: a full one is worth one request
@@ -80,8 +81,9 @@
     streams = state.settings.streams_by_kind.get(entry.kind, 0)
     by_streams_kb = 0.0 if state.settings.has_listed_sizes else streams * state.kb_per_stream
     link = LinkLoad(by_streams_kb or state.settings.kb_per_weight * entry.weight or 1.0)
-    server = Server(entry.address, entry.zone, entry.cell, rack, streams, link, entry.started_us,
-                    state.listed_count)
+    server = Server(
+        entry.address, entry.zone, entry.cell, rack, streams, link, entry.started_us, state.listed_count
+    )
     state.listed_count += 1
     state.servers[entry.address] = server
     state.replicas.setdefault(entry.cell, []).append(server)
--- a/packages/placement/src/fennelcove/placement/session_transitions.py
+++ b/packages/placement/src/fennelcove/placement/session_transitions.py
@@ -23,8 +23,12 @@
         The next event of the session; None while it waits for polled loads.
     """
     cells = session.cells if attempts.may_attempt(state, session) else ()
-    replicas = [server for cell in cells for server in state.replicas.get(cell, ())
-                if attempts.may_use_server(state, session, server)]
+    replicas = [
+        server
+        for cell in cells
+        for server in state.replicas.get(cell, ())
+        if attempts.may_use_server(state, session, server)
+    ]
     # If no replica is healthy, any may be tried.
     replicas = [server for server in replicas if health.is_healthy(state, server)] or replicas
     server_selection.update_residuals(state, replicas)
@@ -48,16 +52,21 @@
     state.effects.fail(session.id)
 
 
-TRANSITIONS: TransitionTable[SessionState, SessionEvent, SessionAction] = TransitionTable({
-    (SessionState.WAITING, SessionEvent.TRY): Transition(SessionState.WAITING, (place_session,)),
-    (SessionState.WAITING, SessionEvent.PLACED): Transition(SessionState.JOINING),
-    (SessionState.WAITING, SessionEvent.NO_ROOM): Transition(SessionState.ENDED, (reject_session,)),
-    (SessionState.WAITING, SessionEvent.STUCK): Transition(SessionState.ENDED, (fail_session,)),
-    (SessionState.WAITING, SessionEvent.CLIENT_GONE): Transition(SessionState.ENDED),
-    (SessionState.JOINING, SessionEvent.STARTED): Transition(SessionState.PLAYING),
-    (SessionState.JOINING, SessionEvent.FAILED): Transition(SessionState.WAITING, (place_session,)),
-    (SessionState.JOINING, SessionEvent.FINISHED): Transition(SessionState.ENDED),
-    (SessionState.JOINING, SessionEvent.CLIENT_GONE): Transition(SessionState.ABANDONED),
-    **{(status, event): Transition(SessionState.ENDED)
-       for status in (SessionState.ABANDONED, SessionState.PLAYING)
-       for event in (SessionEvent.FAILED, SessionEvent.FINISHED)}})
+TRANSITIONS: TransitionTable[SessionState, SessionEvent, SessionAction] = TransitionTable(
+    {
+        (SessionState.WAITING, SessionEvent.TRY): Transition(SessionState.WAITING, (place_session,)),
+        (SessionState.WAITING, SessionEvent.PLACED): Transition(SessionState.JOINING),
+        (SessionState.WAITING, SessionEvent.NO_ROOM): Transition(SessionState.ENDED, (reject_session,)),
+        (SessionState.WAITING, SessionEvent.STUCK): Transition(SessionState.ENDED, (fail_session,)),
+        (SessionState.WAITING, SessionEvent.CLIENT_GONE): Transition(SessionState.ENDED),
+        (SessionState.JOINING, SessionEvent.STARTED): Transition(SessionState.PLAYING),
+        (SessionState.JOINING, SessionEvent.FAILED): Transition(SessionState.WAITING, (place_session,)),
+        (SessionState.JOINING, SessionEvent.FINISHED): Transition(SessionState.ENDED),
+        (SessionState.JOINING, SessionEvent.CLIENT_GONE): Transition(SessionState.ABANDONED),
+        **{
+            (status, event): Transition(SessionState.ENDED)
+            for status in (SessionState.ABANDONED, SessionState.PLAYING)
+            for event in (SessionEvent.FAILED, SessionEvent.FINISHED)
+        },
+    }
+)
