--- a/packages/placement/src/fennelcove/placement/attempts.py
+++ b/packages/placement/src/fennelcove/placement/attempts.py
@@ -53,12 +53,12 @@
 
 def is_repeat_safe(state: PolicyState, service_class: ServiceClass, attempt: Attempt, server: Server) -> bool:
     """Whether a server still recognises the idempotency key of an earlier attempt."""
-    is_same_scope = {
+    same_scope = {
         Scope.ZONE: attempt.server.zone == server.zone,
         Scope.CELL: attempt.server.cell == server.cell,
     }
     is_key_valid = state.now_us - attempt.sent_us < service_class.key_ttl_us
-    return is_key_valid and is_same_scope.get(service_class.scope, True)
+    return is_key_valid and same_scope.get(service_class.scope, True)
 
 
 def may_reject(state: PolicyState, session: Session) -> bool:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds policies, servers and requests for the tests."""
+"""Builds placement policies, servers and events for tests."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from fennelcove.placement import PlacementPolicy
 
 SECOND = 1_000_000
-ROOM = ServiceClass(SECOND, 1.0, Effect.FREE, Scope.ALL, 5 * SECOND, 1.0, 0, 0)
+SERVICE_CLASS = ServiceClass(SECOND, 1.0, Effect.FREE, Scope.ALL, 5 * SECOND, 1.0, 0, 0)
 SETTINGS = Settings(
-    {"room": ROOM},
+    {"standard": SERVICE_CLASS},
     2,
     0,
     "here",
@@ -76,8 +76,8 @@
 def front(
     servers: int = 3, service_class: dict[str, Any] | None = None, warm: bool = True, **settings: Any
 ) -> tuple[PlacementPolicy, Recorder]:
-    """A policy at 100 s with an empty link reported by each server, all long warm unless stated otherwise."""
-    service_classes = {"room": replace(ROOM, **(service_class or {}))}
+    """A policy at 100 s and its recorded effects; each server has warmed up and reported an empty link."""
+    service_classes = {"standard": replace(SERVICE_CLASS, **(service_class or {}))}
     effects = Recorder()
     policy = PlacementPolicy(replace(SETTINGS, service_classes=service_classes, **settings), 7, effects, 0)
     policy.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(servers))), 0)
@@ -90,7 +90,7 @@
 
 
 def ask(policy: PlacementPolicy, id: str = "a", at: int | None = None, **changes: Any) -> None:
-    request = replace(Request(id, "room", 5, 0, 3, 2, 3 * SECOND), **changes)
+    request = replace(Request(id, "standard", 5, 0, 3, 2, 3 * SECOND), **changes)
     policy.handle(request, policy.now_us if at is None else at)
 
 
@@ -98,11 +98,11 @@
     policy: PlacementPolicy,
     outcome: Outcome,
     id: str = "a",
-    join: int = 0,
+    attempt: int = 0,
     after: int = SECOND // 10,
     finished: bool = False,
 ) -> None:
-    policy.handle(AttemptCompleted(id, join, outcome, finished, None), policy.now_us + after)
+    policy.handle(AttemptCompleted(id, attempt, outcome, finished, None), policy.now_us + after)
 
 
 def play(policy: PlacementPolicy, id: str = "a", **changes: Any) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -42,7 +42,7 @@
 
 
 class UtilizationTest(unittest.TestCase):
-    def test_falls_with_room_and_is_infinite_when_short(self) -> None:
+    def test_falls_with_free_capacity_and_is_infinite_without(self) -> None:
         assert utilization_factor(0.25) == 2.0
         assert utilization_factor(0.0) == inf
         assert utilization_factor(-0.1) == inf
@@ -57,8 +57,9 @@
         policy.update_residuals([server])
         self.assertAlmostEqual(policy.utilization_factors(server, 0.0)[0], 0.5**-0.5)
 
-    def test_guesses_fill_no_streams(self) -> None:
-        # By low rates, a guess at links not heard filled all streams: a fresh front throttled everybody.
+    def test_estimated_loads_fill_no_streams(self) -> None:
+        # At low rates, the load assumed for links without a report filled all streams: a front that had just
+        # started rejected every request.
         policy, effects = front(3, streams_by_kind={"kind": 4})
         for server in policy.servers.values():
             server.link.report = None
@@ -73,8 +74,8 @@
 
 
 class HostHookTest(unittest.TestCase):
-    def test_a_host_may_keep_a_join_from_a_server(self) -> None:
-        # A host that knows of slots, or of a box gone for all, would be asked for what it then refuses.
+    def test_a_host_may_exclude_a_server(self) -> None:
+        # Otherwise a host that knows of full slots or an unreachable server has to refuse the attempt itself.
         policy, effects = front(3)
         policy.may_use = lambda id, address: address == "s2"
         ask(policy)
@@ -91,7 +92,7 @@
         drawn = Counter(policy.draw_server(rows).address for _ in range(2000))
         self.assertAlmostEqual(drawn["s0"] / 2000, 0.5, delta=0.05)
 
-    def test_by_inverse_uf_when_servers_are(self) -> None:
+    def test_weighted_by_the_inverse_factor_when_servers_are(self) -> None:
         policy, _ = front()
         rows = [(policy.servers["s0"], 1.0, 0.5), (policy.servers["s1"], 3.0, 0.5)]
         drawn = Counter(policy.draw_server(rows).address for _ in range(2000))
@@ -99,33 +100,33 @@
 
 
 class RungTest(unittest.TestCase):
-    def test_highest_rung_that_leaves_a_holder_feasible(self) -> None:
+    def test_highest_rung_that_leaves_a_replica_feasible(self) -> None:
         policy, effects = front()
         for server in policy.servers.values():
             server.link.observe(0.6, policy.now_us)
         ask(policy)
         assert effects.named("set_rung") == [("set_rung", "a", 1)]
 
-    def test_client_with_a_low_top_keeps_to_it(self) -> None:
+    def test_rung_is_limited_by_the_top_rung_of_the_client(self) -> None:
         policy, effects = front()
         ask(policy, top_rung=0)
         assert effects.named("set_rung") == [("set_rung", "a", 0)]
 
-    def test_one_front_one_server_and_an_uplink_of_no_stated_size(self) -> None:
+    def test_one_front_one_server_and_an_uplink_without_a_stated_capacity(self) -> None:
         policy, effects = front(1, front_count=1, uplink_kb=0.0)
         ask(policy)
         assert effects.named("set_rung") == [("set_rung", "a", 2)]
-        ask(policy, "gone", first_cell=3, cell_count=1)
+        ask(policy, "no-replica", first_cell=3, cell_count=1)
         assert effects.calls[-1][0] == "reject"
 
-    def test_throttled_at_once_without_room(self) -> None:
+    def test_rejected_at_once_without_capacity(self) -> None:
         policy, effects = front()
         for server in policy.servers.values():
             server.link.observe(1.0, policy.now_us)
         ask(policy)
         assert effects.calls == [("reject", "a", 2 * SECOND)]
 
-    def test_newcomer_leaves_out_steps_when_others_wait_for_better_ones(self) -> None:
+    def test_new_session_leaves_out_steps_while_others_wait_for_better_ones(self) -> None:
         policy, effects = front(1, rung_utilities=(0.5, 0.9, 1.0))
         play(policy)
         policy.sessions["a"].rung = 0
@@ -143,13 +144,13 @@
 
 
 class TitleSurgeTest(unittest.TestCase):
-    def test_three_requests_for_a_title_count_for_the_other_fronts_and_further_joins_do_not(self) -> None:
-        # Further joins of one request passed for a crowd wherever servers failed, and kept its title small.
+    def test_three_requests_for_a_title_count_for_other_fronts_and_retries_do_not(self) -> None:
+        # Where servers failed, the retries of one request counted as a surge and kept its title at low rungs.
         policy, _ = front(3, front_count=10)
         sent_kb = lambda: sum(s.link.unreported_kb - s.own_kb for s in policy.servers.values())  # noqa: E731
         ask(policy)
-        for join in range(2):
-            end(policy, Outcome.SERVER_ERROR, join=join, after=SECOND // 100)
+        for attempt in range(2):
+            end(policy, Outcome.SERVER_ERROR, attempt=attempt, after=SECOND // 100)
         assert len(policy.sessions["a"].attempts) == 3
         self.assertAlmostEqual(sent_kb(), 0.0)
         ask(policy, "b")
@@ -159,57 +160,57 @@
 
 
 class ResidualCapacityTest(unittest.TestCase):
-    def test_own_joins_count_until_a_report_shows_them(self) -> None:
-        pipe = LinkLoad(1000.0)
-        pipe.observe(0.2, 10)
-        pipe.record_sent(300.0, 20)
-        self.assertAlmostEqual(pipe.utilization(), 0.5)
-        pipe.observe(0.5, 20)
-        self.assertAlmostEqual(pipe.utilization(), 0.5)
-
-    def test_an_older_report_does_not_undo_a_newer_one(self) -> None:
-        pipe = LinkLoad(1000.0)
-        pipe.observe(0.7, 20)
-        pipe.observe(0.1, 10)
-        assert pipe.utilization() == 0.7
-
-    def test_note_at_a_set_up_does_not_show_the_newcomer(self) -> None:
+    def test_own_attempts_count_until_a_report_shows_them(self) -> None:
+        link = LinkLoad(1000.0)
+        link.observe(0.2, 10)
+        link.record_sent(300.0, 20)
+        self.assertAlmostEqual(link.utilization(), 0.5)
+        link.observe(0.5, 20)
+        self.assertAlmostEqual(link.utilization(), 0.5)
+
+    def test_an_older_report_does_not_replace_a_newer_one(self) -> None:
+        link = LinkLoad(1000.0)
+        link.observe(0.7, 20)
+        link.observe(0.1, 10)
+        assert link.utilization() == 0.7
+
+    def test_the_first_report_does_not_include_the_new_session(self) -> None:
         policy, _ = front(1)
         play(policy)
         note(policy, ReportKind.LINK, 0.3, after=0)
         self.assertAlmostEqual(policy.servers["s0"].link.utilization(), 0.3 + 400 / 3000)
 
-    def test_unheard_counts_as_average_and_above_it_where_no_server_turns_away(self) -> None:
-        # Where none turns away: the mean of 0.2, 0.6, 0.25 and 0.75, and their mean distance from it.
-        for guard, left in ((1.0, 0.9 - 0.4), (0.0, 0.9 - 0.45 - 0.225)):
-            policy, _ = front(3, rejects_at=guard)
-            for i, asked in enumerate((0.2, 0.6, None)):
-                policy.servers[f"s{i}"].link.report = asked
-            self.assertAlmostEqual(policy.residual_link(policy.servers["s2"]), left)
-
-    def test_a_backlog_found_late_goes_by_its_news_and_its_time_left(self) -> None:
-        policy, effects = front(2)  # a front that stood still finds both in one turn
-        news = (entry("s0", 0, state=ServerState.LEAVING),)
-        policy.handle(ListUpdate(ListMode.INCREMENTAL, news), policy.now_us)
+    def test_a_link_without_a_report_counts_as_average_and_above_it_if_servers_never_reject(self) -> None:
+        # If servers never reject: the mean of 0.2, 0.6, 0.25 and 0.75, plus their mean deviation.
+        for threshold, free_share in ((1.0, 0.9 - 0.4), (0.0, 0.9 - 0.45 - 0.225)):
+            policy, _ = front(3, rejects_at=threshold)
+            for i, reported_share in enumerate((0.2, 0.6, None)):
+                policy.servers[f"s{i}"].link.report = reported_share
+            self.assertAlmostEqual(policy.residual_link(policy.servers["s2"]), free_share)
+
+    def test_events_handled_late_use_the_list_update_and_the_time_left(self) -> None:
+        policy, effects = front(2)  # a front that stalled handles both at once
+        update = (entry("s0", 0, state=ServerState.LEAVING),)
+        policy.handle(ListUpdate(ListMode.INCREMENTAL, update), policy.now_us)
         ask(policy, timeout_us=SECOND // 10)
-        ((_, _, server, allow_us),) = effects.named("start_attempt")
-        assert (server, allow_us) == ("s1", SECOND // 10)
+        ((_, _, server, timeout_us),) = effects.named("start_attempt")
+        assert (server, timeout_us) == ("s1", SECOND // 10)
 
-    def test_what_has_left_for_good_is_not_kept(self) -> None:
+    def test_servers_that_left_the_list_are_deleted(self) -> None:
         policy, _ = front(3)
         play(policy, first_cell=1, cell_count=1)
-        left = tuple(entry(f"s{i}", i, state=ServerState.LEFT) for i in (0, 1))
-        policy.handle(ListUpdate(ListMode.INCREMENTAL, left), policy.now_us)
-        assert list(policy.servers) == ["s1", "s2"]  # what plays there still ends there
+        departed = tuple(entry(f"s{i}", i, state=ServerState.LEFT) for i in (0, 1))
+        policy.handle(ListUpdate(ListMode.INCREMENTAL, departed), policy.now_us)
+        assert list(policy.servers) == ["s1", "s2"]  # its session must still be able to end
         assert policy.replicas[0] == []
 
     def test_handed_over_session_uses_capacity_at_its_rung(self) -> None:
         policy, _ = front()
-        policy.handle(Handover(Request("old", "room", 5, 0, 3, 2, 0), "s0"), policy.now_us)
+        policy.handle(Handover(Request("old", "standard", 5, 0, 3, 2, 0), "s0"), policy.now_us)
         note(policy, ReportKind.RUNG, 2.0, "old")
         self.assertAlmostEqual(policy.residual_link(policy.servers["s0"]), 0.9 - 0.4)
 
-    def test_short_note_marks_the_link_full_until_all_is_well(self) -> None:
+    def test_short_delivery_marks_the_link_full_until_delivery_is_full(self) -> None:
         policy, _ = front()
         play(policy)
         server = policy.sessions["a"].server
@@ -220,27 +221,27 @@
 
 
 class RungChangeTest(unittest.TestCase):
-    def test_short_delivery_counts_as_a_report_while_reports_stay_out(self) -> None:
+    def test_short_delivery_counts_as_a_report_while_reports_are_missing(self) -> None:
         policy, _ = front(1)
         play(policy)
         policy.servers["s0"].link.observe(0.95, policy.now_us)
         note(policy, ReportKind.DELIVERED, 0.8)
-        assert policy.sessions["a"].rung == 2  # the report is young: it decides
+        assert policy.sessions["a"].rung == 2  # the recent report takes precedence
         note(policy, ReportKind.DELIVERED, 0.8, after=6 * SECOND)
         assert policy.sessions["a"].rung < 2
 
-    def test_short_delivery_on_a_link_with_room_is_the_uplink_s(self) -> None:
-        # Where no report tells of uplinks, racks stayed short for good behind links with room.
-        for told, rung in ((False, 1), (True, 2)):
-            policy, _ = front(1, reports_uplinks=told)
+    def test_short_delivery_on_a_link_with_capacity_counts_as_a_full_uplink(self) -> None:
+        # Without reports on uplinks, racks delivered short for good while their links had capacity.
+        for is_reported, rung in ((False, 1), (True, 2)):
+            policy, _ = front(1, reports_uplinks=is_reported)
             play(policy)
             policy.servers["s0"].link.observe(0.5, policy.now_us)
             note(policy, ReportKind.DELIVERED, 0.6)
             assert policy.sessions["a"].rung == rung
-            assert (policy.servers["s0"].rack.uplink.report is not None) == (not told)
+            assert (policy.servers["s0"].rack.uplink.report is not None) == (not is_reported)
 
-    def test_one_server_s_own_trouble_is_not_its_rack_s(self) -> None:
-        # Bursts of a neighbour on a few machines held down all that played in their racks.
+    def test_short_delivery_of_one_server_does_not_count_against_its_rack(self) -> None:
+        # Bursts of another workload on a few servers kept all sessions in their racks at low rungs.
         policy, _ = front(6, reports_uplinks=False)
         play(policy)
         server = policy.sessions["a"].server
@@ -254,32 +255,33 @@
         note(policy, ReportKind.DELIVERED, 0.6)
         assert server.rack.uplink.report is not None
 
-    def test_a_short_uplink_that_nothing_tells_of_fades(self) -> None:
-        # One short moment held a rack down for the rest of a day: no report would ever say that it was over.
+    def test_a_full_uplink_without_reports_recovers_with_time(self) -> None:
+        # One moment of short delivery kept a rack at low rungs for the rest of a scenario: no report showed
+        # that it was over.
         policy, _ = front(1, reports_uplinks=False)
         play(policy)
         server = policy.servers["s0"]
         server.link.observe(0.5, policy.now_us)
         note(policy, ReportKind.DELIVERED, 0.6)
-        own = server.own_kb / server.rack.uplink.capacity_kb
+        own_share = server.own_kb / server.rack.uplink.capacity_kb
         assert policy.uplink_utilization(server.rack) > 0.8
         policy.now_us += 1000 * SECOND
-        self.assertAlmostEqual(policy.uplink_utilization(server.rack), own, places=3)
+        self.assertAlmostEqual(policy.uplink_utilization(server.rack), own_share, places=3)
 
-    def test_guesses_at_links_not_heard_fill_no_uplink(self) -> None:
+    def test_estimated_loads_of_links_fill_no_uplink(self) -> None:
         policy, _ = front(6)
         for server in policy.servers.values():
             server.link.report = None
         play(policy, first_cell=0, cell_count=1)
         self.assertAlmostEqual(policy.uplink_utilization(policy.racks[0]), policy.servers["s0"].own_kb / 2500)
 
-    def test_full_link_lowers_what_plays(self) -> None:
+    def test_a_full_link_lowers_the_rung_of_its_session(self) -> None:
         policy, effects = front(1)
         play(policy)
         note(policy, ReportKind.LINK, 1.3)
         assert ("set_rung", "a", 1) in effects.calls
 
-    def test_a_shared_note_is_not_answered_twice(self) -> None:
+    def test_an_overload_reported_to_all_fronts_is_not_relieved_twice(self) -> None:
         policy, effects = front(1)
         play(policy)
         policy.sessions["a"].has_report = True
@@ -288,36 +290,36 @@
         note(policy, ReportKind.LINK, 1.3, after=SECOND // 2)
         assert len(effects.named("set_rung")) == lowered
 
-    def test_room_past_the_band_raises_what_plays(self) -> None:
+    def test_capacity_beyond_the_margin_raises_the_rung(self) -> None:
         policy, effects = front(1)
         play(policy)
         policy.sessions["a"].rung = 0
         note(policy, ReportKind.LINK, 0.75)
         assert policy.sessions["a"].rung == 0
         note(policy, ReportKind.LINK, 0.1)
-        assert policy.sessions["a"].rung == 2  # in one change: each has its price
+        assert policy.sessions["a"].rung == 2  # in one change, since each has a cost
 
-    def test_a_step_larger_than_the_part_is_taken_by_chance(self) -> None:
+    def test_a_step_larger_than_the_excess_is_taken_with_a_probability(self) -> None:
         lowered = 0
         for seed in range(200):
             policy, _ = front(1)
             policy.draw_uniform = Random(seed).random
             play(policy)
-            lower_rungs(policy, [policy.sessions["a"].server], 0.125)  # 50 of a step of 200
+            lower_rungs(policy, [policy.sessions["a"].server], 0.125)  # 50 kB/s of a step of 200 kB/s
             lowered += policy.sessions["a"].rung < 2
         self.assertAlmostEqual(lowered / 200, 0.25, delta=0.08)
 
-    def test_what_earns_more_than_all_else_held_is_lowered_last(self) -> None:
+    def test_the_step_of_most_utility_among_all_sessions_is_lowered_last(self) -> None:
         policy, _ = front(2, rung_utilities=(0.1, 0.8, 1.0))
-        play(policy, "cheap", first_cell=0, cell_count=1)
-        play(policy, "dear", first_cell=1, cell_count=1)
-        policy.sessions["dear"].rung = 1
+        play(policy, "low-utility", first_cell=0, cell_count=1)
+        play(policy, "high-utility", first_cell=1, cell_count=1)
+        policy.sessions["high-utility"].rung = 1
         lower_rungs(policy, [policy.servers["s1"]], 0.2)
-        assert policy.sessions["dear"].rung == 1
+        assert policy.sessions["high-utility"].rung == 1
         lower_rungs(policy, [policy.servers["s0"]], 1 / 3)
-        assert policy.sessions["cheap"].rung == 1
+        assert policy.sessions["low-utility"].rung == 1
 
-    def test_report_of_a_failed_join_is_heard(self) -> None:
+    def test_the_report_of_a_failed_attempt_is_recorded(self) -> None:
         policy, _ = front(1)
         policy.servers["s0"].link.as_of_us = 0
         ask(policy)
@@ -327,22 +329,22 @@
         server = policy.servers["s0"]
         assert (server.link.report, server.rack.uplink.report) == (1.2, 0.8)
 
-    def test_one_join_out_and_each_holder_once(self) -> None:
+    def test_one_attempt_at_a_time_and_each_replica_once(self) -> None:
         policy, effects = front(2)
         ask(policy)
         end(policy, Outcome.SERVER_ERROR)
         assert {call[2] for call in effects.named("start_attempt")} == {"s0", "s1"}
-        end(policy, Outcome.SERVER_ERROR, join=1)
+        end(policy, Outcome.SERVER_ERROR, attempt=1)
         assert len(effects.named("reject")) == 1
 
-    def test_join_leaves_room_for_another_and_ends_by_the_client_timeout(self) -> None:
+    def test_an_attempt_leaves_time_for_another_and_ends_by_the_client_timeout(self) -> None:
         policy, effects = front()
         ask(policy)
         assert effects.named("start_attempt")[0][3] == SECOND // 2
         ask(policy, "b", timeout_us=SECOND // 10)
         assert effects.named("start_attempt")[1][3] == SECOND // 10
 
-    def test_single_shot_that_may_have_run_is_neither_repeated_nor_throttled(self) -> None:
+    def test_a_single_shot_that_may_have_run_is_neither_repeated_nor_rejected(self) -> None:
         for outcome, call in ((Outcome.NO_ANSWER, "fail"), (Outcome.NO_CONNECTION, "start_attempt")):
             policy, effects = front(service_class={"effect": Effect.SINGLE_SHOT})
             ask(policy)
@@ -350,18 +352,18 @@
             end(policy, outcome)
             assert effects.calls[-1][0] == call
 
-    def test_guarded_stays_in_its_group_and_time(self) -> None:
-        room = {"effect": Effect.GUARDED, "scope": Scope.CELL}
-        policy, effects = front(service_class=room)
+    def test_a_guarded_repeat_stays_in_the_scope_and_lifetime_of_its_key(self) -> None:
+        guarded = {"effect": Effect.GUARDED, "scope": Scope.CELL}
+        policy, effects = front(service_class=guarded)
         ask(policy)
         end(policy, Outcome.NO_ANSWER)
         assert effects.calls[-1] == ("fail", "a")
-        policy, effects = front(service_class={**room, "scope": Scope.ALL})
+        policy, effects = front(service_class={**guarded, "scope": Scope.ALL})
         ask(policy)
         end(policy, Outcome.NO_ANSWER, after=6 * SECOND)
         assert effects.calls[-1][0] == "reject"
 
-    def test_nothing_new_to_a_draining_or_vanished_server(self) -> None:
+    def test_no_attempt_is_sent_to_a_draining_or_delisted_server(self) -> None:
         policy, effects = front(2)
         leaving = entry("s0", 0, state=ServerState.LEAVING)
         policy.handle(ListUpdate(ListMode.INCREMENTAL, (leaving,)), policy.now_us)
@@ -371,7 +373,7 @@
         ask(policy, "b")
         assert effects.calls[-1][0] == "reject"
 
-    def test_cold_server_gets_one_fronts_share_of_the_pace(self) -> None:
+    def test_a_warming_server_gets_at_most_one_fronts_share_of_its_pace(self) -> None:
         policy, effects = front(1)
         policy.servers["s0"].started_us = policy.now_us - 1
         start_us, sent = policy.now_us, 0
@@ -383,9 +385,10 @@
         assert sent > 3
         assert sent <= 20 / 2
 
-    def test_turns_at_a_cold_server_that_lay_unused_are_not_all_used_at_once(self) -> None:
-        # Twelve fronts had kept one each over the warm-up; six came within 3 s and the box fell over.
-        fronts, streams, tip_us = 12, 10, 3 * SECOND
+    def test_unused_turns_at_a_warming_server_are_not_all_used_at_once(self) -> None:
+        # Twelve fronts had each saved one turn during the warm-up. Six used theirs within 3 s, and the server
+        # failed under the load.
+        fronts, streams, slack_us = 12, 10, 3 * SECOND
         for age_us in range(SECOND, 9 * SECOND, SECOND // 2):
             open_turns = 0
             for index in range(fronts):
@@ -394,32 +397,32 @@
                     front_count=fronts,
                     front_index=index,
                     streams_by_kind={"kind": streams},
-                    slow_start_slack_us=tip_us,
+                    slow_start_slack_us=slack_us,
                 )
                 server = policy.servers["s0"]
                 server.started_us = policy.now_us - age_us
                 open_turns += has_slow_start_turn(policy, server)
             pace = streams / (10 * SECOND) * (0.5 + 0.5 * age_us / (10 * SECOND))
-            assert open_turns <= pace * tip_us + 1
+            assert open_turns <= pace * slack_us + 1
             assert open_turns > 0
 
-    def test_a_title_asked_for_again_and_again_before_a_report_counts_for_the_other_fronts(self) -> None:
-        # 198 fronts gave its few holders one or two each before one of them heard of the others.
-        def grown(title: int) -> list[float]:
+    def test_repeated_requests_for_a_title_before_a_report_count_for_the_other_fronts(self) -> None:
+        # 198 fronts placed one or two sessions each on its few replicas before a report showed the load.
+        def added_utilization(title: int) -> list[float]:
             policy, _ = front(3, front_count=10)
-            found = []
+            added = []
             for number, id in enumerate("abc"):
                 before = sum(server.link.utilization() for server in policy.servers.values())
                 play(policy, id, title=5 if number < 2 else title)
-                found.append(sum(server.link.utilization() for server in policy.servers.values()) - before)
-            return found
+                added.append(sum(server.link.utilization() for server in policy.servers.values()) - before)
+            return added
 
-        first, second, third = grown(title=5)
+        first, second, third = added_utilization(title=5)
         assert second < 2 * first
         assert third > 3 * first
-        assert grown(title=6)[2] < 2 * first
+        assert added_utilization(title=6)[2] < 2 * first
 
-    def test_a_lost_server_counts_as_cold_before_the_list_says_so(self) -> None:
+    def test_a_server_that_lost_a_connection_warms_up_before_the_list_shows_a_restart(self) -> None:
         policy, _ = front()
         play(policy)
         server = policy.sessions["a"].server
@@ -427,14 +430,14 @@
         assert policy.is_warming_up(server)
         assert server.link.report is None
 
-    def test_a_saved_list_is_not_trusted_on_starts(self) -> None:
+    def test_start_times_on_a_saved_list_are_not_trusted(self) -> None:
         policy, effects = front(1, warm=False)
         policy.list_is_fresh, policy.created_us = False, 1
         policy.handle(ListUpdate(ListMode.SAVED, (entry("s0", 0),)), 1)
         assert effects.calls == [("fetch_list",)]
         assert policy.is_warming_up(policy.servers["s0"])
 
-    def test_floor_and_seats(self) -> None:
+    def test_lowest_rung_and_seats(self) -> None:
         policy, effects = front(service_class={"min_rung": 1, "seats": 1})
         ask(policy, "low", top_rung=0)
         assert effects.calls[-1][0] == "reject"
@@ -448,7 +451,7 @@
         ask(policy, "c")
         assert effects.calls[-1][0] == "start_attempt"
 
-    def test_join_budget(self) -> None:
+    def test_retry_budget(self) -> None:
         policy, effects = front(retry_base=1.0, retry_window_us=10 * SECOND)
         for id in ("a", "b"):
             ask(policy, id)
@@ -456,13 +459,13 @@
         assert len(effects.named("start_attempt")) == 3
         assert effects.calls[-1] == ("reject", "b", 2 * SECOND)
 
-    def test_send_cap(self) -> None:
+    def test_attempt_limit(self) -> None:
         policy, effects = front(max_attempts=1)
         ask(policy)
         end(policy, Outcome.SERVER_ERROR)
         assert effects.calls[-1][0] == "reject"
 
-    def test_asks_for_the_list_again_after_a_pause(self) -> None:
+    def test_a_failed_list_poll_is_repeated_after_a_pause(self) -> None:
         policy, effects = front(must_poll_list=True, list_poll_window_us=8 * SECOND)
         policy.handle(ListUpdate(ListMode.FAILED, ()), policy.now_us)
         assert effects.calls == [("set_timer", TimerName.POLL_LIST, SECOND)]
@@ -471,7 +474,7 @@
 
 
 class HealthTest(unittest.TestCase):
-    def test_each_fault_shuts_the_server_for_a_pause(self) -> None:
+    def test_each_fault_suspends_the_server_for_a_pause(self) -> None:
         for outcome in (
             Outcome.SERVER_ERROR,
             Outcome.NO_ANSWER,
@@ -498,15 +501,15 @@
         record_outcome(policy, server, Outcome.SERVER_ERROR)
         assert server.shut_until_us - policy.now_us == 2 * first
 
-    def test_what_every_server_answers_with_an_error_shuts_none(self) -> None:
-        # A few viewers that send what no server can use had all servers shut to everybody else.
+    def test_a_request_that_every_server_answers_with_an_error_suspends_none(self) -> None:
+        # A few clients with requests that no server can serve had all servers suspended for everybody else.
         policy, _ = front(2)
         ask(policy)
         end(policy, Outcome.SERVER_ERROR)
-        end(policy, Outcome.SERVER_ERROR, join=1)
+        end(policy, Outcome.SERVER_ERROR, attempt=1)
         assert [server.health for server in policy.servers.values()] == [Health.WELL] * 2
 
-    def test_an_error_shuts_its_server_once_another_has_served_the_same(self) -> None:
+    def test_an_error_suspends_its_server_once_another_has_served_the_request(self) -> None:
         policy, effects = front(2)
         ask(policy)
         end(policy, Outcome.SERVER_ERROR)
@@ -514,20 +517,20 @@
         first, second = (policy.servers[call[2]] for call in effects.named("start_attempt"))
         assert (first.health, second.health) == (Health.SHUT, Health.WELL)
 
-    def test_a_replica_is_tried_where_none_is_healthy(self) -> None:
+    def test_a_replica_is_tried_if_none_is_healthy(self) -> None:
         policy, effects = front(1)
         record_outcome(policy, policy.servers["s0"], Outcome.SERVER_ERROR)
         ask(policy)
         assert effects.calls[-1][0] == "start_attempt"
 
-    def test_ended_play_gives_its_room_back(self) -> None:
+    def test_an_ended_session_releases_its_capacity(self) -> None:
         policy, _ = front(1)
         play(policy)
         end(policy, Outcome.SERVED, finished=True)
         self.assertAlmostEqual(policy.residual_link(policy.servers["s0"]), 0.9)
         assert policy.sessions == {}
 
-    def test_a_client_gone_during_an_attempt_gets_no_answer(self) -> None:
+    def test_a_client_that_disconnects_during_an_attempt_gets_no_answer(self) -> None:
         policy, effects = front()
         ask(policy)
         policy.handle(ClientGone("a"), policy.now_us)
@@ -546,146 +549,148 @@
 
 
 class LoadPollingTest(unittest.TestCase):
-    PROBED: ClassVar[dict[str, Any]] = {"probe_price": 0.01, "has_unsolicited_reports": False}
+    PROBE_SETTINGS: ClassVar[dict[str, Any]] = {"probe_price": 0.01, "has_unsolicited_reports": False}
 
-    def probed(
+    def complete_probe(
         self, policy: PlacementPolicy, server: str, link: float, outcome: Outcome = Outcome.SERVED
     ) -> None:
         policy.handle(ProbeCompleted(server, outcome, 1000, LoadReport(link, None)), policy.now_us + 2000)
 
-    def unheard(self, **settings: Any) -> tuple[PlacementPolicy, Recorder]:
+    def front_without_reports(self, **settings: Any) -> tuple[PlacementPolicy, Recorder]:
         policy, effects = front(**settings)
         for server in policy.servers.values():
             server.link.report = None
         return policy, effects
 
-    def test_two_holders_are_probed_and_the_request_waits_for_both(self) -> None:
-        policy, effects = self.unheard(**self.PROBED)
+    def test_two_replicas_are_probed_and_the_request_waits_for_both(self) -> None:
+        policy, effects = self.front_without_reports(**self.PROBE_SETTINGS)
         ask(policy)
-        asked = [call[1] for call in effects.named("probe")]
-        assert (len(set(asked)), effects.named("start_attempt")) == (2, [])
-        self.probed(policy, asked[0], 0.85)
+        probed = [call[1] for call in effects.named("probe")]
+        assert (len(set(probed)), effects.named("start_attempt")) == (2, [])
+        self.complete_probe(policy, probed[0], 0.85)
         assert effects.named("start_attempt") == []
-        self.probed(policy, asked[1], 0.0)
+        self.complete_probe(policy, probed[1], 0.0)
         assert len(effects.named("start_attempt")) == 1
-        self.probed(policy, asked[1], 0.0)  # told again, nothing more is sent
+        self.complete_probe(policy, probed[1], 0.0)  # a duplicate result sends nothing more
         assert len(effects.named("start_attempt")) == 1
 
-    def test_a_lost_reply_holds_nobody_past_an_eighth_of_the_shorter_limit(self) -> None:
-        # With an eighth of the objective alone, a viewer of 50 ms was answered after its time.
-        policy, effects = self.unheard(**self.PROBED)
+    def test_a_lost_reply_delays_nobody_by_more_than_an_eighth_of_the_shorter_limit(self) -> None:
+        # With an eighth of the objective alone, a client with a timeout of 50 ms was answered after it.
+        policy, effects = self.front_without_reports(**self.PROBE_SETTINGS)
         ask(policy, timeout_us=SECOND // 20)
         ((_, name, delay_us),) = effects.named("set_timer")
         assert (name, delay_us) == (TimerName.POLL_DEADLINE, SECOND // 160)
         policy.handle(TimerFired(name), policy.now_us + delay_us)
         assert len(effects.named("start_attempt")) == 1
 
-    def test_a_client_that_leaves_while_it_waits_gets_no_answer(self) -> None:
-        policy, effects = self.unheard(**self.PROBED)
+    def test_a_client_that_disconnects_while_it_waits_gets_no_answer(self) -> None:
+        policy, effects = self.front_without_reports(**self.PROBE_SETTINGS)
         ask(policy)
         policy.handle(ClientGone("a"), policy.now_us)
         for _, server in effects.named("probe"):
-            self.probed(policy, server, 0.0)
+            self.complete_probe(policy, server, 0.0)
         policy.handle(TimerFired(TimerName.POLL_DEADLINE), policy.now_us + SECOND)
         assert (policy.sessions, effects.named("start_attempt")) == ({}, [])
 
-    def test_none_is_probed_while_all_heard_lately_is_full(self) -> None:
-        policy, effects = front(**self.PROBED)
+    def test_none_is_probed_while_all_recent_reports_are_full(self) -> None:
+        policy, effects = front(**self.PROBE_SETTINGS)
         for server in policy.servers.values():
             server.link.report, server.link.as_of_us = 1.2, policy.now_us - 2 * SECOND
         ask(policy)
         assert [call[0] for call in effects.calls] == ["reject"]
 
-    def test_what_a_probe_finds_free_is_raised_into_by_the_front_that_asked(self) -> None:
-        policy, effects = front(front_count=50, **self.PROBED)
+    def test_capacity_found_by_a_probe_is_used_by_the_front_that_sent_it(self) -> None:
+        policy, effects = front(front_count=50, **self.PROBE_SETTINGS)
         play(policy, top_rung=2)
-        sub = policy.sessions["a"]
-        set_rungs(policy, {sub: 0})
+        session = policy.sessions["a"]
+        set_rungs(policy, {session: 0})
         effects.calls.clear()
-        self.probed(policy, sub.server.address, 0.2)
+        self.complete_probe(policy, session.server.address, 0.2)
         assert effects.named("set_rung") == [("set_rung", "a", 2)]
-        raised_gap_us = sub.server.probe_interval_us
-        self.probed(policy, sub.server.address, 1.0)
-        assert sub.server.probe_interval_us == 2 * raised_gap_us
+        interval_us = session.server.probe_interval_us
+        self.complete_probe(policy, session.server.address, 1.0)
+        assert session.server.probe_interval_us == 2 * interval_us
 
-    def test_a_probe_that_does_not_pay_now_is_planned_anew(self) -> None:
-        # Planned once only, a play whose link was marked full at its turn was never raised again.
-        for price, sent in ((0.01, 1), (9.0, 0)):
+    def test_a_probe_that_does_not_pay_now_is_scheduled_again(self) -> None:
+        # Scheduled only once, a session whose link was marked full at that time was never raised again.
+        for price, probe_count in ((0.01, 1), (9.0, 0)):
             policy, effects = front(probe_price=price, has_unsolicited_reports=False)
             play(policy)
             set_rungs(policy, {policy.sessions["a"]: 0})
             server = policy.sessions["a"].server
             server.link.full_until_us = policy.now_us + 60 * SECOND
-            for full_until_us, probes in ((server.link.full_until_us, 0), (0, sent)):
+            for full_until_us, probes in ((server.link.full_until_us, 0), (0, probe_count)):
                 server.link.full_until_us = full_until_us
                 assert server.next_probe_us is not None
                 policy.handle(TimerFired(TimerName.PROBE), server.next_probe_us)
                 assert len(effects.named("probe")) == probes
 
-    def test_a_shard_owner_adds_reported_attempts_and_names_unknown_loads(self) -> None:
-        policy, effects = self.unheard(front_count=3, peer_price=0.01)
+    def test_a_shard_owner_adds_announced_rates_and_answers_with_unknown_loads(self) -> None:
+        policy, effects = self.front_without_reports(front_count=3, peer_price=0.01)
         policy.servers["s1"].link.observe(0.3, policy.now_us)
         policy.handle(PeerMessage(2, sent_rates=((1, 200), (9, 200))), policy.now_us + 1000)
         policy.handle(PeerMessage(2, polled_cells=(1, 2, 9)), policy.now_us)
-        ((_, to, said),) = effects.named("send_peer_message")
-        assert to == 2
-        assert [(load.cell, load.link) for load in said.loads] == [(1, 0.5), (2, None)]
+        ((_, receiver, message),) = effects.named("send_peer_message")
+        assert receiver == 2
+        assert [(load.cell, load.link) for load in message.loads] == [(1, 0.5), (2, None)]
 
     def test_a_request_waits_for_the_shard_owner_and_then_uses_its_loads(self) -> None:
-        policy, effects = self.unheard(front_count=9, front_index=5, peer_price=0.01)
+        policy, effects = self.front_without_reports(front_count=9, front_index=5, peer_price=0.01)
         ask(policy)
-        asked = ("send_peer_message", 0, PeerMessage(5, polled_cells=(0, 1, 2)))
-        assert effects.named("send_peer_message") == [asked]
-        loads = tuple(CellLoad(cell, level, None, 0) for cell, level in enumerate((0.9, 0.0, 0.9)))
+        poll = ("send_peer_message", 0, PeerMessage(5, polled_cells=(0, 1, 2)))
+        assert effects.named("send_peer_message") == [poll]
+        loads = tuple(CellLoad(cell, link, None, 0) for cell, link in enumerate((0.9, 0.0, 0.9)))
         policy.handle(PeerMessage(0, loads=loads), policy.now_us + 10_000)
         ((_, _, server, _),) = effects.named("start_attempt")
         assert server == "s1"
         sent = ("send_peer_message", 0, PeerMessage(5, sent_rates=((1, 400),)))
         assert effects.named("send_peer_message")[-1] == sent
 
-    def test_a_title_that_lies_everywhere_is_asked_about_at_a_few(self) -> None:
-        # 6,000 at once, each asking of every cell and each reply searched for among all, took over 10 s.
-        policy, effects = self.unheard(
+    def test_a_title_stored_on_all_servers_is_polled_for_at_a_few(self) -> None:
+        # 6,000 requests at once took over 10 s: each polled all cells and searched for its replies among all.
+        policy, effects = self.front_without_reports(
             servers=60, front_count=90, front_index=80, cell_count=60, peer_price=0.01
         )
         ask(policy, cell_count=60)
-        asks = [cell for _, _, said in effects.named("send_peer_message") for cell in said.polled_cells]
-        assert len(asks) == 8
+        polled = [
+            cell for _, _, message in effects.named("send_peer_message") for cell in message.polled_cells
+        ]
+        assert len(polled) == 8
         assert sum(len(server.waiting_sessions) for server in policy.servers.values()) == 8
         policy.handle(TimerFired(TimerName.POLL_DEADLINE), policy.now_us + SECOND)
         assert policy.polling_sessions == {}
         assert not any(server.waiting_sessions for server in policy.servers.values())
         effects.calls.clear()
         policy.handle(PeerMessage(3, polled_cells=tuple(range(60))), policy.now_us)
-        assert [len(said.loads) for _, _, said in effects.named("send_peer_message")] == [8]
+        assert [len(message.loads) for _, _, message in effects.named("send_peer_message")] == [8]
 
-    def test_a_fault_is_sent_to_the_shard_owner_and_fills_the_server_for_others(self) -> None:
+    def test_a_fault_is_reported_to_the_shard_owner_as_a_full_server(self) -> None:
         policy, effects = front(front_count=9, front_index=5, peer_price=0.01)
         ask(policy)
         end(policy, Outcome.NO_ANSWER)
-        told = [said.loads for _, _, said in effects.named("send_peer_message") if said.loads]
-        assert [load.link for loads in told for load in loads] == [inf]
+        sent = [message.loads for _, _, message in effects.named("send_peer_message") if message.loads]
+        assert [load.link for loads in sent for load in loads] == [inf]
 
-    def test_a_load_of_before_a_server_s_restart_is_ignored(self) -> None:
-        policy, _ = self.unheard(front_count=9, front_index=5, peer_price=0.01)
+    def test_a_load_from_before_the_restart_of_a_server_is_ignored(self) -> None:
+        policy, _ = self.front_without_reports(front_count=9, front_index=5, peer_price=0.01)
         policy.servers["s0"].started_us = policy.now_us - SECOND
         policy.handle(PeerMessage(0, loads=(CellLoad(0, 0.5, None, 2 * SECOND),)), policy.now_us)
         assert policy.servers["s0"].link.report is None
 
-    def test_bytes_there_and_back_and_malformed_ones(self) -> None:
-        said = PeerMessage(3, loads=tuple(CellLoad(cell, 0.5, None, 300_000) for cell in range(60)))
-        parts = encode(said)
+    def test_encoded_messages_are_decoded_and_malformed_ones_are_not(self) -> None:
+        message = PeerMessage(3, loads=tuple(CellLoad(cell, 0.5, None, 300_000) for cell in range(60)))
+        parts = encode(message)
         assert max(map(len, parts)) <= 256
-        back = [decode(3, part) for part in parts]
-        assert tuple(load for part in back if part for load in part.loads) == said.loads
-        most = PeerMessage(1, sent_rates=((7, 65_535),))
-        assert decode(1, encode(PeerMessage(1, sent_rates=((7, 99999),)))[0]) == most
+        decoded = [decode(3, part) for part in parts]
+        assert tuple(load for part in decoded if part for load in part.loads) == message.loads
+        largest = PeerMessage(1, sent_rates=((7, 65_535),))
+        assert decode(1, encode(PeerMessage(1, sent_rates=((7, 99999),)))[0]) == largest
         for raw in (b"", b"\x01", b"\x02abc", b"\x09ab", bytes(257)):
             assert decode(3, raw) is None, raw
 
 
 class UtilityTest(unittest.TestCase):
-    def test_a_raise_must_repay_its_change_in_the_time_left(self) -> None:
+    def test_a_raise_must_repay_its_switch_in_the_time_left(self) -> None:
         policy, effects = front(rung_switch_cost_us=SECOND)
         play(policy, expected_play_us=SECOND)
         set_rungs(policy, {policy.sessions["a"]: 0})
@@ -696,25 +701,25 @@
         raise_rungs(policy, policy.sessions["a"].server, None)
         assert effects.named("set_rung") == [("set_rung", "a", 2)]  # both steps in one change
 
-    def test_a_guess_that_has_run_out_leaves_some_part_of_itself(self) -> None:
+    def test_an_exceeded_estimate_of_the_playing_time_leaves_half_of_it(self) -> None:
         policy, _ = front()
         play(policy, expected_play_us=10 * SECOND)
         policy.now_us += 60 * SECOND
         assert policy.remaining_play_us(policy.sessions["a"]) == 5 * SECOND
 
-    def test_past_its_quota_a_tenants_request_counts_less(self) -> None:
+    def test_a_request_over_its_tenants_quota_counts_less(self) -> None:
         policy, _ = front(
             quotas={"t": 0.2}, over_quota_utility=0.1
-        )  # one in ten seconds for this front of two
-        shares = [quota_share(policy, Request(str(i), "room", 5, 0, 3, 2, SECOND, "t")) for i in range(4)]
+        )  # one request in ten seconds for this front of two
+        shares = [quota_share(policy, Request(str(i), "standard", 5, 0, 3, 2, SECOND, "t")) for i in range(4)]
         assert (shares[0], round(shares[3], 2)) == (1.0, 0.46)
-        again = quota_share(policy, Request("r", "room", 5, 0, 3, 2, SECOND, "t", is_repeat=True))
-        assert again == shares[3]
-        assert quota_share(policy, Request("n", "room", 5, 0, 3, 2, SECOND)) == 1.0
+        repeated = quota_share(policy, Request("r", "standard", 5, 0, 3, 2, SECOND, "t", is_repeat=True))
+        assert repeated == shares[3]
+        assert quota_share(policy, Request("n", "standard", 5, 0, 3, 2, SECOND)) == 1.0
 
-    def test_the_worst_served_class_counts_once_more(self) -> None:
+    def test_the_worst_served_class_counts_a_second_time(self) -> None:
         policy, _ = front(worst_class_weight=0.5)
-        other = replace(policy.settings.service_classes["room"], priority_weight=2.0)
+        other = replace(policy.settings.service_classes["standard"], priority_weight=2.0)
         policy.settings.service_classes["other"] = other
         play(policy, "a")
         play(policy, "b", service_class="other")
@@ -723,7 +728,7 @@
         assert policy.class_utility(policy.sessions["b"].service_class) == 2.0
         assert policy.class_utility(policy.sessions["a"].service_class) == 1 + 0.5 * 3
 
-    def test_the_lowest_rung_may_use_the_tenth_held_back(self) -> None:
+    def test_the_lowest_rung_may_use_the_reserve(self) -> None:
         policy, effects = front()
         for server in policy.servers.values():
             server.link.observe(0.85, policy.now_us)
@@ -731,8 +736,8 @@
         assert effects.named("set_rung") == [("set_rung", "a", 0)]
 
 
-class SameEventsTest(unittest.TestCase):
-    def test_same_seed_same_actions(self) -> None:
+class DeterminismTest(unittest.TestCase):
+    def test_the_same_seed_gives_the_same_effects(self) -> None:
         calls = []
         for _ in range(2):
             policy, effects = front(3)
@@ -747,8 +752,8 @@
 
 
 class SeatTableTest(unittest.TestCase):
-    def test_a_title_that_nobody_plays_any_more_leaves_no_seats_behind(self) -> None:
-        # Each title ever asked for was kept, for as long as the process lived.
+    def test_a_title_without_sessions_has_no_entry_in_the_seat_table(self) -> None:
+        # Otherwise each title that was ever requested stays in memory until the process ends.
         policy, _ = front()
         for title in range(50):
             play(policy, f"session-{title}", title=title)
--- a/tests/test_top.py
+++ b/tests/test_top.py
@@ -1,4 +1,4 @@
-"""A client whose highest rung changes while its session plays."""
+"""Changes of the highest rung that a client can use while its session is playing."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from tests.helpers import ask, front, play
 
 
-class TopChangedTest(unittest.TestCase):
-    def test_a_lower_top_lowers_the_rung_at_once_and_frees_the_link(self) -> None:
+class TopRungChangedTest(unittest.TestCase):
+    def test_a_lower_top_rung_lowers_the_rung_at_once_and_frees_link_capacity(self) -> None:
         policy, effects = front()
         play(policy)
-        sub = policy.sessions["a"]
-        assert sub.rung == 2
-        before = sub.server.own_kb
+        session = policy.sessions["a"]
+        assert session.rung == 2
+        before = session.server.own_kb
         policy.handle(TopRungChanged("a", 0), policy.now_us)
-        assert (sub.rung, sub.top_rung) == (0, 0)
+        assert (session.rung, session.top_rung) == (0, 0)
         assert effects.named("set_rung")[-1] == ("set_rung", "a", 0)
-        assert before - sub.server.own_kb == 300.0
+        assert before - session.server.own_kb == 300.0
 
-    def test_a_higher_top_changes_nothing_until_there_is_room_to_raise(self) -> None:
+    def test_a_higher_top_rung_changes_nothing_until_there_is_capacity(self) -> None:
         policy, effects = front()
         play(policy, top_rung=0)
         count = len(effects.calls)
@@ -29,20 +29,20 @@
         assert (policy.sessions["a"].rung, policy.sessions["a"].top_rung) == (0, 2)
         assert len(effects.calls) == count
 
-    def test_never_under_the_floor(self) -> None:
+    def test_never_below_the_lowest_rung_of_the_class(self) -> None:
         policy, _ = front(service_class={"min_rung": 1})
         play(policy)
         policy.handle(TopRungChanged("a", 0), policy.now_us)
         assert (policy.sessions["a"].rung, policy.sessions["a"].top_rung) == (1, 1)
 
-    def test_a_session_that_has_ended_is_ignored(self) -> None:
+    def test_a_change_for_an_ended_session_is_ignored(self) -> None:
         policy, effects = front()
-        policy.handle(TopRungChanged("gone", 0), policy.now_us)
+        policy.handle(TopRungChanged("ended", 0), policy.now_us)
         assert effects.calls == []
 
 
 class NoWarmUpTest(unittest.TestCase):
-    def test_settings_without_a_warm_up_are_no_division_by_nothing(self) -> None:
+    def test_settings_without_a_warm_up_cause_no_division_by_zero(self) -> None:
         policy, effects = front(warm_up_us=0)
         for server in policy.servers.values():
             server.started_us, server.link.report = 1, None
