--- a/packages/placement/src/fennelcove/placement/bitrate_adaptation.py
+++ b/packages/placement/src/fennelcove/placement/bitrate_adaptation.py
@@ -5,7 +5,7 @@
 
 
 def initial_top_rung(state: PolicyState, session: Session, replicas: list[Server]) -> int:
-    """Highest rung whose step has at least half the utility of the best step that others wait for.
+    """Highest rung whose step has at least half the utility per kB/s of the best step that others wait for.
 
     The others are this front's sessions on the replicas, or all of its sessions if there are none there.
     """
@@ -39,7 +39,10 @@
 
 
 def repays_switch(state: PolicyState, session: Session, rung: int, price: float = 0.0) -> bool:
-    """Whether a raise yields more in the time left than the switch and a price, per typical play, cost."""
+    """Whether the gain of a raise in the time left exceeds the cost of the switch and a price.
+
+    The price is per typical playing time.
+    """
     gain = state.settings.rung_utilities[rung] - state.settings.rung_utilities[session.rung]
     cost_us = state.settings.rung_switch_cost_us + price * state.typical_play_us
     return gain * state.remaining_play_us(session) > cost_us
@@ -150,7 +153,8 @@
         step_kb = state.rate_kb(session, rung) - state.rate_kb(session, rung - 1)
         fits = step_kb < residual_kb - spent_kb and uniform_draw * step_kb < budget_kb - spent_kb
         if fits and rungs.get(session, session.rung) == rung - 1:
-            rungs[session] = rung  # a step larger than the budget is taken with a probability, by one front
+            # A step larger than the budget is taken with a probability, so that about one front takes it.
+            rungs[session] = rung
             spent_kb += step_kb
     if other_fronts and spent_kb:
         record_sent(server, min(spent_kb, budget_kb) * others_kb / own_kb, state.now_us)
--- a/packages/placement/src/fennelcove/placement/records.py
+++ b/packages/placement/src/fennelcove/placement/records.py
@@ -150,7 +150,8 @@
     report: float | None = None  # reported load, as a share of the capacity
     as_of_us: int = 0  # time of the reported measurement
     full_until_us: int = 0  # end of the time in which short delivery marks the link as full
-    # Pairs of time and kB/s, by time; bounded, since some links are never reported.
+    # Rates assigned since the report: pairs of time and kB/s, in order of time. Bounded, since some links are
+    # never reported.
     unreported: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=4096))
     unreported_kb: float = 0.0  # their sum
 
--- a/packages/placement/src/fennelcove/placement/slow_start.py
+++ b/packages/placement/src/fennelcove/placement/slow_start.py
@@ -40,7 +40,7 @@
 
 
 def elapsed_turns(state: PolicyState, server: Server, at_us: int) -> float:
-    """Turns of all fronts since a server's start; their rate rises linearly with the server's capacity."""
+    """Turns from a server's start to a time; their rate rises linearly with the server's capacity."""
     warm_up_fraction = max(0, uptime_us(state, server) - state.now_us + at_us) / state.settings.warm_up_us
     return (
         server.max_streams
