--- a/packages/node/src/fennelcove/isup/messages.py
+++ b/packages/node/src/fennelcove/isup/messages.py
@@ -13,31 +13,31 @@
     """Bytes that are no message; the connection can't be read any further."""
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """Types of message."""
 
     SET_UP = 1
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12
-    RELEASE_HEARD = 16
-    NOTE = 44
+    RELEASE_COMPLETE = 16
+    SESSION_REPORT = 44
     MOVE = 51
-    TEST = 52
-    TESTED = 53
+    KEEPALIVE = 52
+    KEEPALIVE_ANSWER = 53
     RUNG = 60
 
 
-class Code(IntEnum):
+class Parameter(IntEnum):
     """Parameters; values are text, but for the cause (one byte) and the description (bytes)."""
 
-    ROOM = 100
-    WAIT_MS = 103
+    SERVICE_CLASS = 100
+    TIMEOUT_MS = 103
     TITLE = 112
-    NOTE_NAME = 121
-    REPORT = 127
+    REPORT_NAME = 121
+    LOAD_REPORT = 127
     RUNG = 133
-    FIGURE = 136
+    REPORT_VALUE = 136
     CAUSE = 142
     DESCRIPTION = 145
 
@@ -46,27 +46,27 @@
     """The reason for which a set-up or a session ends."""
 
     OK = 16  # from a node before the answer: the set-up is abandoned
-    CALLED_OFF = 31
+    CANCELLED = 31
     FULL = 34
     RESET = 41
     ERROR = 47
-    MOOT = 102
+    NOT_EXECUTED = 102
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Message:
     """One message; a parameter is given once at most."""
 
-    kind: Kind
+    kind: MessageKind
     session: bytes
     parameters: dict[int, bytes]
 
     @property
     def cause(self) -> int | None:
         """The cause, or None if it is absent or not one byte."""
-        value = self.parameters.get(Code.CAUSE, b"")
+        value = self.parameters.get(Parameter.CAUSE, b"")
         return value[0] if len(value) == 1 else None
 
-    def text(self, code: Code) -> str:
+    def text(self, code: Parameter) -> str:
         """Return a text parameter, with non-ASCII bytes replaced; empty if it is absent."""
         return self.parameters.get(code, b"").decode("ascii", "replace")
--- a/packages/node/src/fennelcove/isup/reader.py
+++ b/packages/node/src/fennelcove/isup/reader.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from fennelcove.isup.messages import MAX_MESSAGE_BYTES, SESSION_BYTES, Kind, Message, ProtocolError
+from fennelcove.isup.messages import MAX_MESSAGE_BYTES, SESSION_BYTES, Message, MessageKind, ProtocolError
 
-_KINDS = {int(kind): kind for kind in Kind}
+_KINDS = {int(kind): kind for kind in MessageKind}
 
-LEADING_BYTES = 3  # the length of a message and its kind
+HEADER_BYTES = 3  # the length of a message and its kind
 
 
 class Reader:
@@ -36,7 +36,7 @@
             raise
 
     def _read_message(self) -> Message | None:
-        if len(self.buffer) < LEADING_BYTES:
+        if len(self.buffer) < HEADER_BYTES:
             return None
         length = int.from_bytes(self.buffer[:2], "big")
         # Both are known from the first bytes: noise must not wait for a message that never ends.
@@ -53,13 +53,13 @@
 
 
 def _parse_parameters(raw: bytes, at: int) -> dict[int, bytes]:
-    found: dict[int, bytes] = {}
+    parameters: dict[int, bytes] = {}
     while at < len(raw):
         end = at + 3 + int.from_bytes(raw[at + 1 : at + 3], "big")
         if at + 3 > len(raw) or end > len(raw):
             raise ProtocolError("a parameter longer than its message")
-        if raw[at] in found:
+        if raw[at] in parameters:
             raise ProtocolError(f"parameter {raw[at]} given twice")
-        found[raw[at]] = raw[at + 3 : end]
+        parameters[raw[at]] = raw[at + 3 : end]
         at = end
-    return found
+    return parameters
--- a/packages/node/src/fennelcove/isup/writer.py
+++ b/packages/node/src/fennelcove/isup/writer.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from fennelcove.isup.messages import MAX_MESSAGE_BYTES, SESSION_BYTES, Cause, Code, Kind
+from fennelcove.isup.messages import MAX_MESSAGE_BYTES, SESSION_BYTES, Cause, MessageKind, Parameter
 
 
-def message(kind: Kind, session: bytes, *parameters: tuple[Code, bytes]) -> bytes:
+def message(kind: MessageKind, session: bytes, *parameters: tuple[Parameter, bytes]) -> bytes:
     """Encode a message.
 
     Raises:
@@ -22,4 +22,4 @@
 
 def release(session: bytes, cause: Cause) -> bytes:
     """Encode the end of a session, or the abandonment of a set-up."""
-    return message(Kind.RELEASE, session, (Code.CAUSE, bytes([cause])))
+    return message(MessageKind.RELEASE, session, (Parameter.CAUSE, bytes([cause])))
--- a/packages/node/src/fennelcove/node/attempt_dispatcher.py
+++ b/packages/node/src/fennelcove/node/attempt_dispatcher.py
@@ -37,7 +37,7 @@
         if idle:
             attempt.link = idle[-1]
             attempt.link.dispatch(session)
-        elif self._pool.make_room():
+        elif self._pool.ensure_capacity():
             connection = attempt.link = self._pool.create(attempt.server)
             connection.dispatch(session)
             connection.start()
--- a/packages/node/src/fennelcove/node/client_connection.py
+++ b/packages/node/src/fennelcove/node/client_connection.py
@@ -274,8 +274,8 @@
     def _process_next(self) -> None:
         queue = self.receive_queue
         message = queue.pop()
-        is_moot = self.is_ended_by_client or self.is_closed or queue.is_withdrawn(message)
-        client_requests.on_client_message(self.manager, self, message, is_moot)
+        is_abandoned = self.is_ended_by_client or self.is_closed or queue.is_withdrawn(message)
+        client_requests.on_client_message(self.manager, self, message, is_abandoned)
 
     def _receive_following(self) -> bytes | None:
         """Return what has arrived behind the messages being processed; an end is handled at once."""
@@ -377,7 +377,7 @@
             if not same_peer:
                 del self.connections_by_peer[connection.peer]
 
-    def find_connection(self, peer: str, figure: str = "") -> ClientConnection | None:
+    def find_connection(self, peer: str, client_id: str = "") -> ClientConnection | None:
         """Return an open connection of this peer, or None.
 
         One on which this client has sent a request comes first, then one that has sent any message: clients
@@ -385,7 +385,7 @@
         """
         same_peer = sorted(
             self.connections_by_peer.get(peer, ()),
-            key=lambda each: (figure not in each.recent_clients, not each.has_sent_message),
+            key=lambda each: (client_id not in each.recent_clients, not each.has_sent_message),
         )
         return next((each for each in same_peer if not each.has_left()), None)
 
--- a/packages/node/src/fennelcove/node/config.py
+++ b/packages/node/src/fennelcove/node/config.py
@@ -58,18 +58,18 @@
     # `limits` and `settings` as the file has them, to name the keys that differ.
     raw_sections: dict[str, dict[str, Any]]
 
-    def fields_changed_in(self, fresh: Config) -> list[str]:
-        """Return the fields that differ in a fresh file, by their names in the file.
+    def fields_changed_in(self, reloaded: Config) -> list[str]:
+        """Return the fields that differ in a reloaded file, by their names in the file.
 
         `board`, `known` and `seed` may differ at each reading. Settings that are not read don't count.
         """
-        found = [name for name in ("name", "listen") if getattr(self, name) != getattr(fresh, name)]
+        found = [name for name in ("name", "listen") if getattr(self, name) != getattr(reloaded, name)]
         settings_differ = (
-            asdict(self.settings) != asdict(fresh.settings)
-            or self.connection_settings != fresh.connection_settings
+            asdict(self.settings) != asdict(reloaded.settings)
+            or self.connection_settings != reloaded.connection_settings
         )
         for part in ("limits", "settings") if settings_differ else ("limits",):
-            was, now = self.raw_sections[part], fresh.raw_sections[part]
+            was, now = self.raw_sections[part], reloaded.raw_sections[part]
             found += [
                 f"{part}.{key}" for key in sorted(was.keys() | now.keys()) if was.get(key) != now.get(key)
             ]
@@ -97,11 +97,11 @@
         ConfigError: as `load`.
         ConfigMismatchError: it is another node's, or changes a field that takes a restart.
     """
-    fresh = load(path)
-    changed = running.fields_changed_in(fresh)
+    reloaded = load(path)
+    changed = running.fields_changed_in(reloaded)
     if changed:
         raise ConfigMismatchError(f"differs from what the node runs by in {', '.join(changed)}", path)
-    return fresh
+    return reloaded
 
 
 def parse(tree: Any) -> Config:
@@ -113,7 +113,7 @@
     if not isinstance(tree, dict):
         raise ConfigError("found no object")
     settings, _ = facts.read_settings(tree.get("settings"))
-    terms = facts.connection_settings(tree.get("settings"))
+    connection = facts.connection_settings(tree.get("settings"))
     limits = facts.SettingsReader(tree.get("limits", {}), "limits")
     seed = tree.get("seed", "0")
     return Config(
@@ -125,9 +125,9 @@
         initial_batch=DiscoveryBatch.parse(tree.get("known", {"rev": 0, "notices": []})),
         settings=settings,
         connection_settings=ConnectionSettings(
-            terms.connect_us or DEFAULT_CONNECT_TIMEOUT_US,
-            terms.idle_us or DEFAULT_IDLE_TIMEOUT_US,
-            terms.longest_us,
+            connection.connect_us or DEFAULT_CONNECT_TIMEOUT_US,
+            connection.idle_us or DEFAULT_IDLE_TIMEOUT_US,
+            connection.longest_us,
         ),
         raw_sections={"limits": limits.tree, "settings": tree["settings"]},
     )
--- a/packages/node/src/fennelcove/node/config_reloader.py
+++ b/packages/node/src/fennelcove/node/config_reloader.py
@@ -57,14 +57,14 @@
         """Apply the file; one that can't be used changes nothing, and is logged once."""
         for attempts_left in reversed(range(MAX_ATTEMPTS)):
             try:
-                fresh = self._read()
+                reloaded = self._read()
             except (ConfigError, ConfigMismatchError) as error:
                 if attempts_left:
                     time.sleep(RETRY_DELAY_S)
                 else:
                     self.log("config_reload_failed", **error.fields())
                 continue
-            address = fresh.discovery_address
+            address = reloaded.discovery_address
             self.change_discovery_address(address)
             self.log("config_reloaded", board=f"{address.host}:{address.port}")
             return
--- a/packages/node/src/fennelcove/node/discovery_client.py
+++ b/packages/node/src/fennelcove/node/discovery_client.py
@@ -221,17 +221,17 @@
 
     def _receive_response(self, connection: _Connection) -> Whole:
         sock, responses = connection.sock, connection.responses
-        silent_us = self.clock.now_us() + LONG_POLL_MS * 1000 + RESPONSE_GRACE_US
-        deadline_us = silent_us + MAX_RESPONSE_US
+        receive_deadline_us = self.clock.now_us() + LONG_POLL_MS * 1000 + RESPONSE_GRACE_US
+        deadline_us = receive_deadline_us + MAX_RESPONSE_US
         while (response := responses.next()) is None:
             now_us = self.clock.now_us()
-            remaining_us = min(silent_us, deadline_us) - now_us
+            remaining_us = min(receive_deadline_us, deadline_us) - now_us
             if remaining_us <= 0:
                 raise TimeoutError("the discovery service is silent, or too slow")
             sock.settimeout(remaining_us / 1e6)
             data = sock.recv(READ_BYTES)
             # A large list over a slow path takes longer than a poll may wait; it only must not stand still.
-            silent_us = max(silent_us, self.clock.now_us() + RESPONSE_GRACE_US)
+            receive_deadline_us = max(receive_deadline_us, self.clock.now_us() + RESPONSE_GRACE_US)
             responses.reader.feed(data)
             if not data and responses.reader.between:
                 raise ConnectionResetError("closed before its response")
--- a/packages/node/src/fennelcove/node/discovery_events.py
+++ b/packages/node/src/fennelcove/node/discovery_events.py
@@ -56,50 +56,50 @@
     @property
     def last_revision(self) -> int:
         """The revision to poll after next."""
-        return max(self.revision, *(notice.revision for notice in self.events), 0)
+        return max(self.revision, *(event.revision for event in self.events), 0)
 
-    def has_gap_after(self, watch: int) -> bool:
-        """Whether a revision after `watch`, up to the last, is missing from the batch."""
-        numbers = {notice.revision for notice in self.events} | self.other_revisions
+    def has_gap_after(self, revision: int) -> bool:
+        """Whether a revision after `revision`, up to the last, is missing from the batch."""
+        numbers = {event.revision for event in self.events} | self.other_revisions
         last = self.last_revision
-        return sum(watch < rev <= last for rev in numbers) != last - watch
+        return sum(revision < rev <= last for rev in numbers) != last - revision
 
-    def events_after(self, watch: int, gapless: bool) -> tuple[DiscoveryEvent, ...] | None:
-        """Return the events after revision `watch`, each once and in order.
+    def events_after(self, revision: int, gapless: bool) -> tuple[DiscoveryEvent, ...] | None:
+        """Return the events after revision `revision`, each once and in order.
 
         Args:
-            watch: the last revision that has been applied; 0 if none has.
+            revision: the last revision that has been applied; 0 if none has.
             gapless: whether the service leaves no revision out.
 
         Returns:
-            The events; None if they do not follow upon `watch`: the revisions were restarted, one is missing,
-            or they change a list that was never received.
+            The events; None if they do not continue the list at `revision`: the service has restarted its
+            revisions, one is missing, or no full update was ever received.
         """
-        told: dict[int, DiscoveryEvent] = {}
-        for notice in self.events:
-            if notice.revision > watch:
-                told.setdefault(notice.revision, notice)
-        news = tuple(told[rev] for rev in sorted(told))
-        wholes = [i for i, notice in enumerate(news) if notice.update.mode is ListMode.FULL]
-        if wholes:
-            return (_merge_into_full_update(news[wholes[-1] :]),)
-        if not watch:
+        by_revision: dict[int, DiscoveryEvent] = {}
+        for event in self.events:
+            if event.revision > revision:
+                by_revision.setdefault(event.revision, event)
+        events = tuple(by_revision[rev] for rev in sorted(by_revision))
+        full_update_indexes = [i for i, event in enumerate(events) if event.update.mode is ListMode.FULL]
+        if full_update_indexes:
+            return (_merge_into_full_update(events[full_update_indexes[-1] :]),)
+        if not revision:
             return None if self.last_revision else ()
-        return None if self.last_revision < watch or (gapless and self.has_gap_after(watch)) else news
+        return None if self.last_revision < revision or (gapless and self.has_gap_after(revision)) else events
 
 
-def _merge_into_full_update(news: tuple[DiscoveryEvent, ...]) -> DiscoveryEvent:
+def _merge_into_full_update(events: tuple[DiscoveryEvent, ...]) -> DiscoveryEvent:
     """Return a full update and the changes after it as one full update.
 
     Applied one by one, a server that only a change names was off the list for a moment, and its state and
     connections were dropped.
     """
-    if len(news) == 1:
-        return news[0]
-    entries = {entry.address: entry for notice in news for entry in notice.update.entries}
-    dials = {name: dial for notice in news for name, dial in notice.addresses.items()}
+    if len(events) == 1:
+        return events[0]
+    entries = {entry.address: entry for event in events for entry in event.update.entries}
+    addresses = {name: dial for event in events for name, dial in event.addresses.items()}
     listed = tuple(entry for entry in entries.values() if entry.state is not ServerState.LEFT)
-    return DiscoveryEvent(news[-1].revision, ListUpdate(ListMode.FULL, listed), dials)
+    return DiscoveryEvent(events[-1].revision, ListUpdate(ListMode.FULL, listed), addresses)
 
 
 def _parse_event(tree: Any) -> DiscoveryEvent:
@@ -109,8 +109,8 @@
         raise DiscoveryError(f"found {len(hosts)}", "field hosts")
     mode = ListMode.FULL if _typed_field(pool, "whole", bool) else ListMode.INCREMENTAL
     entries = tuple(_parse_entry(host) for host in hosts)
-    dials = {e.address: _parse_server_address(host) for e, host in zip(entries, hosts, strict=True)}
-    return DiscoveryEvent(_typed_field(tree, "rev", int), ListUpdate(mode, entries), dials)
+    addresses = {e.address: _parse_server_address(host) for e, host in zip(entries, hosts, strict=True)}
+    return DiscoveryEvent(_typed_field(tree, "rev", int), ListUpdate(mode, entries), addresses)
 
 
 def _parse_server_address(tree: Any) -> Address:
@@ -125,15 +125,15 @@
 
 
 def _parse_entry(tree: Any) -> ListEntry:
-    standing = SERVER_STATES.get(_typed_field(tree, "health", str))
-    if standing is None:
+    state = SERVER_STATES.get(_typed_field(tree, "health", str))
+    if state is None:
         raise DiscoveryError(f"found an unknown value: {tree['health']!r}", "field health")
     return ListEntry(
         address=_typed_field(tree, "host", str),
         zone=_typed_field(tree, "site", str),
         kind=_typed_field(tree, "class", str),
         cell=_typed_field(tree, "block", int),
-        state=standing,
+        state=state,
         weight=_number_field(tree, "share", 1.0),
         started_us=round(_number_field(tree, "born_ms", 0.0) * 1000),
     )
--- a/packages/node/src/fennelcove/node/handovers.py
+++ b/packages/node/src/fennelcove/node/handovers.py
@@ -15,7 +15,7 @@
 from fennelcove.node.server_pool import ServerPool
 from fennelcove.node.session_states import SessionActions, release_message
 
-SERVER_TIMEOUT_US = 2_000_000  # how long a session waits for a list that names its server
+UNKNOWN_SERVER_TIMEOUT_US = 2_000_000  # how long a session waits for a list that names its server
 MAX_WAITING = 1_024  # sessions whose server is not known
 
 
@@ -59,7 +59,7 @@
         owner = self._context.servers[server] if is_known else Server(server, Address("", 0), listed=False)
         self._establish(session, owner)
         if not is_known:
-            deadline_us = self._context.now_us() + SERVER_TIMEOUT_US
+            deadline_us = self._context.now_us() + UNKNOWN_SERVER_TIMEOUT_US
             self.waiting[session] = WaitingHandover(deadline_us, request)
             return False
         self._attach(session, request, owner)
--- a/packages/node/src/fennelcove/node/node_lock.py
+++ b/packages/node/src/fennelcove/node/node_lock.py
@@ -29,7 +29,7 @@
     ) -> None:
         """Release the lock. A slow event is logged only then: the log may have to wait for its reader."""
         duration_us = self._clock.now_us() - self._acquired_us
-        is_to_be_logged = self._metrics.record_duration(threading.current_thread().name, duration_us)
+        should_log = self._metrics.record_duration(threading.current_thread().name, duration_us)
         self._lock.release()
-        if is_to_be_logged:
+        if should_log:
             self._metrics.log_slow_event(threading.current_thread().name, duration_us)
--- a/packages/node/src/fennelcove/node/outcome_mapping.py
+++ b/packages/node/src/fennelcove/node/outcome_mapping.py
@@ -6,7 +6,7 @@
 
 from fennelcove.facts import load_report
 from fennelcove.interface import LoadReport, Outcome, ReportKind
-from fennelcove.isup.messages import Cause, Code, Message
+from fennelcove.isup.messages import Cause, Message, Parameter
 
 REPORT_KINDS = {
     "quality": ReportKind.DELIVERED,
@@ -18,12 +18,12 @@
 ATTEMPT_OUTCOMES: dict[int | None, Outcome] = {
     Cause.FULL: Outcome.REJECTED,
     Cause.ERROR: Outcome.SERVER_ERROR,
-    Cause.MOOT: Outcome.NOT_SENT,
+    Cause.NOT_EXECUTED: Outcome.NOT_SENT,
 }
 # The outcome of an established session, by the cause of the release that ends it.
 SESSION_OUTCOMES: dict[int | None, Outcome] = {
     Cause.OK: Outcome.SERVED,
-    Cause.CALLED_OFF: Outcome.CANCELLED,
+    Cause.CANCELLED: Outcome.CANCELLED,
 }
 
 
@@ -36,7 +36,7 @@
 def parse_load_report(message: Message) -> LoadReport | None:
     """The load report in a message; None where there is none or it is malformed."""
     values: dict[str, float] = {}
-    for part in filter(None, message.text(Code.REPORT).split(";")):
+    for part in filter(None, message.text(Parameter.LOAD_REPORT).split(";")):
         name, _, raw = part.partition(":")
         value = parse_number(raw)
         if value is None:
--- a/packages/node/src/fennelcove/node/policy_effects.py
+++ b/packages/node/src/fennelcove/node/policy_effects.py
@@ -31,11 +31,11 @@
     def __init__(self, target: EffectTarget) -> None:
         self._target = target
 
-    def start_attempt(self, id: str, server: str, allow_us: int) -> None:
+    def start_attempt(self, id: str, server: str, timeout_us: int) -> None:
         """Attempt to set the session up at this server."""
         target = self._target
         session = self._session(id)
-        session.attempt = Attempt(target.servers[server], session.attempts, target.now_us(), allow_us)
+        session.attempt = Attempt(target.servers[server], session.attempts, target.now_us(), timeout_us)
         session.attempts += 1
         session_states.apply_event(target, session, SessionEvent.ATTEMPT_STARTED)
 
@@ -45,10 +45,10 @@
         session.rung = rung
         session_states.apply_event(self._target, session, SessionEvent.RUNG_CHANGED)
 
-    def reject(self, id: str, wait_us: int) -> None:
-        """Reject the session, to be retried after `wait_us`; 0 for no time given."""
+    def reject(self, id: str, retry_after_us: int) -> None:
+        """Reject the session, to be retried after `retry_after_us`; 0 for no time given."""
         session = self._session(id)
-        session.retry_after_us = wait_us
+        session.retry_after_us = retry_after_us
         session_states.apply_event(self._target, session, SessionEvent.REJECTED)
 
     def fail(self, id: str) -> None:
@@ -76,7 +76,7 @@
     def probe(self, server: str) -> None:
         """Do nothing: this protocol's probe shows a connection and no load."""
 
-    def send_peer_message(self, front: int, said: PeerMessage) -> None:
+    def send_peer_message(self, front: int, message: PeerMessage) -> None:
         """Do nothing: fronts of this protocol exchange no messages."""
 
     def _session(self, id: str) -> Session:
--- a/packages/node/src/fennelcove/node/server_connection.py
+++ b/packages/node/src/fennelcove/node/server_connection.py
@@ -16,7 +16,7 @@
 from fennelcove.decisions.servers.connection_loss import DialResult
 from fennelcove.interface import LoadReport, Outcome
 from fennelcove.isup import writer
-from fennelcove.isup.messages import Cause, Code, Kind, Message, ProtocolError
+from fennelcove.isup.messages import Cause, Message, MessageKind, Parameter, ProtocolError
 from fennelcove.isup.reader import Reader
 from fennelcove.node.config import Config
 from fennelcove.node.descriptor_budget import DescriptorBudget, DescriptorUse
@@ -174,43 +174,49 @@
         session.attempt.is_sent = True
         parameters = self._set_up_parameters(session, session.attempt)
         # If the kernel accepts only a part of it, nothing more is sent: no server receives it whole.
-        self.send(writer.message(Kind.SET_UP, session.id, *parameters), Outcome.NOT_SENT)
+        self.send(writer.message(MessageKind.SET_UP, session.id, *parameters), Outcome.NOT_SENT)
 
-    def _set_up_parameters(self, session: Session, attempt: Attempt) -> list[tuple[Code, bytes]]:
+    def _set_up_parameters(self, session: Session, attempt: Attempt) -> list[tuple[Parameter, bytes]]:
         deadline_us = attempt.sent_us + attempt.timeout_us
         remaining_ms = max(1, (deadline_us - self.manager.now_us()) // 1000)
         parameters = [
-            (Code.ROOM, session.service_class.encode()),
-            (Code.TITLE, session.title.encode()),
-            (Code.WAIT_MS, b"%d" % remaining_ms),
+            (Parameter.SERVICE_CLASS, session.service_class.encode()),
+            (Parameter.TITLE, session.title.encode()),
+            (Parameter.TIMEOUT_MS, b"%d" % remaining_ms),
         ]
         if session.rung is not None:
-            parameters.append((Code.RUNG, b"%d" % session.rung))
-        parameters.append((Code.DESCRIPTION, session.description))
+            parameters.append((Parameter.RUNG, b"%d" % session.rung))
+        parameters.append((Parameter.DESCRIPTION, session.description))
         return parameters
 
-    def send(self, data: bytes, unsent: Outcome = Outcome.CONNECTION_LOST) -> bool:
+    def send(self, data: bytes, failure_outcome: Outcome = Outcome.CONNECTION_LOST) -> bool:
         """Send a short message without waiting; a server that does not accept it is disconnected.
 
         Args:
             data: the whole message.
-            unsent: the outcome of the set-up in flight, if the message can't be sent.
+            failure_outcome: the outcome of the set-up in flight, if the message can't be sent.
 
         Returns:
             Whether the connection is still open.
         """
         if self.state is ConnectionState.OPEN and self.sock is not None and not send_now(self.sock, data):
-            self.close(unsent)
+            self.close(failure_outcome)
         return self.state is ConnectionState.OPEN
 
     def send_keepalive(self) -> None:
         """Send a keepalive request."""
         self.keepalive_sent_us = self.manager.now_us()
-        self.send(writer.message(Kind.TEST, NO_SESSION_ID, (Code.CAUSE, KEEPALIVE_REQUEST_CAUSE)))
+        self.send(
+            writer.message(MessageKind.KEEPALIVE, NO_SESSION_ID, (Parameter.CAUSE, KEEPALIVE_REQUEST_CAUSE))
+        )
 
     def answer_keepalive(self) -> None:
         """Answer the server's keepalive request."""
-        self.send(writer.message(Kind.TESTED, NO_SESSION_ID, (Code.CAUSE, KEEPALIVE_ANSWER_CAUSE)))
+        self.send(
+            writer.message(
+                MessageKind.KEEPALIVE_ANSWER, NO_SESSION_ID, (Parameter.CAUSE, KEEPALIVE_ANSWER_CAUSE)
+            )
+        )
 
     def abandon(self, session: Session) -> None:
         """Abandon the set-up in flight; an answer that still arrives for it is ignored."""
--- a/packages/node/src/fennelcove/node/server_messages.py
+++ b/packages/node/src/fennelcove/node/server_messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from fennelcove.interface import Outcome, ReportKind, SessionReport
-from fennelcove.isup.messages import Code, Kind, Message
+from fennelcove.isup.messages import Message, MessageKind, Parameter
 from fennelcove.node import outcome_mapping, session_states
 from fennelcove.node.attempt_dispatcher import AttemptDispatcher
 from fennelcove.node.model import ServerLink, Session, SessionState
@@ -43,9 +43,9 @@
         copy, or come ahead of its request.
         """
         session = self._context.sessions.get(message.session)
-        if message.kind is Kind.TEST:
+        if message.kind is MessageKind.KEEPALIVE:
             link.answer_keepalive()
-        if session is None and message.kind in (Kind.NOTE, Kind.RELEASE):
+        if session is None and message.kind in (MessageKind.SESSION_REPORT, MessageKind.RELEASE):
             # At a start a server reports the rungs of all its sessions as soon as a connection is open, and
             # most clients have not named theirs by then: ignored, all would be taken for the lowest rung.
             self._cache(link, message)
@@ -53,11 +53,11 @@
             return
         if session.state is SessionState.ATTEMPTING and session.attempt.link is not link:
             return  # of an earlier attempt under this id: until it succeeds, an attempt has one connection
-        if message.kind is Kind.ANSWER:
+        if message.kind is MessageKind.ANSWER:
             self._on_answer(link, session, message)
-        elif message.kind is Kind.RELEASE:
+        elif message.kind is MessageKind.RELEASE:
             self._on_release(link, session, message)
-        elif message.kind is Kind.NOTE and session.state is SessionState.ESTABLISHED:
+        elif message.kind is MessageKind.SESSION_REPORT and session.state is SessionState.ESTABLISHED:
             self._on_report(session, message)
 
     def replay(self, session: Session) -> None:
@@ -79,14 +79,14 @@
         messages = self.early.setdefault(message.session, [])
         if len(messages) < MAX_EARLY_MESSAGES:
             messages.append(EarlyMessage(self._context.now_us(), link, message))
-        elif message.kind is Kind.RELEASE:
+        elif message.kind is MessageKind.RELEASE:
             # Crowded out by notes, the end of a session was lost, and its client waited for good.
             messages[-1] = EarlyMessage(self._context.now_us(), link, message)
 
     def _on_answer(self, link: ServerLink, session: Session, message: Message) -> None:
         if session.state is not SessionState.ATTEMPTING:
             return  # a second copy
-        description = message.parameters.get(Code.DESCRIPTION)
+        description = message.parameters.get(Parameter.DESCRIPTION)
         if description is None:
             link.close(Outcome.CONNECTION_LOST)
             return
@@ -103,8 +103,8 @@
         self._attempts.on_completed(session, outcome, outcome_mapping.parse_load_report(message))
 
     def _on_report(self, session: Session, message: Message) -> None:
-        kind = outcome_mapping.REPORT_KINDS.get(message.text(Code.NOTE_NAME))
-        value = outcome_mapping.parse_number(message.text(Code.FIGURE))
+        kind = outcome_mapping.REPORT_KINDS.get(message.text(Parameter.REPORT_NAME))
+        value = outcome_mapping.parse_number(message.text(Parameter.REPORT_VALUE))
         if kind is None or value is None or session.attempt is None:
             return
         if kind is ReportKind.RUNG:
--- a/packages/node/src/fennelcove/node/server_pool.py
+++ b/packages/node/src/fennelcove/node/server_pool.py
@@ -9,8 +9,8 @@
 from fennelcove.node.server_connection import ConnectionOwner, ServerConnection
 
 # In this time each server with established sessions gets its turn, well within 8 s of a session's end.
-TURNS_US = 4_000_000
-MIN_TURN_US = 500_000  # how long one keeps its connection at least
+ROTATION_PERIOD_US = 4_000_000
+MIN_CONNECTION_AGE_US = 500_000  # how long one keeps its connection at least
 MAX_ABANDONED = 64  # set-ups, one after another on a connection whose server answers none of them
 
 
@@ -85,7 +85,7 @@
         oldest.close(Outcome.CONNECTION_LOST)
         return True
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Whether a connection may be opened, after an idle one was closed where that was necessary."""
         if self.is_full:
             self.close_idle()
@@ -97,9 +97,9 @@
         A server repeats on the next connection which sessions have ended. Those that may be gone come first:
         with a whole turn for each dial that shows it, clients heard of the end too late.
         """
-        turn_us = TURNS_US * self.max_connections // (self.max_connections + len(waiting))
+        turn_us = ROTATION_PERIOD_US * self.max_connections // (self.max_connections + len(waiting))
         for server in sorted(waiting, key=lambda server: (not _is_urgent(server), server.last_closed_us)):
-            if self.is_full and not self.close_idle(MIN_TURN_US if _is_urgent(server) else turn_us):
+            if self.is_full and not self.close_idle(MIN_CONNECTION_AGE_US if _is_urgent(server) else turn_us):
                 return
             self.create(server).start()
 
--- a/packages/node/src/fennelcove/node/session_guard.py
+++ b/packages/node/src/fennelcove/node/session_guard.py
@@ -77,9 +77,9 @@
         for session in client.open_sessions:
             self._require(Invariant.ANSWERED_BEFORE_CLOSE, session, holds=False)
 
-    def check_release(self, session: Session, *, is_kept: bool) -> None:
+    def check_release(self, session: Session, *, is_queued: bool) -> None:
         """Check that a release which could not be sent is kept for the client's next connection."""
-        self._require(Invariant.RELEASE_KEPT, session, holds=is_kept)
+        self._require(Invariant.RELEASE_KEPT, session, holds=is_queued)
 
     def _is_single_shot(self, session: Session) -> bool:
         service_class = self._context.config.settings.service_classes.get(session.service_class)
--- a/packages/node/src/fennelcove/node/session_manager.py
+++ b/packages/node/src/fennelcove/node/session_manager.py
@@ -42,18 +42,18 @@
         config: Config,
         clock: Clock,
         timers: Timers,
-        notice: EventLogger,
+        logger: EventLogger,
         descriptors: DescriptorBudget | None = None,
     ) -> None:
-        """Create a node without servers; `notice` logs an event with its fields."""
+        """Create a node without servers; `logger` logs an event with its fields."""
         self.config = config
         self.clock = clock
         self.timers = timers
-        self.logger = notice
+        self.logger = logger
         self.descriptors = descriptors or DescriptorBudget(effective_limit(config.socket_limit))
         self.is_shutting_down = False
         self.request_full_list: Callable[[], None] = lambda: None  # requests the whole list of servers
-        self.context = NodeContext(config, clock, timers, notice, self.descriptors)
+        self.context = NodeContext(config, clock, timers, logger, self.descriptors)
         self.sessions = self.context.sessions
         self.servers = self.context.servers
         self.connections = self.context.connections
--- a/packages/node/src/fennelcove/node/session_messenger.py
+++ b/packages/node/src/fennelcove/node/session_messenger.py
@@ -35,8 +35,8 @@
             client = self._context.connections.find_connection(session.peer, session.client_id)
         if client is None or not client.send(data):
             self._context.metrics.count(Metric.RELEASE_DEFERRED, "client")
-            is_kept = self._context.connections.defer(session.peer, data, self._context.now_us())
-            self._guard.check_release(session, is_kept=is_kept)
+            is_queued = self._context.connections.defer(session.peer, data, self._context.now_us())
+            self._guard.check_release(session, is_queued=is_queued)
 
     def send_to_server(self, session: Session, data: bytes) -> None:
         """Send on an open connection to the session's server, or keep it for the next one."""
--- a/packages/node/src/fennelcove/node/session_states.py
+++ b/packages/node/src/fennelcove/node/session_states.py
@@ -8,7 +8,7 @@
 
 from fennelcove.interface import AttemptCompleted, ClientGone, Event, Outcome, SessionStarted
 from fennelcove.isup import writer as isup
-from fennelcove.isup.messages import Cause, Code, Kind
+from fennelcove.isup.messages import Cause, MessageKind, Parameter
 from fennelcove.node.metrics import Metric, NodeMetrics
 from fennelcove.node.model import Session, SessionState
 from fennelcove.rtsp import writer as rtsp
@@ -21,7 +21,7 @@
 TEARDOWN_CSEQ = "2"
 REDIRECT_CSEQ = "4"
 # The outcomes that prove that no server carried the attempt out.
-NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT})
+NOT_EXECUTED_OUTCOMES = frozenset({Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT})
 # What a server's end of a session means to its client; any other outcome is a reset.
 RELEASE_CAUSES = {Outcome.SERVED: Cause.OK}
 
@@ -214,7 +214,7 @@
 
 def _send_rung(actions: SessionActions, session: Session) -> None:
     rung = b"%d" % (session.rung or 0)
-    actions.send_to_server(session, isup.message(Kind.RUNG, session.id, (Code.RUNG, rung)))
+    actions.send_to_server(session, isup.message(MessageKind.RUNG, session.id, (Parameter.RUNG, rung)))
 
 
 def _migrate(actions: SessionActions, session: Session) -> None:
@@ -227,7 +227,7 @@
 def _complete_attempt(actions: SessionActions, session: Session, *, is_finished: bool) -> None:
     attempt = session.current_attempt
     attempt.link = None
-    session.may_have_run |= attempt.outcome not in NEVER_RAN
+    session.may_have_run |= attempt.outcome not in NOT_EXECUTED_OUTCOMES
     attempt.server.outcome_counts[attempt.outcome] += 1
     actions.metrics.count(Metric.ATTEMPT, attempt.outcome.name)
     if is_finished:
@@ -250,29 +250,43 @@
     return is_delivered
 
 
-def _row(state: SessionState, *actions: Action) -> Transition[SessionState, Action]:
+def _transition_to(state: SessionState, *actions: Action) -> Transition[SessionState, Action]:
     return Transition(state, actions)
 
 
 TRANSITIONS = TransitionTable[SessionState, SessionEvent, Action](
     {
-        (SessionState.PENDING, SessionEvent.ATTEMPT_STARTED): _row(
+        (SessionState.PENDING, SessionEvent.ATTEMPT_STARTED): _transition_to(
             SessionState.ATTEMPTING, _dispatch_attempt
         ),
         # The rung is sent with the set-up request.
-        (SessionState.PENDING, SessionEvent.RUNG_CHANGED): _row(SessionState.PENDING),
-        (SessionState.PENDING, SessionEvent.REJECTED): _row(SessionState.CLOSED, _reject),
-        (SessionState.PENDING, SessionEvent.FAILED): _row(SessionState.CLOSED, _fail),
-        (SessionState.PENDING, SessionEvent.CLIENT_GONE): _row(SessionState.CLOSED, _forget_pending),
-        (SessionState.PENDING, SessionEvent.ABORTED): _row(SessionState.CLOSED, _abort_pending),
-        (SessionState.ATTEMPTING, SessionEvent.SETUP_ANSWERED): _row(SessionState.ESTABLISHED, _establish),
-        (SessionState.ATTEMPTING, SessionEvent.ATTEMPT_ENDED): _row(SessionState.PENDING, _on_attempt_failed),
-        (SessionState.ATTEMPTING, SessionEvent.CLIENT_GONE): _row(SessionState.CLOSED, _abandon_attempt),
-        (SessionState.ATTEMPTING, SessionEvent.ABORTED): _row(SessionState.CLOSED, _abort_attempt),
-        (SessionState.ESTABLISHED, SessionEvent.RUNG_CHANGED): _row(SessionState.ESTABLISHED, _send_rung),
-        (SessionState.ESTABLISHED, SessionEvent.MIGRATED): _row(SessionState.CLOSED, _migrate),
-        (SessionState.ESTABLISHED, SessionEvent.ATTEMPT_ENDED): _row(SessionState.CLOSED, _on_session_ended),
-        (SessionState.ESTABLISHED, SessionEvent.CLIENT_GONE): _row(SessionState.CLOSED, _release_at_server),
+        (SessionState.PENDING, SessionEvent.RUNG_CHANGED): _transition_to(SessionState.PENDING),
+        (SessionState.PENDING, SessionEvent.REJECTED): _transition_to(SessionState.CLOSED, _reject),
+        (SessionState.PENDING, SessionEvent.FAILED): _transition_to(SessionState.CLOSED, _fail),
+        (SessionState.PENDING, SessionEvent.CLIENT_GONE): _transition_to(
+            SessionState.CLOSED, _forget_pending
+        ),
+        (SessionState.PENDING, SessionEvent.ABORTED): _transition_to(SessionState.CLOSED, _abort_pending),
+        (SessionState.ATTEMPTING, SessionEvent.SETUP_ANSWERED): _transition_to(
+            SessionState.ESTABLISHED, _establish
+        ),
+        (SessionState.ATTEMPTING, SessionEvent.ATTEMPT_ENDED): _transition_to(
+            SessionState.PENDING, _on_attempt_failed
+        ),
+        (SessionState.ATTEMPTING, SessionEvent.CLIENT_GONE): _transition_to(
+            SessionState.CLOSED, _abandon_attempt
+        ),
+        (SessionState.ATTEMPTING, SessionEvent.ABORTED): _transition_to(SessionState.CLOSED, _abort_attempt),
+        (SessionState.ESTABLISHED, SessionEvent.RUNG_CHANGED): _transition_to(
+            SessionState.ESTABLISHED, _send_rung
+        ),
+        (SessionState.ESTABLISHED, SessionEvent.MIGRATED): _transition_to(SessionState.CLOSED, _migrate),
+        (SessionState.ESTABLISHED, SessionEvent.ATTEMPT_ENDED): _transition_to(
+            SessionState.CLOSED, _on_session_ended
+        ),
+        (SessionState.ESTABLISHED, SessionEvent.CLIENT_GONE): _transition_to(
+            SessionState.CLOSED, _release_at_server
+        ),
     },
     unlisted=Unlisted.IGNORE,
 )
--- a/packages/node/src/fennelcove/node/setup_request.py
+++ b/packages/node/src/fennelcove/node/setup_request.py
@@ -12,7 +12,7 @@
 MAX_TIMEOUT_MS = 3_600_000
 MAX_CLIENT_ID_CHARS = 16
 _TITLE_ADDRESS = re.compile(r"rtsp://media/([0-9a-f]{1,16})")
-_WHOLE_NUMBER = re.compile(r"[0-9]{1,9}")
+_INTEGER = re.compile(r"[0-9]{1,9}")
 
 
 class InvalidRequestError(Exception):
@@ -43,9 +43,9 @@
         id=key,
         service_class=service_class,
         title=int(title[1], 16),
-        first_cell=_parse_whole(routing, "home", 0, settings.cell_count - 1),
-        cell_count=_parse_whole(routing, "copies", 1, settings.cell_count),
-        top_rung=_parse_whole(routing, "top", 0, len(settings.ladder_kb) - 1),
+        first_cell=_parse_integer(routing, "home", 0, settings.cell_count - 1),
+        cell_count=_parse_integer(routing, "copies", 1, settings.cell_count),
+        top_rung=_parse_integer(routing, "top", 0, len(settings.ladder_kb) - 1),
         timeout_us=0 if "at" in routing else _parse_timeout_us(message.fields.get("answer-within", "")),
         is_repeat=routing.get("again", "0") == "1",
     )
@@ -73,9 +73,9 @@
     return values
 
 
-def _parse_whole(routing: dict[str, str], name: str, minimum: int, maximum: int) -> int:
+def _parse_integer(routing: dict[str, str], name: str, minimum: int, maximum: int) -> int:
     raw = routing.get(name, "")
-    if _WHOLE_NUMBER.fullmatch(raw) is None or not minimum <= int(raw) <= maximum:
+    if _INTEGER.fullmatch(raw) is None or not minimum <= int(raw) <= maximum:
         raise InvalidRequestError
     return int(raw)
 
--- a/packages/node/src/fennelcove/node/state_dump.py
+++ b/packages/node/src/fennelcove/node/state_dump.py
@@ -40,7 +40,7 @@
     threading.Thread(target=_dump_periodically, args=(node, interval_ms), name="trace", daemon=True).start()
 
 
-def lines(node: DumpedNode) -> list[dict[str, object]]:
+def server_states(node: DumpedNode) -> list[dict[str, object]]:
     """The fields of one log line for each server; the node's lock is held."""
     return [_server_fields(node, server) for server in node.servers.values()]
 
@@ -49,9 +49,9 @@
     for _ in range(MAX_DUMPS):
         time.sleep(interval_ms / 1000)
         with node.lock:
-            found = lines(node)
-        for line in found:
-            node.logger("trace", **line)
+            states = server_states(node)
+        for state in states:
+            node.logger("trace", **state)
         node.logger("descriptors", **node.descriptors.counts_by_use())
 
 
@@ -66,13 +66,13 @@
     entry = node.policy.servers.get(server.name)
     if entry is None:
         return fields
-    asked = entry.link.report
+    load = entry.link.report
     return fields | {
         "zone": entry.zone,
         "health": entry.health.name,
         "strikes": entry.strikes,
         "cold": node.policy.is_warming_up(entry),
-        "asked": None if asked is None else round(asked, 3),
+        "asked": None if load is None else round(load, 3),
         "taken_for": round(node.policy.link_utilization(entry), 3),
         "own": round(entry.own_kb / entry.link.capacity_kb, 3),
         "subs": len(entry.sessions),
--- a/packages/node/src/fennelcove/rtsp/reader.py
+++ b/packages/node/src/fennelcove/rtsp/reader.py
@@ -59,11 +59,11 @@
 
     def _read_head(self) -> bool:
         end = self.buffer.find(b"\r\n\r\n", max(0, self.scanned_bytes - 3))
-        known = len(self.buffer) if end < 0 else end
+        head_length = len(self.buffer) if end < 0 else end
         # A line feed alone ends a line for some readers and not for others: two messages could hide in one.
-        if _BARE_LINE_BREAK.search(self.buffer, max(0, self.scanned_bytes - 2), known):
+        if _BARE_LINE_BREAK.search(self.buffer, max(0, self.scanned_bytes - 2), head_length):
             raise ProtocolError(400, "a line that does not end with CR LF")
-        if known > MAX_MESSAGE_BYTES:
+        if head_length > MAX_MESSAGE_BYTES:
             raise ProtocolError(413, f"a head longer than {MAX_MESSAGE_BYTES} bytes")
         if end < 0:
             self.scanned_bytes = len(self.buffer)
@@ -73,26 +73,26 @@
         self.scanned_bytes = 0
         if _REQUEST_LINE.fullmatch(lines[0]) is None and _STATUS_LINE.fullmatch(lines[0]) is None:
             raise ProtocolError(400, "a first line of neither request nor answer")
-        found = _parse_fields(lines[1:])
-        length = found.get("content-length", "0")
+        fields = _parse_fields(lines[1:])
+        length = fields.get("content-length", "0")
         # Refused at its head: what was declared too long is never gathered.
         if _LENGTH.fullmatch(length) is None:
             raise ProtocolError(400, "a Content-Length that is no count")
         self.body_length = int(length)
-        if known + self.body_length > MAX_MESSAGE_BYTES:
+        if head_length + self.body_length > MAX_MESSAGE_BYTES:
             raise ProtocolError(413, f"a message longer than {MAX_MESSAGE_BYTES} bytes")
-        self.head = (lines[0], found)
+        self.head = (lines[0], fields)
         return True
 
     def _read_body(self) -> Message | None:
         if len(self.buffer) < self.body_length or self.head is None:
             return None
-        (first, fields), self.head = self.head, None
+        (start_line, fields), self.head = self.head, None
         body = bytes(self.buffer[: self.body_length])
         del self.buffer[: self.body_length]
-        if match := _REQUEST_LINE.fullmatch(first):
+        if match := _REQUEST_LINE.fullmatch(start_line):
             return Request(match[1].decode(), match[2].decode(), fields, body)
-        match = _STATUS_LINE.fullmatch(first)
+        match = _STATUS_LINE.fullmatch(start_line)
         assert match is not None
         return Response(int(match[1]), fields, body)
 
@@ -100,13 +100,13 @@
 def _parse_fields(lines: list[bytes]) -> Fields:
     if len(lines) > MAX_FIELDS:
         raise ProtocolError(400, f"more than {MAX_FIELDS} fields")
-    found: Fields = {}
+    fields: Fields = {}
     for line in lines:
         match = _FIELD.fullmatch(line)
         if match is None:
             raise ProtocolError(400, "a field that is no `name: value`")
         name = match[1].decode().lower()
-        if name in found:
+        if name in fields:
             raise ProtocolError(400, f"{name} given twice")
-        found[name] = match[2].decode().rstrip(" \t")
-    return found
+        fields[name] = match[2].decode().rstrip(" \t")
+    return fields
--- a/packages/node/src/fennelcove/rtsp/writer.py
+++ b/packages/node/src/fennelcove/rtsp/writer.py
@@ -4,9 +4,9 @@
 
 import re
 
-_SAFE = re.compile(r"[\t\x20-\x7e]*")
+_SINGLE_LINE = re.compile(r"[\t\x20-\x7e]*")
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -23,9 +23,9 @@
 }
 
 
-def _message(first: str, fields: tuple[tuple[str, str], ...], body: bytes) -> bytes:
-    lines = [first, *(f"{name}: {value}" for name, value in fields), f"Content-Length: {len(body)}"]
-    if not all(_SAFE.fullmatch(line) for line in lines):
+def _message(start_line: str, fields: tuple[tuple[str, str], ...], body: bytes) -> bytes:
+    lines = [start_line, *(f"{name}: {value}" for name, value in fields), f"Content-Length: {len(body)}"]
+    if not all(_SINGLE_LINE.fullmatch(line) for line in lines):
         raise ValueError("a field would break its line")
     return "\r\n".join([*lines, "", ""]).encode() + body
 
@@ -36,7 +36,7 @@
     Raises:
         ValueError: a field that would break its line.
     """
-    return _message(f"RTSP/1.0 {status} {REASONS.get(status, 'Unknown')}", fields, body)
+    return _message(f"RTSP/1.0 {status} {REASON_PHRASES.get(status, 'Unknown')}", fields, body)
 
 
 def request(method: str, address: str, *fields: tuple[str, str], body: bytes = b"") -> bytes:
--- a/tests/noderig.py
+++ b/tests/noderig.py
@@ -21,7 +21,7 @@
 from fennelcove.http1.reader import Gatherer
 from fennelcove.http1.reader import Reader as HttpReader
 from fennelcove.isup import writer as isup
-from fennelcove.isup.messages import Cause, Code, Kind
+from fennelcove.isup.messages import Cause, MessageKind, Parameter
 from fennelcove.isup.messages import Message as ServerMessage
 from fennelcove.isup.reader import Reader as ServerReader
 from fennelcove.rtsp import messages as rtsp
@@ -63,7 +63,7 @@
 
 def answered(message: ServerMessage) -> bytes:
     """What a server says that takes a set-up."""
-    return isup.message(Kind.ANSWER, message.session, (Code.DESCRIPTION, b"from the server"))
+    return isup.message(MessageKind.ANSWER, message.session, (Parameter.DESCRIPTION, b"from the server"))
 
 
 def released(message: ServerMessage, cause: Cause) -> bytes:
@@ -108,7 +108,7 @@
             "born_ms": 0,
         }
 
-    def of(self, kind: Kind) -> list[ServerMessage]:
+    def of(self, kind: MessageKind) -> list[ServerMessage]:
         return [message for message in list(self.heard) if message.kind is kind]
 
     def say(self, data: bytes) -> None:
@@ -137,10 +137,12 @@
                 while (message := reader.next()) is not None:
                     self.heard.append(message)
                     said: bytes | None = b""
-                    if message.kind is Kind.SET_UP:
+                    if message.kind is MessageKind.SET_UP:
                         said = self.reply(message)
-                    elif message.kind is Kind.TEST:
-                        said = isup.message(Kind.TESTED, message.session, (Code.CAUSE, b"\1"))
+                    elif message.kind is MessageKind.KEEPALIVE:
+                        said = isup.message(
+                            MessageKind.KEEPALIVE_ANSWER, message.session, (Parameter.CAUSE, b"\1")
+                        )
                     if said is None:
                         sock.close()
                         return
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from fennelcove.isup import writer
-from fennelcove.isup.messages import Cause, Code, Kind, Message, ProtocolError
+from fennelcove.isup.messages import Cause, Message, MessageKind, Parameter, ProtocolError
 from fennelcove.isup.reader import Reader
 
 from tests.soak.loop import Loop, reset
@@ -28,7 +28,7 @@
 DRIP_BYTES, DRIP_S = 7, 0.015  # an answer in pieces
 FAULT_SHARE = 0.5  # of the set-ups that come while a server is faulty in its answers
 SILENT_FAULTS = ("hang", "cut", "vanish", "late_connect")
-REFUSALS = {"full": Cause.FULL, "error": Cause.ERROR, "moot": Cause.MOOT}
+REFUSALS = {"full": Cause.FULL, "error": Cause.ERROR, "moot": Cause.NOT_EXECUTED}
 
 
 class Connection:
@@ -249,26 +249,29 @@
 
     def _on_message(self, connection: Connection, message: Message) -> None:
         server = connection.server
-        if message.kind is Kind.TEST:
-            self.send(connection, writer.message(Kind.TESTED, message.session, (Code.CAUSE, b"\1")))
-        elif message.kind is Kind.SET_UP:
+        if message.kind is MessageKind.KEEPALIVE:
+            self.send(
+                connection,
+                writer.message(MessageKind.KEEPALIVE_ANSWER, message.session, (Parameter.CAUSE, b"\1")),
+            )
+        elif message.kind is MessageKind.SET_UP:
             self._on_set_up(connection, message)
-        elif message.kind is Kind.RELEASE and message.session in connection.open:
+        elif message.kind is MessageKind.RELEASE and message.session in connection.open:
             connection.open.discard(message.session)
             self.record("given_up", server=server.name, session=message.session.hex())
-        elif message.kind is Kind.RELEASE:
+        elif message.kind is MessageKind.RELEASE:
             if server.playing.pop(message.session, None) is not None:
                 self.record("released_by_node", server=server.name, session=message.session.hex())
             server.ended.pop(message.session, None)
 
     def _on_set_up(self, connection: Connection, message: Message) -> None:
         server = connection.server
-        wait_s = int(message.text(Code.WAIT_MS)) / 1000
+        wait_s = int(message.text(Parameter.TIMEOUT_MS)) / 1000
         self.record(
             "set_up",
             server=server.name,
             session=message.session.hex(),
-            service_class=message.text(Code.ROOM),
+            service_class=message.text(Parameter.SERVICE_CLASS),
             wait=wait_s,
         )
         connection.open.add(message.session)
@@ -293,7 +296,7 @@
             self.send(connection, writer.release(session, REFUSALS[kind]))
             return
         description = f"{server.name};{session.hex()};{self.rng.randrange(1 << 30):x}".encode()
-        answer = writer.message(Kind.ANSWER, session, (Code.DESCRIPTION, description))
+        answer = writer.message(MessageKind.ANSWER, session, (Parameter.DESCRIPTION, description))
         if kind in ("noise", "truncated", "half", "huge"):
             self._spoil(connection, session, answer, kind)
             return
@@ -301,7 +304,9 @@
         server.playing[session] = connection
         self.record("answered", server=server.name, session=session.hex(), description=description.decode())
         if kind == "ahead":
-            answer = writer.message(Kind.ANSWER, bytes(8), (Code.DESCRIPTION, b"unknown")) + answer
+            answer = (
+                writer.message(MessageKind.ANSWER, bytes(8), (Parameter.DESCRIPTION, b"unknown")) + answer
+            )
         if kind == "drip":
             self._send_in_pieces(connection, answer)
         elif kind == "bytes":
@@ -341,7 +346,12 @@
             return
         for name in (b"nic", b"tor", b"quality"):
             figure = b"%.2f" % self.rng.choice((0.3, 0.6, 0.9, 1.2))
-            note = writer.message(Kind.NOTE, session, (Code.NOTE_NAME, name), (Code.FIGURE, figure))
+            note = writer.message(
+                MessageKind.SESSION_REPORT,
+                session,
+                (Parameter.REPORT_NAME, name),
+                (Parameter.REPORT_VALUE, figure),
+            )
             self.send(connection, note)
         self.loop.after(REPORT_S, lambda: self._report_load(server, session))
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from fennelcove.isup import writer as isup
-from fennelcove.isup.messages import Cause, Code, Kind
+from fennelcove.isup.messages import Cause, MessageKind, Parameter
 
 from tests.noderig import NodeRig, StandInBoard, StandInServer, answered, eventually, notice, released
 
@@ -24,8 +24,8 @@
 def overasked(server: StandInServer, id: str) -> None:
     """The server tells a session's rung, 2, and that its link is asked for more than it gives."""
     for name, figure in ((b"profile", b"2"), (b"nic", b"1.6")):
-        parameters = ((Code.NOTE_NAME, name), (Code.FIGURE, figure))
-        server.say(isup.message(Kind.NOTE, bytes.fromhex(id), *parameters))
+        parameters = ((Parameter.REPORT_NAME, name), (Parameter.REPORT_VALUE, figure))
+        server.say(isup.message(MessageKind.SESSION_REPORT, bytes.fromhex(id), *parameters))
 
 
 class NodeTest(unittest.TestCase):
@@ -41,11 +41,11 @@
         answer = viewer.answer()
         assert (answer.status, answer.body) == (200, b"from the server")
         assert (answer.fields["cseq"], answer.fields["session"]) == ("1", ID)
-        [sent] = server.of(Kind.SET_UP)
+        [sent] = server.of(MessageKind.SET_UP)
         assert sent.session == bytes.fromhex(ID)
-        assert (sent.text(Code.ROOM), sent.text(Code.TITLE)) == ("recorded", "7f3a")
-        assert (sent.text(Code.RUNG), sent.parameters[Code.DESCRIPTION]) == ("2", b"what is wanted")
-        assert 0 < int(sent.text(Code.WAIT_MS)) <= 8000
+        assert (sent.text(Parameter.SERVICE_CLASS), sent.text(Parameter.TITLE)) == ("recorded", "7f3a")
+        assert (sent.text(Parameter.RUNG), sent.parameters[Parameter.DESCRIPTION]) == ("2", b"what is wanted")
+        assert 0 < int(sent.text(Parameter.TIMEOUT_MS)) <= 8000
         server.say(released(sent, Cause.OK))
         release = viewer.request()
         assert (release.method, release.fields["session"]) == ("TEARDOWN", ID)
@@ -67,13 +67,13 @@
                 for number in range(1, 40):
                     viewer.set_up(f"{number:016x}")
                     assert viewer.answer().status == 200
-                    if bad.of(Kind.SET_UP):
+                    if bad.of(MessageKind.SET_UP):
                         break
-                assert bad.of(Kind.SET_UP)
+                assert bad.of(MessageKind.SET_UP)
 
     def test_extra_messages_end_nothing(self) -> None:
         def twice(message: object) -> bytes:
-            stranger = isup.message(Kind.ANSWER, bytes(8), (Code.DESCRIPTION, b"ahead"))
+            stranger = isup.message(MessageKind.ANSWER, bytes(8), (Parameter.DESCRIPTION, b"ahead"))
             return answered(message) + answered(message) + stranger  # type: ignore[arg-type]
 
         server = StandInServer("s0", 0, twice)
@@ -95,10 +95,10 @@
         server = StandInServer("s0", 0, lambda message: b"")
         viewer = self.rig(server).caller()
         viewer.set_up(ID)
-        eventually(lambda: server.of(Kind.SET_UP), "the set-up")
+        eventually(lambda: server.of(MessageKind.SET_UP), "the set-up")
         viewer.tear_down(ID)
         assert viewer.answer().fields["cseq"] == "2"
-        [release] = eventually(lambda: server.of(Kind.RELEASE), "the give-up")
+        [release] = eventually(lambda: server.of(MessageKind.RELEASE), "the give-up")
         assert (release.session.hex(), release.cause) == (ID, Cause.OK)
 
     def test_what_stands_is_ended_from_any_connection(self) -> None:
@@ -109,7 +109,7 @@
         viewer.answer()
         another.tear_down(ID)
         assert another.answer().status == 200
-        [release] = eventually(lambda: server.of(Kind.RELEASE), "the release")
+        [release] = eventually(lambda: server.of(MessageKind.RELEASE), "the release")
         assert release.session.hex() == ID
 
     def test_a_dead_server_s_viewers_are_released(self) -> None:
@@ -127,9 +127,11 @@
         viewer.set_up(ID, routing="home:0;copies:4;top:2;at:s0")
         eventually(lambda: server.sockets, "a link for what plays there")
         overasked(server, ID)
-        [change, *_] = eventually(lambda: server.of(Kind.RUNG), "a lower rung, as the link is overasked")
+        [change, *_] = eventually(
+            lambda: server.of(MessageKind.RUNG), "a lower rung, as the link is overasked"
+        )
         assert change.session.hex() == ID
-        assert int(change.text(Code.RUNG)) < 2
+        assert int(change.text(Parameter.RUNG)) < 2
         server.say(isup.release(bytes.fromhex(ID), Cause.RESET))
         assert viewer.request().fields["reason"] == "cause=41"
 
@@ -141,10 +143,12 @@
         viewer.set_up(ID, routing="home:0;copies:4;top:2;at:s0")
         eventually(lambda: server.sockets, "a link")
         overasked(server, OTHER)
-        server.say(isup.message(Kind.TEST, bytes(8), (Code.CAUSE, b"\0")))
-        eventually(lambda: server.of(Kind.TESTED), "an answer behind the notes")
+        server.say(isup.message(MessageKind.KEEPALIVE, bytes(8), (Parameter.CAUSE, b"\0")))
+        eventually(lambda: server.of(MessageKind.KEEPALIVE_ANSWER), "an answer behind the notes")
         viewer.set_up(OTHER, routing="home:0;copies:4;top:2;at:s0")
-        [change, *_] = eventually(lambda: server.of(Kind.RUNG), "a lower rung, as the link is overasked")
+        [change, *_] = eventually(
+            lambda: server.of(MessageKind.RUNG), "a lower rung, as the link is overasked"
+        )
         assert change.session.hex() == OTHER
 
     def test_bad_clients_get_an_error_or_a_close(self) -> None:
@@ -175,7 +179,7 @@
         rig = self.rig(server)
         viewer, thief = rig.caller(), rig.caller()
         viewer.set_up(ID)
-        [sent] = eventually(lambda: server.of(Kind.SET_UP), "the set-up")
+        [sent] = eventually(lambda: server.of(MessageKind.SET_UP), "the set-up")
         thief.set_up(ID)
         assert thief.answer().status == 455
         server.say(answered(sent))
@@ -201,7 +205,7 @@
         viewer = rig.caller()
         viewer.set_up(ID)
         assert viewer.answer().status == 200
-        assert (len(first.of(Kind.SET_UP)), len(second.of(Kind.SET_UP))) == (0, 1)
+        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (0, 1)
 
     def test_what_stood_at_a_process_that_began_anew_is_over(self) -> None:
         # It was back at its address before two dials had failed, and its viewers were never told.
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from fennelcove.isup import writer as isup
-from fennelcove.isup.messages import Cause, Code, Kind
+from fennelcove.isup.messages import Cause, MessageKind, Parameter
 from fennelcove.isup.messages import Message as ServerMessage
 from fennelcove.node.model import ConnectionState, SessionState
 from fennelcove.rtsp import messages as rtsp
@@ -82,7 +82,7 @@
                     else:
                         reset(viewer.sock)
                 eventually(lambda rig=rig, inode=inode: not holds(rig, inode), "the connection closed")
-                assert len(server.of(Kind.SET_UP)) == 0
+                assert len(server.of(MessageKind.SET_UP)) == 0
 
     def test_a_set_up_taken_back_in_the_same_read_is_not_begun(self) -> None:
         server = StandInServer("s0", 0, mute)
@@ -98,7 +98,7 @@
             arrived(viewer.sock)
         answers = [viewer.answer() for _ in many(60)]
         assert {(a.status, a.fields["cseq"]) for a in answers} == {(200, "2")}
-        [sent] = eventually(lambda: server.of(Kind.SET_UP), "the one that was not taken back")
+        [sent] = eventually(lambda: server.of(MessageKind.SET_UP), "the one that was not taken back")
         assert sent.session.hex() == many(1)[0]
         server.say(answered(sent))
         assert viewer.answer().fields["cseq"] == "1"
@@ -134,8 +134,8 @@
             leaver.flush()
             arrived(leaver.sock)
             reset(leaver.sock)  # no answer can be written: what comes next is acted on all the same
-        eventually(lambda: len(server.of(Kind.RELEASE)) == 41, "each end at the server")
-        assert {message.session.hex() for message in server.of(Kind.RELEASE)} == {OTHER, *many(40)}
+        eventually(lambda: len(server.of(MessageKind.RELEASE)) == 41, "each end at the server")
+        assert {message.session.hex() for message in server.of(MessageKind.RELEASE)} == {OTHER, *many(40)}
 
     def test_a_set_up_whose_viewer_left_while_it_waited_for_the_lock(self) -> None:
         inside = Inside(self, StandInServer("s0", 0, mute))
@@ -184,7 +184,7 @@
                 eventually(lambda slow=slow: len(slow.sockets) > 0, "a connection let in")
                 following = rig.caller()
                 following.set_up(OTHER)
-                eventually(lambda slow=slow: slow.of(Kind.SET_UP), "the next set-up")
+                eventually(lambda slow=slow: slow.of(MessageKind.SET_UP), "the next set-up")
                 assert [m.session.hex() for m in slow.heard] == [OTHER]
 
     def test_a_set_up_whose_viewer_left_while_the_module_held_it(self) -> None:
@@ -202,8 +202,8 @@
         viewer.sock.close()
         following = rig.caller()
         following.set_up(OTHER)
-        eventually(lambda: server.of(Kind.SET_UP), "the next set-up, which was held as long")
-        assert [message.session.hex() for message in server.of(Kind.SET_UP)] == [OTHER]
+        eventually(lambda: server.of(MessageKind.SET_UP), "the next set-up, which was held as long")
+        assert [message.session.hex() for message in server.of(MessageKind.SET_UP)] == [OTHER]
 
     def test_no_further_attempt_for_a_viewer_whose_end_was_not_read_yet(self) -> None:
         servers = [StandInServer("s0", 0, mute), StandInServer("s1", 1, mute)]
@@ -211,12 +211,12 @@
         caller, far = inside.meet()
         thread = inside.read(far)
         caller.set_up(ID)
-        tried = eventually(lambda: [s for s in servers if s.of(Kind.SET_UP)], "the first attempt")[0]
+        tried = eventually(lambda: [s for s in servers if s.of(MessageKind.SET_UP)], "the first attempt")[0]
         other = next(server for server in servers if server is not tried)
         inside.gate.hold("viewer")
         caller.sock.close()
         eventually(lambda: inside.gate.reached("viewer"), "the end read, and not acted on")
-        tried.say(released(tried.of(Kind.SET_UP)[0], Cause.FULL))
+        tried.say(released(tried.of(MessageKind.SET_UP)[0], Cause.FULL))
         eventually(lambda: inside.desk.servers[tried.name].outcome_counts, "the refusal heard")
         with inside.gate:
             assert not (inside.desk.servers[other.name].links or inside.desk.sessions)
@@ -243,9 +243,9 @@
             assert not inside.desk.policy.sessions
         inside.gate.free("viewer")
         thread.join(noderig.WAIT_S)
-        server.say(isup.message(Kind.TEST, bytes(8), (Code.CAUSE, b"\0")))
-        eventually(lambda: server.of(Kind.TESTED), "an answer behind whatever else was sent")
-        assert [message.kind for message in server.heard] == [Kind.TESTED]
+        server.say(isup.message(MessageKind.KEEPALIVE, bytes(8), (Parameter.CAUSE, b"\0")))
+        eventually(lambda: server.of(MessageKind.KEEPALIVE_ANSWER), "an answer behind whatever else was sent")
+        assert [message.kind for message in server.heard] == [MessageKind.KEEPALIVE_ANSWER]
 
     def test_an_answer_to_a_viewer_whose_end_was_not_read_yet_leaves_nothing_standing(self) -> None:
         server = StandInServer("s0", 0, mute)
@@ -253,7 +253,7 @@
         caller, far = inside.meet()
         thread = inside.read(far)
         caller.set_up(ID)
-        [sent] = eventually(lambda: server.of(Kind.SET_UP), "the set-up")
+        [sent] = eventually(lambda: server.of(MessageKind.SET_UP), "the set-up")
         sub = inside.desk.sessions[bytes.fromhex(ID)]
         inside.gate.hold("viewer")
         caller.sock.close()
@@ -262,7 +262,7 @@
         eventually(lambda: sub.state in (SessionState.ESTABLISHED, SessionState.CLOSED), "the answer heard")
         inside.gate.free("viewer")
         thread.join(noderig.WAIT_S)
-        [release] = eventually(lambda: server.of(Kind.RELEASE), "its end at the server")
+        [release] = eventually(lambda: server.of(MessageKind.RELEASE), "its end at the server")
         assert release.session.hex() == ID
         assert not inside.desk.sessions
 
@@ -355,7 +355,7 @@
         again = inside.connect()
         again.set_up(ID)
         assert again.answer().status == 200
-        assert [m.session.hex() for m in server.of(Kind.SET_UP)] == [OTHER, ID]
+        assert [m.session.hex() for m in server.of(MessageKind.SET_UP)] == [OTHER, ID]
 
     def test_room_is_not_made_by_closing_what_has_just_spoken(self) -> None:
         server = StandInServer("s0", 0)
@@ -381,8 +381,8 @@
 
     def told(self, viewer: Caller, server: StandInServer) -> list[str]:
         """All that this connection is sent up to now, the answer to a test ending it."""
-        server.say(isup.message(Kind.TEST, bytes(8), (Code.CAUSE, b"\0")))
-        eventually(lambda: server.of(Kind.TESTED), "all that the server said heard")
+        server.say(isup.message(MessageKind.KEEPALIVE, bytes(8), (Parameter.CAUSE, b"\0")))
+        eventually(lambda: server.of(MessageKind.KEEPALIVE_ANSWER), "all that the server said heard")
         viewer.send(writer.request("OPTIONS", "rtsp://media/ping", ("CSeq", "3")))
         found = list[str]()
         while (message := viewer.next()) is not None and message.fields.get("cseq") != "3":
@@ -411,16 +411,16 @@
         rig = self.rig(server)
         viewer = rig.caller()
         viewer.set_up(ID)
-        [sent] = eventually(lambda: server.of(Kind.SET_UP), "the set-up")
+        [sent] = eventually(lambda: server.of(MessageKind.SET_UP), "the set-up")
         with Stopped(rig):
             server.say(answered(sent))
             viewer.tear_down(ID)
             arrived(server.sockets[-1])
             arrived(viewer.sock)
-        [release] = eventually(lambda: server.of(Kind.RELEASE), "its end at the server")
+        [release] = eventually(lambda: server.of(MessageKind.RELEASE), "its end at the server")
         assert (release.session.hex(), release.cause) == (ID, Cause.OK)
         assert self.told(viewer, server) in (["200 1", "200 2"], ["200 2"])
-        assert len(server.of(Kind.RELEASE)) == 1
+        assert len(server.of(MessageKind.RELEASE)) == 1
 
     def test_an_id_that_has_just_ended_is_a_new_set_up_s(self) -> None:
         replies = [answered]
@@ -433,7 +433,7 @@
         if answers[-1].fields["cseq"] == "2":
             answers.append(viewer.answer())
         assert (answers[-1].status, answers[-1].fields["cseq"]) == (200, "1")
-        server.say(released(server.of(Kind.SET_UP)[-1], Cause.OK))  # ended by its server
+        server.say(released(server.of(MessageKind.SET_UP)[-1], Cause.OK))  # ended by its server
         assert viewer.request().method == "TEARDOWN"
         replies.append(lambda message: released(message, Cause.FULL))
         for _ in range(2):  # refused
--- a/tests/test_node_codecs.py
+++ b/tests/test_node_codecs.py
@@ -7,7 +7,7 @@
 from fennelcove.isup import messages as isup
 from fennelcove.isup import reader as isup_reader
 from fennelcove.isup import writer as isup_writer
-from fennelcove.isup.messages import Cause, Code, Kind
+from fennelcove.isup.messages import Cause, MessageKind, Parameter
 from fennelcove.rtsp import messages as rtsp
 from fennelcove.rtsp import reader as rtsp_reader
 from fennelcove.rtsp import writer as rtsp_writer
@@ -90,16 +90,16 @@
     @given(
         st.lists(
             st.tuples(
-                st.sampled_from(list(Kind)),
+                st.sampled_from(list(MessageKind)),
                 st.binary(min_size=8, max_size=8),
-                st.dictionaries(st.sampled_from(list(Code)), st.binary(max_size=50), max_size=5),
+                st.dictionaries(st.sampled_from(list(Parameter)), st.binary(max_size=50), max_size=5),
             ),
             max_size=4,
         ),
         st.integers(0, 600),
     )
     def test_cut_anywhere_it_reads_the_same(
-        self, rows: list[tuple[Kind, bytes, dict[Code, bytes]]], cut: int
+        self, rows: list[tuple[MessageKind, bytes, dict[Parameter, bytes]]], cut: int
     ) -> None:
         data = b"".join(isup_writer.message(kind, id, *values.items()) for kind, id, values in rows)
         reader, found = isup_reader.Reader(), list[isup.Message]()
@@ -128,4 +128,4 @@
 
     def test_a_cause_is_one_byte(self) -> None:
         for value, cause in ((b"\x22", 34), (b"", None), (b"\0\x22", None)):
-            assert isup.Message(Kind.RELEASE, bytes(8), {Code.CAUSE: value}).cause == cause
+            assert isup.Message(MessageKind.RELEASE, bytes(8), {Parameter.CAUSE: value}).cause == cause
--- a/tests/test_node_cold.py
+++ b/tests/test_node_cold.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from fennelcove.interface import Outcome
-from fennelcove.isup.messages import Kind
 from fennelcove.isup.messages import Message as ServerMessage
+from fennelcove.isup.messages import MessageKind
 from fennelcove.isup.reader import Reader as ServerReader
 
 from tests.coldfleet import Case, Fleet, Terms
@@ -130,7 +130,7 @@
         """Whether the connection goes on: until a set-up has been read whole, or its peer ends it."""
         reader.feed(data)
         while (message := reader.next()) is not None:
-            if message.kind is Kind.SET_UP:
+            if message.kind is MessageKind.SET_UP:
                 self.arrives(message)
                 return False
         return bool(data)
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -15,7 +15,7 @@
 from fennelcove.clock import SystemClock
 from fennelcove.clock.timers import Timers
 from fennelcove.isup import writer as isup
-from fennelcove.isup.messages import Cause, Code, Kind, Message
+from fennelcove.isup.messages import Cause, Message, MessageKind, Parameter
 from fennelcove.isup.reader import Reader
 from fennelcove.log import silent
 from fennelcove.node import client_requests, config, server_messages, session_manager
@@ -59,7 +59,7 @@
 
 
 def described(message: Message, what: bytes) -> bytes:
-    return isup.message(Kind.ANSWER, message.session, (Code.DESCRIPTION, what))
+    return isup.message(MessageKind.ANSWER, message.session, (Parameter.DESCRIPTION, what))
 
 
 class Peer:
@@ -198,7 +198,7 @@
             eventually(lambda: waits(sock, POLLRDHUP), "the end of the connection")
             front.set_up(ID)
         assert front.caller.answer().status == 200
-        assert [m.session.hex() for m in server.of(Kind.SET_UP)] == [OTHER, ID]
+        assert [m.session.hex() for m in server.of(MessageKind.SET_UP)] == [OTHER, ID]
         assert len(server.sockets) == 2
 
     def test_a_closed_idle_connection_carries_no_set_up(self) -> None:
@@ -222,8 +222,8 @@
         front = self.front(server.row)
         for number, id in enumerate((ID, OTHER), 1):
             front.caller.set_up(id)
-            eventually(lambda number=number: len(server.of(Kind.SET_UP)) == number, "a set-up")
-        first, second = server.of(Kind.SET_UP)
+            eventually(lambda number=number: len(server.of(MessageKind.SET_UP)) == number, "a set-up")
+        first, second = server.of(MessageKind.SET_UP)
         for sock, sent in ((server.sockets[1], second), (server.sockets[0], first)):
             sock.sendall(answered(sent) + released(sent, Cause.OK))
             assert front.caller.answer().status == 200
@@ -297,7 +297,7 @@
         with front.manager.lock:
             front.manager.run_maintenance()
         sent = read_one(peer.accept())
-        assert (sent.kind, sent.session.hex(), sent.cause) == (Kind.RELEASE, ID, Cause.OK)
+        assert (sent.kind, sent.session.hex(), sent.cause) == (MessageKind.RELEASE, ID, Cause.OK)
 
 
 class CrossingTest(RigTest):
@@ -305,24 +305,26 @@
 
     def heard(self, server: StandInServer, sock: socket.socket, data: bytes) -> None:
         """The front node has taken in what the server says here."""
-        tested = len(server.of(Kind.TESTED))
-        sock.sendall(data + isup.message(Kind.TEST, bytes(8), (Code.CAUSE, b"\0")))
-        eventually(lambda: len(server.of(Kind.TESTED)) > tested, "the answer to a test behind it")
+        tested = len(server.of(MessageKind.KEEPALIVE_ANSWER))
+        sock.sendall(data + isup.message(MessageKind.KEEPALIVE, bytes(8), (Parameter.CAUSE, b"\0")))
+        eventually(
+            lambda: len(server.of(MessageKind.KEEPALIVE_ANSWER)) > tested, "the answer to a test behind it"
+        )
 
     def of_an_earlier_join(self, say: Callable[[Message], bytes], between: bool) -> None:
         """A set-up is given up and its id set up again, as another carries the first connection or none."""
         server = StandInServer("s0", 0, silence)
         viewer = self.node(server).caller()
         viewer.set_up(ID)
-        [first] = eventually(lambda: server.of(Kind.SET_UP), "a set-up")
+        [first] = eventually(lambda: server.of(MessageKind.SET_UP), "a set-up")
         viewer.tear_down(ID)
         assert viewer.answer().status == 200
         if between:
             viewer.set_up(OTHER)
         viewer.set_up(ID)
-        eventually(lambda: len(server.of(Kind.SET_UP)) == 2 + between, "the set-ups")
+        eventually(lambda: len(server.of(MessageKind.SET_UP)) == 2 + between, "the set-ups")
         self.heard(server, server.sockets[0], say(first))
-        fresh = server.of(Kind.SET_UP)[-1]
+        fresh = server.of(MessageKind.SET_UP)[-1]
         self.heard(server, server.sockets[-1], described(fresh, b"of the second"))
         answer = viewer.answer()
         assert (answer.status, answer.fields["session"]) == (200, ID)
@@ -341,11 +343,11 @@
         server = StandInServer("s0", 0, silence)
         viewer = self.node(server).caller()
         viewer.set_up(ID)
-        [sent] = eventually(lambda: server.of(Kind.SET_UP), "a set-up")
+        [sent] = eventually(lambda: server.of(MessageKind.SET_UP), "a set-up")
         self.heard(server, server.sockets[0], released(sent, Cause.FULL) + answered(sent))
         assert viewer.answer().status == 453
         viewer.set_up(OTHER)
-        sent = eventually(lambda: server.of(Kind.SET_UP)[1:], "a set-up")[0]
+        sent = eventually(lambda: server.of(MessageKind.SET_UP)[1:], "a set-up")[0]
         first, second = described(sent, b"the first"), described(sent, b"a second")
         self.heard(server, server.sockets[-1], first + second + released(sent, Cause.FULL) + second)
         answer = viewer.answer()
@@ -371,7 +373,7 @@
         with front.manager.lock:
             front.manager.run_maintenance()
         sent = read_one(peer.accept())
-        assert (sent.kind, sent.session.hex(), sent.cause) == (Kind.RELEASE, ID, Cause.OK)
+        assert (sent.kind, sent.session.hex(), sent.cause) == (MessageKind.RELEASE, ID, Cause.OK)
 
 
 class HandOverTest(RigTest):
@@ -409,7 +411,7 @@
         viewer.tear_down(ID)
         assert viewer.answer().status == 200
         node.board.notices.append(notice(2, [server.row]))
-        [sent] = eventually(lambda: server.of(Kind.RELEASE), "its release")
+        [sent] = eventually(lambda: server.of(MessageKind.RELEASE), "its release")
         assert (sent.session.hex(), sent.cause) == (ID, Cause.OK)
 
     def test_what_another_server_says_of_it_counts_for_nothing(self) -> None:
@@ -417,10 +419,10 @@
         node = self.node(other, server)
         viewer = node.caller()
         viewer.set_up(OTHER, routing="home:0;copies:1;top:2")
-        eventually(lambda: other.of(Kind.SET_UP), "a connection to the other server")
+        eventually(lambda: other.of(MessageKind.SET_UP), "a connection to the other server")
         early = isup.release(bytes.fromhex(ID), Cause.RESET)
-        other.say(early + isup.message(Kind.TEST, bytes(8), (Code.CAUSE, b"\0")))
-        eventually(lambda: other.of(Kind.TESTED), "the answer to a test behind it")
+        other.say(early + isup.message(MessageKind.KEEPALIVE, bytes(8), (Parameter.CAUSE, b"\0")))
+        eventually(lambda: other.of(MessageKind.KEEPALIVE_ANSWER), "the answer to a test behind it")
         viewer = self.hand_over(node, "s1")
         eventually(lambda: server.sockets, "a connection for what stands there")
         server.say(isup.release(bytes.fromhex(ID), Cause.OK))
@@ -431,13 +433,18 @@
         node = self.node(server)
         viewer = node.caller()
         viewer.set_up(OTHER)
-        eventually(lambda: server.of(Kind.SET_UP), "a connection")
-        note = isup.message(Kind.NOTE, bytes.fromhex(ID), (Code.NOTE_NAME, b"nic"), (Code.FIGURE, b"0.5"))
-        test = isup.message(Kind.TEST, bytes(8), (Code.CAUSE, b"\0"))
+        eventually(lambda: server.of(MessageKind.SET_UP), "a connection")
+        note = isup.message(
+            MessageKind.SESSION_REPORT,
+            bytes.fromhex(ID),
+            (Parameter.REPORT_NAME, b"nic"),
+            (Parameter.REPORT_VALUE, b"0.5"),
+        )
+        test = isup.message(MessageKind.KEEPALIVE, bytes(8), (Parameter.CAUSE, b"\0"))
         server.say(
             note * server_messages.MAX_EARLY_MESSAGES + isup.release(bytes.fromhex(ID), Cause.OK) + test
         )
-        eventually(lambda: server.of(Kind.TESTED), "the answer to a test behind them")
+        eventually(lambda: server.of(MessageKind.KEEPALIVE_ANSWER), "the answer to a test behind them")
         viewer.set_up(ID, routing="home:0;copies:4;top:2;at:s0")
         assert viewer.request().fields["reason"] == "cause=16"
 
--- a/tests/test_node_descriptors.py
+++ b/tests/test_node_descriptors.py
@@ -24,7 +24,7 @@
 from fennelcove.clock.timers import Timers
 from fennelcove.interface import Outcome
 from fennelcove.isup import writer as isup
-from fennelcove.isup.messages import Cause, Code, Kind
+from fennelcove.isup.messages import Cause, MessageKind, Parameter
 from fennelcove.isup.messages import Message as ServerMessage
 from fennelcove.log import silent
 from fennelcove.node import config, program
@@ -222,7 +222,7 @@
                 assert (answer.status, answer.fields["come-back-ms"]) == (503, "500")
             assert rig.test() == 200
         assert statuses.count(200) >= LEAST // 3  # so much the pages let clients hold
-        assert len(server.of(Kind.SET_UP)) == statuses.count(200)
+        assert len(server.of(MessageKind.SET_UP)) == statuses.count(200)
         callers[0].tear_down(ids(1)[0])
         assert callers[0].answer().status == 200
         caller = self.caller(rig)
@@ -262,7 +262,7 @@
         held, other = f"{1:x}", f"{2:x}"
 
         def reply(message: ServerMessage) -> bytes:
-            return b"" if message.text(Code.TITLE) == held else answered(message)
+            return b"" if message.text(Parameter.TITLE) == held else answered(message)
 
         first, second = StandInServer("s0", 0, reply), StandInServer("s1", 1)
         rig = self.process(first, sockets=LEAST, limit=LEAST)
@@ -274,7 +274,7 @@
             busy[-1].set_up(id, title=held if number < 5 else other, **{"Answer-Within": "60000"})
             if number >= 5:
                 assert busy[-1].answer().status == 200
-            eventually(lambda: len(first.of(Kind.SET_UP)) >= len(busy), "a set-up that is held open")
+            eventually(lambda: len(first.of(MessageKind.SET_UP)) >= len(busy), "a set-up that is held open")
         for id in ids(LEAST, 100):  # past these: answered one way or the other, and held as well
             caller = self.caller(rig)
             caller.set_up(id, title=other)
--- a/tests/test_node_desk.py
+++ b/tests/test_node_desk.py
@@ -14,7 +14,7 @@
 from fennelcove.clock.timers import Timers
 from fennelcove.interface import Outcome
 from fennelcove.isup import writer as isup
-from fennelcove.isup.messages import Cause, Code, Kind, Message
+from fennelcove.isup.messages import Cause, Message, MessageKind, Parameter
 from fennelcove.isup.reader import Reader
 from fennelcove.log import silent
 from fennelcove.node import (
@@ -184,7 +184,7 @@
         self.addCleanup(sock.close)
         far, _ = listener.accept()
         self.addCleanup(far.close)
-        assert [message.kind for message in self.heard(far)] == [Kind.SET_UP]
+        assert [message.kind for message in self.heard(far)] == [MessageKind.SET_UP]
 
     def test_a_dial_without_a_descriptor_leaves_nothing_behind(self) -> None:
         # Its link stayed in the tables as one that dials: no other was ever opened to its server.
@@ -217,10 +217,10 @@
         # A machine that vanished says nothing: its link looks open for good, and its viewers would wait.
         link, far = self.link()
         self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"x"}))
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"x"}))
         self.clock.advance(server_monitor.PROBE_AFTER_US + 1)
         self.desk.run_maintenance()
-        assert [message.kind for message in self.heard(far)] == [Kind.SET_UP, Kind.TEST]
+        assert [message.kind for message in self.heard(far)] == [MessageKind.SET_UP, MessageKind.KEEPALIVE]
         self.clock.advance(server_monitor.PROBE_TIMEOUT_US + 1)
         with mock.patch("threading.Thread"):
             self.desk.run_maintenance()
@@ -248,7 +248,7 @@
         for connection in connections:
             connection.state = ConnectionState.OPEN
             connection.server.established[mock.Mock()] = None
-        self.clock.advance(server_pool.MIN_TURN_US)
+        self.clock.advance(server_pool.MIN_CONNECTION_AGE_US)
         reset = Server("reset", HERE, is_interrupted=True)
         others = [Server(f"other{i}", HERE) for i in range(100)]
         dialled: list[str] = []
@@ -259,7 +259,7 @@
     def test_what_is_held_already_may_be_named_again(self) -> None:
         link, _ = self.link()
         sub = self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"x"}))
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"x"}))
         said = len(self.viewer.said)
         fields = {"cseq": "1", "session": ID.hex(), "call-kind": "recorded"}
         fields["routing-data"] = "home:0;copies:4;top:2;at:s0"
@@ -286,18 +286,20 @@
         self.viewer = Cut(self.desk)
         self.addCleanup(self.viewer.sock.close)
         self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"x"}))
-        assert [message.kind for message in self.heard(far)] == [Kind.SET_UP, Kind.RELEASE]
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"x"}))
+        assert [message.kind for message in self.heard(far)] == [MessageKind.SET_UP, MessageKind.RELEASE]
         assert not (self.desk.sessions or self.desk.policy.sessions or self.desk.servers["s0"].established)
 
     def test_an_end_with_no_connection_open_waits_for_the_next(self) -> None:
         # After a reset its viewer was never told, and waited for good.
         link, _ = self.link()
         self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"x"}))
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"x"}))
         self.viewer.is_closed = True
         client_requests.on_client_gone(self.desk, self.viewer)
-        self.desk.on_server_message(link, Message(Kind.RELEASE, ID, {Code.CAUSE: bytes([Cause.OK])}))
+        self.desk.on_server_message(
+            link, Message(MessageKind.RELEASE, ID, {Parameter.CAUSE: bytes([Cause.OK])})
+        )
         test, fresh = Said(self.desk), Said(self.desk)
         for viewer, method in ((test, "OPTIONS"), (fresh, "TEARDOWN")):
             self.addCleanup(viewer.sock.close)
@@ -348,7 +350,9 @@
                         self.desk, viewer, rtsp.Request("SETUP", "rtsp://media/7f", fields, b"")
                     )
                     self.say(id, number, end)
-                self.desk.on_server_message(self.link()[0], Message(Kind.NOTE, bytes(reversed(id)), {}))
+                self.desk.on_server_message(
+                    self.link()[0], Message(MessageKind.SESSION_REPORT, bytes(reversed(id)), {})
+                )
                 viewer.is_closed = number % 2 == 0
                 self.desk.connections.remove(viewer)
                 client_requests.on_client_gone(self.desk, viewer)
@@ -379,8 +383,12 @@
         ):
             link = sub.attempt.link
             if number < 2:
-                self.desk.on_server_message(link, Message(Kind.ANSWER, id, {Code.DESCRIPTION: b"x"}))
-            self.desk.on_server_message(link, Message(Kind.RELEASE, id, {Code.CAUSE: bytes([end])}))
+                self.desk.on_server_message(
+                    link, Message(MessageKind.ANSWER, id, {Parameter.DESCRIPTION: b"x"})
+                )
+            self.desk.on_server_message(
+                link, Message(MessageKind.RELEASE, id, {Parameter.CAUSE: bytes([end])})
+            )
             sub = self.desk.sessions.get(id)
 
     def test_a_join_whose_wait_is_over_is_given_up_on_the_wire_first(self) -> None:
@@ -389,7 +397,11 @@
         assert sub.state is SessionState.ATTEMPTING
         self.pass_time(8_000_000)
         sent, given_up = self.heard(far)
-        assert (sent.kind, given_up.kind, given_up.cause) == (Kind.SET_UP, Kind.RELEASE, Cause.OK)
+        assert (sent.kind, given_up.kind, given_up.cause) == (
+            MessageKind.SET_UP,
+            MessageKind.RELEASE,
+            Cause.OK,
+        )
         assert link.state is ConnectionState.CLOSED
         assert self.desk.servers["s0"].outcome_counts == {Outcome.NO_ANSWER: 1}
         [answer] = self.viewer.said
@@ -400,7 +412,7 @@
         link, _ = self.link()
         self.set_up()
         self.pass_time(8_000_000)
-        late = Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"late"})
+        late = Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"late"})
         self.desk.on_server_message(link, late)
         assert len(self.viewer.said) == 1
         assert not self.desk.messages.early
@@ -408,7 +420,7 @@
     def test_an_answer_without_its_description_is_none(self) -> None:
         link, _ = self.link()
         self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {}))
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {}))
         assert link.state is ConnectionState.CLOSED
         assert not any(said.startswith(b"RTSP/1.0 200") for said in self.viewer.said)
 
@@ -425,7 +437,9 @@
         link, _ = self.link()
         for number in range(server_messages.MAX_EARLY_SESSIONS + 10):
             for _ in range(server_messages.MAX_EARLY_MESSAGES + 1 if number == 0 else 1):
-                self.desk.on_server_message(link, Message(Kind.NOTE, number.to_bytes(8, "big"), {}))
+                self.desk.on_server_message(
+                    link, Message(MessageKind.SESSION_REPORT, number.to_bytes(8, "big"), {})
+                )
         assert len(self.desk.messages.early) == server_messages.MAX_EARLY_SESSIONS
         assert len(self.desk.messages.early[bytes(8)]) == server_messages.MAX_EARLY_MESSAGES
         self.clock.advance(server_messages.EARLY_MESSAGE_US + 1)
@@ -443,9 +457,11 @@
     def test_nothing_is_left_of_what_is_over(self) -> None:
         link, _ = self.link()
         sub = self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"x"}))
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"x"}))
         assert sub in self.viewer.established_sessions
-        self.desk.on_server_message(link, Message(Kind.RELEASE, ID, {Code.CAUSE: bytes([Cause.OK])}))
+        self.desk.on_server_message(
+            link, Message(MessageKind.RELEASE, ID, {Parameter.CAUSE: bytes([Cause.OK])})
+        )
         server = self.desk.servers["s0"]
         assert not (
             self.desk.sessions
@@ -467,7 +483,7 @@
     def test_a_successor_at_its_address_is_not_taken_for_a_vanished_server(self) -> None:
         link, _ = self.link()
         sub = self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"x"}))
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"x"}))
         rows = [{**HOST, "health": "removed"}, {**HOST, "host": "s1"}]
         for told in DiscoveryBatch.parse({"rev": 2, "notices": [notice(2, rows)]}).events:
             self.desk.on_discovery_event(told)
@@ -483,7 +499,7 @@
         """A subscription that stands at a server which was heard and whose one link has just broken."""
         link, _ = self.link()
         sub = self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"x"}))
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"x"}))
         server = self.desk.servers["s0"]
         server.connection_loss.on_received(self.desk.now_us())
         link.close(Outcome.CONNECTION_LOST)
@@ -529,21 +545,21 @@
         assert self.desk.shut_down() == 1
         [answer] = self.viewer.said
         assert answer.startswith(b"RTSP/1.0 500 ")
-        assert [message.kind for message in self.heard(far)] == [Kind.SET_UP, Kind.RELEASE]
+        assert [message.kind for message in self.heard(far)] == [MessageKind.SET_UP, MessageKind.RELEASE]
 
     def test_a_move_is_told_to_the_viewer_and_ends_at_the_server(self) -> None:
         link, far = self.link()
         sub = self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"x"}))
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"x"}))
         session_states.apply_event(self.desk, sub, session_states.SessionEvent.MIGRATED)
         assert self.viewer.said[-1].startswith(b"REDIRECT rtsp://media/7f RTSP/1.0")
-        assert [message.kind for message in self.heard(far)] == [Kind.SET_UP, Kind.RELEASE]
+        assert [message.kind for message in self.heard(far)] == [MessageKind.SET_UP, MessageKind.RELEASE]
         assert not self.desk.sessions
 
     def test_a_release_finds_the_next_link(self) -> None:
         link, _ = self.link()
         sub = self.set_up()
-        self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {Code.DESCRIPTION: b"x"}))
+        self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {Parameter.DESCRIPTION: b"x"}))
         link.close(Outcome.CONNECTION_LOST)
         session_states.apply_event(self.desk, sub, session_states.SessionEvent.CLIENT_GONE)
         assert list(self.desk.servers["s0"].unsent) == [isup.release(ID, Cause.OK)]
@@ -551,8 +567,10 @@
     def test_the_trace_sets_belief_beside_what_was_seen(self) -> None:
         link, _ = self.link()
         self.set_up()
-        self.desk.on_server_message(link, Message(Kind.RELEASE, ID, {Code.CAUSE: bytes([Cause.FULL])}))
-        [line] = state_dump.lines(self.desk)
+        self.desk.on_server_message(
+            link, Message(MessageKind.RELEASE, ID, {Parameter.CAUSE: bytes([Cause.FULL])})
+        )
+        [line] = state_dump.server_states(self.desk)
         assert (line["server"], line["health"], line["seen"]) == ("s0", "SHUT", {"REJECTED": 1})
 
 
--- a/tests/test_node_dials.py
+++ b/tests/test_node_dials.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from fennelcove.isup import writer as isup
-from fennelcove.isup.messages import Cause, Code, Kind, Message
+from fennelcove.isup.messages import Cause, Message, MessageKind, Parameter
 from fennelcove.node import client_requests
 from fennelcove.node.descriptor_budget import DescriptorUse
 from fennelcove.node.discovery_events import DiscoveryBatch
@@ -54,7 +54,7 @@
             front.manager.is_shutting_down = True
         eventually(lambda: front.dialled() is None, "the thread has had the lock")
         far.shutdown(socket.SHUT_WR)
-        assert [m for m in read_all(far) if m.kind is Kind.SET_UP] == []
+        assert [m for m in read_all(far) if m.kind is MessageKind.SET_UP] == []
 
     def test_a_client_that_leaves_while_its_connection_is_made(self) -> None:
         def leaves(front: FrontHere) -> None:
@@ -179,12 +179,12 @@
             late.sendall(answered(sent) + answered(sent))
             front.manager.on_attempt_timeout(sub, sub.attempt)
         given_up = read_one(late)
-        assert (given_up.kind, given_up.session, given_up.cause) == (Kind.RELEASE, sub.id, Cause.OK)
+        assert (given_up.kind, given_up.session, given_up.cause) == (MessageKind.RELEASE, sub.id, Cause.OK)
         assert read_all(late) == []
         next_one = other.accept()
         again = read_one(next_one)
-        assert (again.kind, again.session) == (Kind.SET_UP, sub.id)
-        next_one.sendall(isup.message(Kind.ANSWER, sub.id, (Code.DESCRIPTION, b"of the next")))
+        assert (again.kind, again.session) == (MessageKind.SET_UP, sub.id)
+        next_one.sendall(isup.message(MessageKind.ANSWER, sub.id, (Parameter.DESCRIPTION, b"of the next")))
         answer = front.caller.answer()
         assert (answer.status, answer.body) == (200, b"of the next")
 
@@ -287,7 +287,7 @@
     ) -> tuple[int, int]:
         servers = [StandInServer(f"s{i}", i, reply) for i in range(2)]
         status = self.ends(*servers, kind=kind)
-        return status, sum(len(server.of(Kind.SET_UP)) for server in servers)
+        return status, sum(len(server.of(MessageKind.SET_UP)) for server in servers)
 
     def test_a_close_behind_the_set_up_proves_nothing(self) -> None:
         assert self.met(lambda message: None) == (500, 1)
@@ -305,7 +305,7 @@
                 assert self.met(lambda message, data=data: data) == (500, 1)
 
     def test_full_and_moot_prove_that_it_never_ran(self) -> None:
-        for cause in (Cause.FULL, Cause.MOOT):
+        for cause in (Cause.FULL, Cause.NOT_EXECUTED):
             with self.subTest(cause):
                 assert self.met(lambda message, cause=cause: released(message, cause)) == (453, 2)
 
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -16,7 +16,7 @@
 from unittest import mock
 
 from fennelcove.http1 import writer as http
-from fennelcove.isup.messages import Cause, Kind
+from fennelcove.isup.messages import Cause, MessageKind
 
 from tests.boardrig import BoardRig, HeldBoard, Poll, dialled, hung
 from tests.noderig import Caller, NodeRig, StandInServer, eventually, notice, released
@@ -87,7 +87,7 @@
         poll.tell(2, notice(2, [off(first), second.row]))
         assert board.next().watch == 2
         self.served(rig)
-        assert (len(first.of(Kind.SET_UP)), len(second.of(Kind.SET_UP))) == (0, 1)
+        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (0, 1)
 
     def test_a_log_that_nobody_reads_ends_no_asking(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -130,7 +130,7 @@
                 poll.close()
         assert board.next().watch == 1
         self.served(rig)
-        assert (len(first.of(Kind.SET_UP)), len(second.of(Kind.SET_UP))) == (1, 0)
+        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (1, 0)
 
     def test_silence_and_a_trickle_are_given_up(self) -> None:
         board = HeldBoard()
@@ -164,7 +164,7 @@
         poll.tell(2, notice(1, [first.row], whole=True), notice(2, [second.row, off(first)]))
         assert board.next().watch == 2
         self.served(rig)
-        assert (len(first.of(Kind.SET_UP)), len(second.of(Kind.SET_UP))) == (0, 1)
+        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (0, 1)
 
     def test_a_list_told_anew_leaves_what_a_later_event_named_as_it_is(self) -> None:
         first, second, board = StandInServer("s0", 0), StandInServer("s1", 0), HeldBoard()
@@ -173,7 +173,7 @@
         board.next().tell(2, events[1])
         poll = board.next()
         viewer = self.served(rig)
-        second.say(released(second.of(Kind.SET_UP)[0], Cause.OK))
+        second.say(released(second.of(MessageKind.SET_UP)[0], Cause.OK))
         viewer.request()
         poll.tell(1)
         poll = board.next()
@@ -189,7 +189,7 @@
         board.next().tell(3, notice(2, [first.row]), notice(3, [second.row], whole=True))
         assert board.next().watch == 3
         self.served(rig)
-        assert (len(first.of(Kind.SET_UP)), len(second.of(Kind.SET_UP))) == (0, 1)
+        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (0, 1)
 
     def test_events_out_of_order_or_doubled_are_taken_in_order_and_once(self) -> None:
         # The last that was written won, also where an older event came after a newer one.
@@ -221,7 +221,7 @@
         board.next().tell(3, *all_told[1:])
         assert board.next().watch == 3
         self.served(rig)
-        assert (len(first.of(Kind.SET_UP)), len(second.of(Kind.SET_UP))) == (0, 1)
+        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (0, 1)
 
     def test_numbers_that_are_left_out_from_the_first_say_nothing(self) -> None:
         # Each change would cost a second call, and calls are priced.
@@ -263,7 +263,7 @@
         fresh.tell(1)
         assert new.next().watch == 1
         self.served(rig)
-        assert (len(first.of(Kind.SET_UP)), len(second.of(Kind.SET_UP))) == (1, 0)
+        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (1, 0)
 
     def test_a_long_outage_takes_one_line_of_the_log_and_its_end_another(self) -> None:
         board = HeldBoard()
@@ -290,7 +290,7 @@
         late.next().tell(2, notice(2, [off(first), second.row]))
         assert late.next().watch == 2
         self.served(rig, 2)
-        assert len(second.of(Kind.SET_UP)) == 1
+        assert len(second.of(MessageKind.SET_UP)) == 1
 
     def test_breaks_and_moves_leave_no_descriptor_behind(self) -> None:
         boards = HeldBoard(), HeldBoard()
@@ -322,12 +322,12 @@
         rig = self.rig(board, old)
         poll = board.next()
         viewer = self.served(rig)
-        old.say(released(old.of(Kind.SET_UP)[0], Cause.OK))
+        old.say(released(old.of(MessageKind.SET_UP)[0], Cause.OK))
         viewer.request()
         poll.tell(2, notice(2, [new.row]))
         assert board.next().watch == 2
         self.served(rig, 2)
-        assert (len(old.of(Kind.SET_UP)), len(new.of(Kind.SET_UP))) == (1, 1)
+        assert (len(old.of(MessageKind.SET_UP)), len(new.of(MessageKind.SET_UP))) == (1, 1)
 
     def test_a_connection_to_a_successor_not_listed_yet_does_not_hold_sessions_of_the_one_that_went(
         self,
--- a/tests/test_node_owed.py
+++ b/tests/test_node_owed.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from fennelcove.isup import writer as isup
-from fennelcove.isup.messages import Cause, Code, Kind
+from fennelcove.isup.messages import Cause, MessageKind, Parameter
 from fennelcove.node import client_requests
 from fennelcove.node.model import SessionState
 
@@ -23,7 +23,7 @@
     """Answer whatever comes as a test of the connection, until it ends."""
     with suppress(OSError):
         while sock.recv(4096):
-            sock.sendall(isup.message(Kind.TESTED, bytes(8), (Code.CAUSE, b"\1")))
+            sock.sendall(isup.message(MessageKind.KEEPALIVE_ANSWER, bytes(8), (Parameter.CAUSE, b"\1")))
 
 
 class OwedTest(RigTest):
@@ -40,7 +40,7 @@
         inside.gate.hold("viewer")
         caller.sock.close()
         eventually(lambda: inside.gate.reached("viewer"), "the end read, and not acted on")
-        server.say(released(server.of(Kind.SET_UP)[0], Cause.OK))
+        server.say(released(server.of(MessageKind.SET_UP)[0], Cause.OK))
         eventually(lambda: sub.state is SessionState.CLOSED, "the end at the server heard")
         inside.gate.free("viewer")
         thread.join(noderig.WAIT_S)
@@ -58,9 +58,9 @@
         assert viewer.answer().status == 200
         viewer.sock.close()
         eventually(lambda: not holds(rig, inode), "its connection closed")
-        server.say(released(server.of(Kind.SET_UP)[0], Cause.OK))
-        server.say(isup.message(Kind.TEST, bytes(8), (Code.CAUSE, b"\0")))
-        eventually(lambda: server.of(Kind.TESTED), "the end heard")
+        server.say(released(server.of(MessageKind.SET_UP)[0], Cause.OK))
+        server.say(isup.message(MessageKind.KEEPALIVE, bytes(8), (Parameter.CAUSE, b"\0")))
+        eventually(lambda: server.of(MessageKind.KEEPALIVE_ANSWER), "the end heard")
         leaver = self.script(rig)
         inode = taken(rig, leaver)
         leaver.tear_down(OTHER)
@@ -89,7 +89,7 @@
             if caller is first:
                 first.sock.close()
                 eventually(lambda inode=inode: not holds(rig, inode), "its connection closed")
-        [sent] = [m for m in server.of(Kind.SET_UP) if m.session.hex() == ID]
+        [sent] = [m for m in server.of(MessageKind.SET_UP) if m.session.hex() == ID]
         server.say(released(sent, Cause.OK))
         assert second.request().fields["session"] == ID
 
--- a/tests/test_node_shutdown.py
+++ b/tests/test_node_shutdown.py
@@ -20,7 +20,7 @@
 
 from fennelcove.clock import SystemClock
 from fennelcove.clock.timers import Timers
-from fennelcove.isup.messages import Kind
+from fennelcove.isup.messages import MessageKind
 from fennelcove.log import silent
 from fennelcove.node import config, session_manager
 from fennelcove.node.client_connection import ClientConnection
@@ -288,7 +288,7 @@
         answer = self.caller.answer()
         assert (answer.status, answer.fields["come-back-ms"]) == (453, "500")
         with self.desk.lock:
-            assert (self.desk.sessions, self.server.of(Kind.SET_UP)) == ({}, [])
+            assert (self.desk.sessions, self.server.of(MessageKind.SET_UP)) == ({}, [])
 
     def test_what_was_never_sent_may_come_again_and_nobody_knows_of_the_rest(self) -> None:
         told = []
@@ -338,4 +338,4 @@
         viewer = rig.caller()
         viewer.set_up("00000000000000a3")
         assert viewer.answer().status == 200
-        assert [message.session.hex()[-2:] for message in server.of(Kind.SET_UP)] == ["a1", "a2", "a3"]
+        assert [message.session.hex()[-2:] for message in server.of(MessageKind.SET_UP)] == ["a1", "a2", "a3"]
--- a/tests/test_node_standing.py
+++ b/tests/test_node_standing.py
@@ -28,7 +28,7 @@
     Request,
     ServerState,
 )
-from fennelcove.isup.messages import Cause, Code, Kind, Message
+from fennelcove.isup.messages import Cause, Message, MessageKind, Parameter
 from fennelcove.log import silent
 from fennelcove.node import client_requests, config, session_manager
 from fennelcove.node.address import Address
@@ -151,18 +151,20 @@
             for call in self.timers.ready():
                 call()
         elif end == "answer that can't be used":
-            self.desk.on_server_message(link, Message(Kind.ANSWER, ID, {}))
+            self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {}))
         else:
-            self.desk.on_server_message(link, Message(Kind.RELEASE, ID, {Code.CAUSE: bytes([Cause[end]])}))
+            self.desk.on_server_message(
+                link, Message(MessageKind.RELEASE, ID, {Parameter.CAUSE: bytes([Cause[end]])})
+            )
 
     def test_each_end_of_a_join(self) -> None:
         for end, joins, status in (
             ("not connected", 2, 453),
             ("FULL", 2, 453),
-            ("MOOT", 2, 453),
+            ("NOT_EXECUTED", 2, 453),
             ("ERROR", 1, 500),
             ("RESET", 1, 500),
-            ("CALLED_OFF", 1, 500),
+            ("CANCELLED", 1, 500),
             ("closed", 1, 500),
             ("silent", 1, 500),
             ("answer that can't be used", 1, 500),
@@ -257,7 +259,9 @@
                 for server in made.servers.values():
                     for link in [link for link in server.links if link.dispatched_session]:
                         link.state = ConnectionState.OPEN
-                        answer = Message(Kind.ANSWER, id, {Code.DESCRIPTION: server.name.encode()})
+                        answer = Message(
+                            MessageKind.ANSWER, id, {Parameter.DESCRIPTION: server.name.encode()}
+                        )
                         made.on_server_message(link, answer)
         return viewer.said
 
--- a/tests/test_session_guard.py
+++ b/tests/test_session_guard.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from fennelcove.interface import Outcome
-from fennelcove.isup.messages import Kind
+from fennelcove.isup.messages import MessageKind
 from fennelcove.node import session_states
 from fennelcove.node.metrics import Metric
 from fennelcove.node.model import Attempt, Session, SessionState
@@ -29,7 +29,7 @@
         front = FrontHere(server.row, settings=settings)
         with front.manager.lock:
             front.set_up(ID)
-        eventually(lambda: server.of(Kind.SET_UP), "the set-up")
+        eventually(lambda: server.of(MessageKind.SET_UP), "the set-up")
         return front, front.manager.sessions[bytes.fromhex(ID)], server
 
     def violations(self, front: FrontHere) -> dict[str, int]:
@@ -58,7 +58,7 @@
             link.dispatch(session)
             assert self.violations(front) == {"repeated_with_proof": 1}
         assert front.caller.answer().status == 500
-        assert len(server.of(Kind.SET_UP)) == 1
+        assert len(server.of(MessageKind.SET_UP)) == 1
         assert self.violations(front)["repeated_with_proof"] == 1
 
     def test_nothing_is_sent_past_its_client_s_timeout(self) -> None:
@@ -70,7 +70,7 @@
             attempt.is_sent = False
             session.answer_deadline_us = front.manager.clock.now_us() - 1
             attempt.link.dispatch(session)
-        assert len(server.of(Kind.SET_UP)) == 1
+        assert len(server.of(MessageKind.SET_UP)) == 1
         assert self.violations(front) == {}
 
     def test_an_attempt_is_sent_once(self) -> None:
@@ -80,7 +80,7 @@
             assert link is not None
             link.dispatch(session)
         assert self.violations(front) == {"one_attempt": 1}
-        assert len(server.of(Kind.SET_UP)) == 1
+        assert len(server.of(MessageKind.SET_UP)) == 1
 
     def test_a_set_up_does_not_replace_another_under_its_id(self) -> None:
         front, session, _ = self.begun()
