--- a/packages/node/src/fennelcove/isup/__init__.py
+++ b/packages/node/src/fennelcove/isup/__init__.py
@@ -1,1 +1,1 @@
-"""Codec of the servers' side of the platform's protocol (binary messages), without I/O."""
+"""Codec of the binary protocol between nodes and servers, without I/O."""
--- a/packages/node/src/fennelcove/isup/messages.py
+++ b/packages/node/src/fennelcove/isup/messages.py
@@ -1,20 +1,20 @@
-"""Messages between a node and servers: a kind, a session id and parameters."""
+"""Messages between a node and servers; each has a kind, a session id and parameters."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import IntEnum
 
-MAX_MESSAGE_BYTES = 16_384  # of one message: the platform's bound
+MAX_MESSAGE_BYTES = 16_384  # of one message; a limit of the platform
 SESSION_BYTES = 8
 
 
 class ProtocolError(Exception):
-    """Bytes that are no message; the connection can't be read any further."""
+    """A malformed message; the rest of the connection's stream can't be parsed."""
 
 
 class MessageKind(IntEnum):
-    """Types of message."""
+    """The kind of a message; the values are sent on the wire."""
 
     SET_UP = 1
     PROGRESS = 6
@@ -29,7 +29,7 @@
 
 
 class Parameter(IntEnum):
-    """Parameters; values are text, but for the cause (one byte) and the description (bytes)."""
+    """Parameters of a message. Values are text, except the cause (one byte) and the description (bytes)."""
 
     SERVICE_CLASS = 100
     TIMEOUT_MS = 103
@@ -43,19 +43,19 @@
 
 
 class Cause(IntEnum):
-    """The reason for which a set-up or a session ends."""
+    """Why a set-up or a session ends; the values are sent on the wire."""
 
-    OK = 16  # from a node before the answer: the set-up is abandoned
+    OK = 16  # sent by a node before the answer, it abandons the set-up
     CANCELLED = 31
     FULL = 34
     RESET = 41
     ERROR = 47
-    NOT_EXECUTED = 102
+    NOT_EXECUTED = 102  # the server has not executed the set-up
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Message:
-    """One message; a parameter is given once at most."""
+    """One message; each parameter occurs at most once."""
 
     kind: MessageKind
     session: bytes
@@ -63,7 +63,7 @@
 
     @property
     def cause(self) -> int | None:
-        """The cause, or None if it is absent or not one byte."""
+        """The release cause, or None if it is absent or not one byte long."""
         value = self.parameters.get(Parameter.CAUSE, b"")
         return value[0] if len(value) == 1 else None
 
--- a/packages/node/src/fennelcove/isup/reader.py
+++ b/packages/node/src/fennelcove/isup/reader.py
@@ -1,4 +1,4 @@
-"""Reads messages off a stream of bytes: feed bytes, then call `next` until it returns None."""
+"""Incremental parser: feed bytes to it, then call `next` until it returns None."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 _KINDS = {int(kind): kind for kind in MessageKind}
 
-HEADER_BYTES = 3  # the length of a message and its kind
+HEADER_BYTES = 3  # the length (two bytes) and the kind (one byte)
 
 
 class Reader:
-    """Reads one direction of one connection; after a ProtocolError each further call raises it again."""
+    """Parses one direction of one connection; after a ProtocolError each further call raises it again."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
         self.failure: ProtocolError | None = None
 
     def feed(self, data: bytes) -> None:
-        """Add what was read."""
+        """Add received data."""
         self.buffer += data
 
     def next(self) -> Message | None:
         """Return the next message, or None while more bytes are needed.
 
         Raises:
-            ProtocolError: bytes that are no message; nothing more can be read.
+            ProtocolError: the message is malformed; nothing more can be parsed.
         """
         if self.failure is not None:
             raise self.failure
@@ -39,12 +39,13 @@
         if len(self.buffer) < HEADER_BYTES:
             return None
         length = int.from_bytes(self.buffer[:2], "big")
-        # Both are known from the first bytes: noise must not wait for a message that never ends.
+        # Length and kind are checked as soon as the header is there: corrupted data must not make the reader
+        # wait for the rest of a message that never comes.
         if not 1 + SESSION_BYTES <= length <= MAX_MESSAGE_BYTES - 2:
-            raise ProtocolError(f"a message of {length} bytes")
+            raise ProtocolError(f"invalid message length: {length} bytes")
         kind = _KINDS.get(self.buffer[2])
         if kind is None:
-            raise ProtocolError(f"a message of type {self.buffer[2]}")
+            raise ProtocolError(f"unknown message kind {self.buffer[2]}")
         if len(self.buffer) < 2 + length:
             return None
         raw = bytes(self.buffer[3 : 2 + length])
@@ -57,9 +58,9 @@
     while at < len(raw):
         end = at + 3 + int.from_bytes(raw[at + 1 : at + 3], "big")
         if at + 3 > len(raw) or end > len(raw):
-            raise ProtocolError("a parameter longer than its message")
+            raise ProtocolError("a parameter extends past the end of its message")
         if raw[at] in parameters:
-            raise ProtocolError(f"parameter {raw[at]} given twice")
+            raise ProtocolError(f"duplicate parameter {raw[at]}")
         parameters[raw[at]] = raw[at + 3 : end]
         at = end
     return parameters
--- a/packages/node/src/fennelcove/isup/writer.py
+++ b/packages/node/src/fennelcove/isup/writer.py
@@ -1,4 +1,4 @@
-"""Writes messages as bytes."""
+"""Encodes messages."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
     """Encode a message.
 
     Raises:
-        ValueError: a session that is not 8 bytes, or a message past its bound.
+        ValueError: the session id is not 8 bytes long, or the message is too long.
     """
     if len(session) != SESSION_BYTES:
-        raise ValueError(f"a session of {len(session)} bytes")
+        raise ValueError(f"session id of {len(session)} bytes, expected {SESSION_BYTES}")
     body = b"".join(bytes([code]) + len(value).to_bytes(2, "big") + value for code, value in parameters)
     length = 1 + SESSION_BYTES + len(body)
     if length + 2 > MAX_MESSAGE_BYTES:
-        raise ValueError(f"a message of {length + 2} bytes")
+        raise ValueError(f"message of {length + 2} bytes, at most {MAX_MESSAGE_BYTES} are allowed")
     return length.to_bytes(2, "big") + bytes([kind]) + session + body
 
 
 def release(session: bytes, cause: Cause) -> bytes:
-    """Encode the end of a session, or the abandonment of a set-up."""
+    """Encode a release: the end of a session, or of a set-up that is abandoned."""
     return message(MessageKind.RELEASE, session, (Parameter.CAUSE, bytes([cause])))
--- a/packages/node/src/fennelcove/node/__init__.py
+++ b/packages/node/src/fennelcove/node/__init__.py
@@ -1,1 +1,1 @@
-"""The front node: the decision module on the platform's protocol, between viewers and servers."""
+"""The front node: runs the placement policy on the platform's protocol, between clients and servers."""
--- a/packages/node/src/fennelcove/node/address.py
+++ b/packages/node/src/fennelcove/node/address.py
@@ -1,4 +1,4 @@
-"""Network addresses as the platform writes them."""
+"""Network addresses in the platform's notation."""
 
 from __future__ import annotations
 
@@ -24,5 +24,5 @@
     """
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"no address: {raw!r}")
+        raise ValueError(f"not an address of the form host:port: {raw!r}")
     return Address(host, int(port))
--- a/packages/node/src/fennelcove/node/attempt_dispatcher.py
+++ b/packages/node/src/fennelcove/node/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""Attempts to set sessions up at servers: dispatch, timeout and completion."""
+"""Dispatch, timeout and completion of attempts to set sessions up at servers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         """Send the session's set-up on an idle connection or a new one; its timeout runs from now."""
         attempt = session.current_attempt
         if not self._start_timeout(session, attempt):
-            # An attempt without a timeout would outlast its client.
+            # Without a timeout the attempt could outlast its client's own timeout.
             self.on_completed(session, Outcome.NOT_SENT, None)
             return
         idle = self._pool.find_idle(attempt.server, session)
@@ -45,7 +45,7 @@
             self.on_completed(session, Outcome.NOT_SENT, None)
 
     def on_timeout(self, session: Session, attempt: Attempt) -> None:
-        """Abandon an attempt that is still in flight, before the policy is notified of its outcome."""
+        """Abandon an attempt that is still in flight, then notify the policy of its outcome."""
         link = attempt.link
         if session.attempt is not attempt or session.state is not SessionState.ATTEMPTING or link is None:
             return
@@ -53,7 +53,7 @@
             link.close(Outcome.NO_CONNECTION)
             return
         link.abandon(session)
-        # An answer that never comes, or stops short, leaves nothing that can be read behind it.
+        # After an answer that is missing or cut off, nothing that follows on the connection can be parsed.
         link.close(Outcome.NO_ANSWER)
         self.on_completed(session, Outcome.NO_ANSWER, None)
 
@@ -65,10 +65,10 @@
             session_states.apply_event(self._actions, session, SessionEvent.ATTEMPT_ENDED)
 
     def is_wanted(self, session: Session) -> bool:
-        """Whether a set-up that waited for its connection is still to be sent.
+        """Whether a set-up that waited for its connection is still to be sent; closes the session if not.
 
-        Its client may have closed just as the connection was made, with its thread still waiting for the
-        lock; the session is then closed.
+        The client may have closed just as the connection to the server opened, while its own thread still
+        waits for the lock.
         """
         if session.client is None or not session.client.has_left():
             return True
--- a/packages/node/src/fennelcove/node/client_connection.py
+++ b/packages/node/src/fennelcove/node/client_connection.py
@@ -1,4 +1,4 @@
-"""Connections of clients: one thread each, whole messages in, and a limit on every wait."""
+"""Connections from clients: one thread each, and a timeout on every wait."""
 
 from __future__ import annotations
 
@@ -20,28 +20,29 @@
 from fennelcove.rtsp.messages import ProtocolError
 
 READ_BYTES = 16_384
-MESSAGE_TIMEOUT_US = 2_000_000  # from accept, or a message's first byte, until the message is whole
-IDLE_TIMEOUT_US = 10_000_000  # without an open or established session
-DRAIN_TIMEOUT_US = 500_000  # for one read of what still arrives after the end, and for all of them
+MESSAGE_TIMEOUT_US = 2_000_000  # from accept, or from a message's first byte, until the message is complete
+IDLE_TIMEOUT_US = 10_000_000  # of a connection without an open or established session
+DRAIN_TIMEOUT_US = 500_000  # for each read of data that arrives after the end, and for all of them together
 DRAIN_READ_BYTES = 65_536
-# The first message of a new connection is still on its way: none is evicted before so long. At the lowest
-# limit 150 connections a second still pass, so hundreds that send nothing are gone within 3 s.
+# No new connection is evicted earlier: its first message may still be in transit. At the lowest configurable
+# limit 150 connections a second are still admitted, so hundreds that send nothing are evicted within 3 s.
 EVICTION_GRACE_US = 20_000
-MIN_RESERVED_FOR_NEW = 3  # places that connections in use leave to new ones, at least,
-RESERVED_FOR_NEW_DIVISOR = 8  # and one in so many
+# Places that connections in use leave to new ones: one in eight, but at least three.
+MIN_RESERVED_FOR_NEW = 3
+RESERVED_FOR_NEW_DIVISOR = 8
 PEER_GONE_EVENTS = select.POLLRDHUP | select.POLLERR
 
 
 class CloseGuard(session_states.Guard, Protocol):
-    """The invariants that a connection's end asks for."""
+    """The invariants that are checked when a connection is closed."""
 
     def check_close(self, client: ClientLink) -> None:
-        """Check that the node closes a connection only once its set-ups are answered."""
+        """Check that every set-up request on a connection that the node closes has been answered."""
         ...
 
 
 class ClientSessions(client_requests.SessionService, Protocol):
-    """The session manager, as connections of clients use it."""
+    """The session manager, as connections from clients use it."""
 
     lock: NodeLock
     clock: Clock
@@ -55,7 +56,10 @@
 
 
 class ClientConnection:
-    """One connection of a client. Every method but `run` is called with the manager's lock held."""
+    """One connection from a client.
+
+    Its thread calls `run` without the manager's lock; every other public method is called with it held.
+    """
 
     def __init__(self, manager: ClientSessions, sock: socket.socket, peer: str) -> None:
         self.manager = manager
@@ -70,16 +74,16 @@
         self.withdrawn_ids: set[bytes] = set()
         self.accepted_us = manager.clock.now_us()
         self.has_sent_message = False
-        # Its thread processes what it has read, and checks `closed` before it reads again.
+        # Its thread is processing data that it has read; it checks `is_closed` before it reads again.
         self.is_busy = False
         self.is_ended_by_client = False
-        self.is_finishing = False  # the node shuts down, and has shut the reading side itself
+        self.is_finishing = False  # the node shuts down, and has shut down the receiving side itself
         self.is_closed = False
         self.end_reason = "disconnected"
 
     @property
     def is_unused(self) -> bool:
-        """Whether it has no open and no established session: it may be closed."""
+        """Whether it has neither open nor established sessions, so that it may be closed."""
         return not self.open_sessions and not self.established_sessions
 
     @property
@@ -91,7 +95,7 @@
             return False
 
     def send(self, data: bytes) -> bool:
-        """Send a message without waiting; a client that lets the kernel's buffer fill up is disconnected.
+        """Send a message without waiting; the client is disconnected if the kernel's send buffer is full.
 
         Returns:
             Whether the kernel accepted all of the message.
@@ -101,10 +105,10 @@
         return not self.is_closed
 
     def has_left(self) -> bool:
-        """Whether the client has closed, as far as the kernel knows; data may be unread before the end."""
+        """Whether the client has closed, as far as the kernel knows; data may still be unread."""
         if self.is_ended_by_client or self.is_closed:
             return True
-        if self.is_finishing:  # the end of this stream is the node's own, and proves nothing of the client
+        if self.is_finishing:  # the node itself ended the stream, which proves nothing about the client
             return False
         try:
             return bool(poll_peer_events(self.sock) & PEER_GONE_EVENTS)
@@ -114,12 +118,12 @@
     def disconnect(self) -> None:
         """Disconnect the client; the connection's thread closes the descriptor."""
         self.is_closed = True
-        if not self.is_busy:  # else its thread sees `closed` itself, and a shut reading side can't be drained
+        if not self.is_busy:  # else its thread checks `is_closed`, and must still be able to drain
             with suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
 
     def finish_reading(self) -> None:
-        """Let the thread read what has arrived already, and then find the end."""
+        """Shut down the receiving side; the thread still reads what has already arrived."""
         self.is_finishing = True
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RD)
@@ -129,7 +133,7 @@
         try:
             self._receive()
         except OSError:
-            self.is_ended_by_client = True  # broken
+            self.is_ended_by_client = True  # reset or broken
             self.end_reason = "reset"
         except ProtocolError as error:
             self.end_reason = f"unreadable_{error.status}"
@@ -149,12 +153,12 @@
             self.descriptor.close()
 
     def _drain(self) -> None:
-        """Shut the sending side, and read for a while what still arrives.
+        """Shut down the sending side, then read and discard what still arrives until the drain times out.
 
-        A socket closed with unread data resets its connection, and the reset destroys the answer that was
+        Closing a socket with unread data resets the connection, and the reset destroys the answer that was
         just sent.
         """
-        self.is_busy = False  # an eviction may cut it short
+        self.is_busy = False  # an eviction may end the drain early
         deadline_us = self.manager.clock.now_us() + DRAIN_TIMEOUT_US
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
@@ -163,7 +167,7 @@
                 pass
 
     def _receive(self) -> None:
-        """Process what arrives until the connection ends or is overdue."""
+        """Process received data until the connection ends or times out."""
         deadline_us = self.manager.clock.now_us() + MESSAGE_TIMEOUT_US
         while not self.is_closed and not self.is_ended_by_client:
             remaining_us = deadline_us - self.manager.clock.now_us()
@@ -186,11 +190,11 @@
             deadline_us = self._process(data, deadline_us)
 
     def _may_time_out(self) -> bool:
-        """Whether it sent no whole message, stopped in the middle of one, or has no sessions left."""
+        """Whether no complete message has arrived, one is incomplete, or no session is left."""
         return not self.receive_queue.is_empty or not self.has_sent_message or self.is_unused
 
     def _limit_receive(self, remaining_us: int) -> None:
-        """Set the socket's timeout only where it matters: most reads find one that is close enough."""
+        """Set the socket's receive timeout, unless the present one is close enough, to save a system call."""
         if not remaining_us <= self.receive_timeout_us <= remaining_us + MESSAGE_TIMEOUT_US // 2:
             self.receive_timeout_us = remaining_us
             set_receive_timeout(self.sock, remaining_us)
@@ -199,7 +203,7 @@
         """Process what was read, and return the new deadline.
 
         Raises:
-            ProtocolError: the data can't be read.
+            ProtocolError: the data is malformed.
         """
         queue = self.receive_queue
         begins_message = queue.is_empty
@@ -214,11 +218,11 @@
 
     def _receive_or_time_out(self) -> bytes | None:
         """Return what arrives next; empty at the end of the stream, None if nothing arrives in time."""
-        self.is_busy = False  # before `closed` is checked: `shut` checks `is_busy` after it has set `closed`
+        self.is_busy = False  # before `is_closed` is read: `disconnect` sets `is_closed`, then reads this
         try:
             if self.is_closed:
                 return None
-            # Only peeked: data taken out of the kernel before `is_busy` is set would be seen nowhere.
+            # Peeked, not read: an eviction must see the data either in the kernel or by `is_busy`.
             self.sock.recv(1, socket.MSG_PEEK)
             self.is_busy = True
             return self.sock.recv(READ_BYTES)
@@ -228,9 +232,11 @@
             self.is_busy = True
 
     def _receive_at_deadline(self) -> bytes | None:
-        """Return what has arrived just at the deadline, to be processed; None if nothing has.
+        """Return the data that has arrived at the deadline; if there is none, close the connection.
 
-        Then nothing will be processed any more: the client sends it again on another connection.
+        Returns:
+            The data, to be processed; None if the connection is closed. What arrives after that is not
+            processed: the client sends it again on another connection.
         """
         with self.manager.lock:
             data = self._receive_available()
@@ -241,7 +247,7 @@
         return data
 
     def _receive_available(self) -> bytes | None:
-        """Return what has arrived by now; None if nothing has, and empty at the end of the stream."""
+        """Return what has arrived, without waiting; None if nothing has, empty at the end of the stream."""
         try:
             return self.sock.recv(READ_BYTES, socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -250,11 +256,11 @@
             return b""
 
     def _process_messages(self) -> bool:
-        """Process the queued messages, with the lock held once for each.
+        """Process the queued messages, acquiring the lock for each one.
 
-        A flood on one connection must not block the others. Before each message, what has arrived behind it
-        is read: nothing may be started for a client that has left or withdrawn while the messages before that
-        were processed or waited for the lock.
+        A flood on one connection must not block the others. Before each message, the data that has arrived
+        after it is read: no session may be started for a client that has left or withdrawn its request while
+        earlier messages were processed or waited for the lock.
 
         Returns:
             Whether a message was processed.
@@ -278,7 +284,7 @@
         client_requests.on_client_message(self.manager, self, message, is_abandoned)
 
     def _receive_following(self) -> bytes | None:
-        """Return what has arrived behind the messages being processed; an end is handled at once."""
+        """Return what has arrived after the queued messages; the end of the stream is handled at once."""
         if self.is_ended_by_client or self.is_closed:
             return None
         if self.receive_queue.is_full:
@@ -295,7 +301,7 @@
 
 
 class ConnectionTable:
-    """The open connections of clients, oldest first, bounded. The manager's lock guards it."""
+    """The open connections from clients, oldest first, up to a maximum; guarded by the manager's lock."""
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
@@ -306,13 +312,13 @@
         self.pending_notifications = PendingNotifications()
 
     def add(self, connection: ClientConnection) -> bool:
-        """Add a connection, after an unused one has been evicted if the table is full.
+        """Add a connection; if the table is full, an unused one is evicted first.
 
         Returns:
             False if the table is full of connections in use.
         """
         if len(self.connections) >= self.max_connections:
-            # With none but those that never stop sending, one of them is evicted all the same.
+            # If every unused connection is still sending, the oldest of them is evicted.
             evicted = self._eviction_candidate() or self._oldest_unused()
             if evicted is None:
                 return False
@@ -326,10 +332,10 @@
         return next(candidates, None)
 
     def _eviction_candidate(self) -> ClientConnection | None:
-        """Return the connection to evict: first one that is only drained, then one that has sent nothing.
+        """Return the connection to evict: preferably one being drained, then one that has sent no message.
 
-        Some clients open connections by the hundred and never send. A connection with unread data is about to
-        be in use, and evicting it would leave that data without an answer.
+        Some clients open hundreds of connections and never send. A connection with unread data is kept, since
+        the request in it would get no answer.
         """
         candidates = [
             each for each in self.connections if each.is_unused and (each.is_closed or not each.is_busy)
@@ -342,7 +348,7 @@
         self.remove(connection)
 
     def evict_one(self) -> None:
-        """Evict a connection that is not in use, if there is one."""
+        """Evict an unused connection, if there is one."""
         candidate = self._eviction_candidate()
         if candidate is not None:
             self._evict(candidate)
@@ -352,17 +358,17 @@
         if len(self.connections) < self.max_connections:
             return 0
         candidate = self._eviction_candidate()
-        if candidate is None:  # those that are not in use are being read just now
+        if candidate is None:  # every unused connection is sending just now
             return EVICTION_GRACE_US
         if candidate.has_sent_message or candidate.is_closed:
             return 0
         return max(0, candidate.accepted_us + EVICTION_GRACE_US - now_us)
 
     def may_hold_sessions(self, connection: ClientLink) -> bool:
-        """Whether this connection may hold sessions.
+        """Whether this connection may have open or established sessions.
 
-        If every connection did, a new one would have to be closed without an answer, and so would the
-        platform's health check.
+        If all connections had some, a new one would have to be closed without an answer, and health checks of
+        the platform would fail.
         """
         if connection.open_sessions or connection.established_sessions:
             return True
@@ -380,8 +386,8 @@
     def find_connection(self, peer: str, client_id: str = "") -> ClientConnection | None:
         """Return an open connection of this peer, or None.
 
-        One on which this client has sent a request comes first, then one that has sent any message: clients
-        that share an address must not receive each other's notifications.
+        Preferred is one on which the client `client_id` has sent a request, then one on which any message was
+        received: clients that share an address must not receive each other's notifications.
         """
         same_peer = sorted(
             self.connections_by_peer.get(peer, ()),
@@ -390,21 +396,21 @@
         return next((each for each in same_peer if not each.has_left()), None)
 
     def defer(self, peer: str, data: bytes, now_us: int) -> bool:
-        """Queue a message for the peer's next connection; False if one was dropped."""
+        """Queue a message for the peer's next connection; False if it was dropped."""
         return self.pending_notifications.defer(peer, data, now_us)
 
     def deliver(self, connection: ClientLink) -> None:
-        """Send what is queued for this connection's peer."""
+        """Send the messages that are queued for this connection's peer."""
         self.pending_notifications.deliver(connection)
 
     def expire(self, now_us: int) -> None:
-        """Drop the messages that have been queued for too long."""
+        """Drop the messages whose time to live has passed."""
         self.pending_notifications.expire(now_us)
 
 
 def _has_nothing_to_process(connection: ClientConnection) -> bool:
     """Whether it has no unread data and its thread is not processing any.
 
-    The unread data is checked first: data that its thread takes out meanwhile has set `is_busy` before.
+    The unread data is checked first: before the thread reads any, it sets `is_busy`.
     """
     return not (connection.has_unread_data or connection.is_busy)
--- a/packages/node/src/fennelcove/node/client_listener.py
+++ b/packages/node/src/fennelcove/node/client_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepts clients' connections, admits them, and drains them at shutdown."""
+"""Listener for clients: accepts and admits their connections, and drains them at shutdown."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 BACKLOG = 512
 ACCEPT_RETRY_DELAY_S = 0.05
-FAILURE_LOG_INTERVAL_US = 10_000_000  # between two log lines about connections that can't be accepted
-MAX_ADMISSION_WAIT_US = 1_000_000  # for one that may be evicted, and then for its thread to close it
+FAILURE_LOG_INTERVAL_US = 10_000_000  # between two log lines about failures to accept
+MAX_ADMISSION_WAIT_US = 1_000_000  # until another may be evicted, and again until its thread has closed it
 MAX_DRAIN_US = 1_000_000  # the drain ends as soon as all clients' data has been processed
 MAX_ACCEPT_THREAD_JOIN_US = MAX_DRAIN_US // 20
 CLIENT_THREAD_NAME = "client"
@@ -57,7 +57,7 @@
         """Start the thread that accepts.
 
         Raises:
-            RuntimeError: the machine had no thread in time.
+            RuntimeError: the system could not start a thread in time.
         """
         start_thread(self.accept_thread, self.clock, timeout_us)
 
@@ -74,9 +74,9 @@
             self.admit(sock, peer[0])
 
     def _on_accept_failed(self, error: OSError) -> None:
-        """Log the failure, and evict a connection if the process is out of descriptors.
+        """Log the failure, and evict a connection if the process has run out of descriptors.
 
-        Otherwise new connections would wait until a client leaves.
+        Without the eviction, new connections would wait until a client leaves.
         """
         now_us = self.clock.now_us()
         if now_us >= self.failure_logged_us + FAILURE_LOG_INTERVAL_US:
@@ -88,7 +88,7 @@
         time.sleep(ACCEPT_RETRY_DELAY_S)
 
     def admit(self, sock: socket.socket, peer: str) -> None:
-        """Start a new connection's thread, or close the connection if there is no capacity for it."""
+        """Start the thread of a new connection, or close the connection if there is no capacity for it."""
         connection = ClientConnection(self.manager, sock, peer)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -102,7 +102,7 @@
             connection.descriptor.close()
 
     def _acquire_capacity(self, connection: ClientConnection) -> None:
-        """Add the connection to the table, and count its descriptor as a client's.
+        """Add the connection to the table, and move its descriptor to the clients' share.
 
         Raises:
             OSError: there is no capacity for it.
@@ -110,23 +110,23 @@
         if not self._add_to_table(connection):
             raise OSError("the connection table is full")
         if not connection.descriptor.reassign(DescriptorUse.CLIENT, MAX_ADMISSION_WAIT_US):
-            raise OSError("no descriptor came free in time")
+            raise OSError("no free descriptor in time")
 
     def _add_to_table(self, connection: ClientConnection) -> bool:
-        """Wait until another may be evicted for this connection, then add it; False if the table is full."""
+        """Add the connection, once another may be evicted for it; False if the table is full."""
         deadline_us = self.clock.now_us() + MAX_ADMISSION_WAIT_US
         while True:
             with self.manager.lock:
                 delay_us = self.manager.connections.admission_delay_us(self.clock.now_us())
                 if not delay_us or self.is_ending or self.clock.now_us() >= deadline_us:
                     return self.manager.connections.add(connection)
-            time.sleep(delay_us / 1e6)  # the listener's backlog holds the others meanwhile
+            time.sleep(delay_us / 1e6)  # other connections wait in the listener's backlog
 
     def drain(self) -> None:
-        """Answer what the kernel has received by now, in the backlog and in buffers.
+        """Answer the requests that the kernel has received by now, in the backlog and in socket buffers.
 
-        At the process's end it would go unanswered, and a connection with unread data is reset, which
-        destroys the answers before it.
+        Otherwise they would get no answer when the process ends. A connection that is closed with unread data
+        is also reset, which destroys the answers sent before.
         """
         deadline_us = self.clock.now_us() + MAX_DRAIN_US
         self.is_ending = True
@@ -144,7 +144,7 @@
         with suppress(OSError):  # the backlog is empty
             for _ in range(BACKLOG):
                 if self.clock.now_us() >= deadline_us:
-                    break  # the capacity for each may take a while to come free
+                    break  # each admission may have to wait for capacity
                 sock, peer = self.sock.accept()
                 self.admit(sock, peer[0])
 
--- a/packages/node/src/fennelcove/node/client_requests.py
+++ b/packages/node/src/fennelcove/node/client_requests.py
@@ -1,4 +1,4 @@
-"""Handlers of clients' messages: each is validated, then acted on or answered with an error status."""
+"""Handlers of clients' messages: each is validated, then executed or answered with an error status."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from fennelcove.rtsp import messages, writer
 
 MAX_PENDING_PER_CONNECTION = 256  # set-up requests without an answer
-MAX_CLIENT_IDS = 64  # remembered of one connection
+MAX_CLIENT_IDS = 64  # recorded per connection
 MAX_SESSIONS = 10_000  # of one node, in all states
 STATUS_OK = 200
 STATUS_BAD_REQUEST = 400
@@ -27,7 +27,7 @@
 
 
 class SessionService(SessionActions, Protocol):
-    """The operations that clients' messages need; the node's lock is held."""
+    """The operations that clients' messages need; called with the node's lock held."""
 
     config: Config
     is_shutting_down: bool
@@ -38,7 +38,7 @@
         ...
 
     def may_hold_sessions(self, client: ClientLink, /) -> bool:
-        """Whether a session may be open on this connection."""
+        """Whether this connection may have open or established sessions."""
         ...
 
     def admit(self, session: Session, request: Request) -> None:
@@ -46,20 +46,20 @@
         ...
 
     def take_over(self, session: Session, request: Request, server: str) -> bool:
-        """Take over a session that plays at a server already."""
+        """Take over a session that is established at a server already; False if the server is unknown."""
         ...
 
 
 def on_client_message(
     manager: SessionService, client: ClientLink, message: messages.Message, is_abandoned: bool = False
 ) -> None:
-    """Act on one message of a client; the node's lock is held.
+    """Handle a client's message; called with the node's lock held.
 
     Args:
-        manager: What the message acts on.
-        client: The connection that it came on.
-        message: The message.
-        is_abandoned: Nobody waits for an answer to it any more.
+        manager: the node that handles it.
+        client: the connection on which it was received.
+        message: the message.
+        is_abandoned: whether the client no longer waits for an answer to it.
     """
     if isinstance(message, messages.Response):
         return  # the client's acknowledgement of a release
@@ -84,7 +84,7 @@
 
 
 def set_up(manager: SessionService, client: ClientLink, message: messages.Request, name: str) -> None:
-    """Set up a session, or take over one that plays already; `name` is its id as the client wrote it."""
+    """Set up a session, or take over an established one; `name` is its id in the client's spelling."""
     cseq = message.fields.get("cseq", "1")
     echo = (("CSeq", cseq), ("Session", name))
     id = bytes.fromhex(name)
@@ -116,10 +116,10 @@
 
 
 def tear_down(manager: SessionService, client: ClientLink, id: bytes) -> bool:
-    """Cancel a set-up request, or end an established session, which any connection may do.
+    """Cancel a set-up request received on this connection, or end an established session of any connection.
 
     Returns:
-        Whether there was something to cancel or to end.
+        Whether there was a request to cancel or a session to end.
     """
     was_withdrawn = id in client.withdrawn_ids
     client.withdrawn_ids.discard(id)
@@ -132,13 +132,13 @@
 
 
 def answer_open_requests(manager: SessionService, client: ClientLink) -> None:
-    """Answer the set-up requests on a connection that the node itself is about to close."""
+    """Answer all open set-up requests on a connection that the node is about to close."""
     for session in list(client.open_sessions):
         session_states.apply_event(manager, session, SessionEvent.ABORTED)
 
 
 def on_client_gone(manager: SessionService, client: ClientLink) -> None:
-    """Act on a connection's end: its set-up requests are cancelled, its established sessions play on."""
+    """Handle a connection's end: its set-up requests are cancelled, its established sessions continue."""
     for session in list(client.open_sessions):
         session_states.apply_event(manager, session, SessionEvent.CLIENT_GONE)
     for session in client.established_sessions:
@@ -147,7 +147,7 @@
 
 
 def _echo_fields(message: messages.Request) -> list[tuple[str, str]]:
-    """The fields that an answer repeats, as far as the message has them."""
+    """The header fields of a message that its answer repeats."""
     names = ("CSeq", "Session")
     return [(name, message.fields[name.lower()]) for name in names if name.lower() in message.fields]
 
@@ -160,9 +160,9 @@
     echo: tuple[tuple[str, str], ...],
 ) -> None:
     if setup.current_server:
-        return  # a session may be handed over that is held already
+        return  # handed over repeatedly: the session is known already
     if existing.client is client and existing.state is not SessionState.ESTABLISHED:
-        # One answer is pending under this id; an error status here would be taken for it.
+        # An answer is pending under this id: the client would take an error status for that answer.
         answer_open_requests(manager, client)
         client.disconnect()
         return
@@ -170,7 +170,7 @@
 
 
 def _remember_client_id(client: ClientLink, client_id: str) -> None:
-    client.recent_clients.pop(client_id, None)  # moved to the end: the latest is last
+    client.recent_clients.pop(client_id, None)  # moves it to the end, where the latest is
     client.recent_clients[client_id] = None
     if len(client.recent_clients) > MAX_CLIENT_IDS:
         del client.recent_clients[next(iter(client.recent_clients))]
@@ -178,7 +178,7 @@
 
 def _take_over(manager: SessionService, client: ClientLink, session: Session, setup: SetupRequest) -> None:
     if not manager.may_hold_sessions(client):
-        # An established session needs no connection, and this one may have to be closed to admit others.
+        # An established session needs no connection; this one may be evicted to admit others.
         session.client = None
     if len(manager.sessions) < MAX_SESSIONS:
         manager.take_over(session, setup.request, setup.current_server)
--- a/packages/node/src/fennelcove/node/config.py
+++ b/packages/node/src/fennelcove/node/config.py
@@ -1,4 +1,4 @@
-"""A front node's configuration, read from the file that the platform names."""
+"""A front node's configuration, read from the JSON file named by the environment."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from fennelcove.node.address import Address, parse_address
 from fennelcove.node.discovery_events import DiscoveryBatch, DiscoveryError
 
-DEFAULT_CONNECT_TIMEOUT_US = 250_000  # if the settings name no limit
+DEFAULT_CONNECT_TIMEOUT_US = 250_000  # if the settings give none
 DEFAULT_IDLE_TIMEOUT_US = 30_000_000
 DEFAULT_SOCKET_LIMIT = 256
 MIN_SOCKET_LIMIT = 32
-# Raised by files of another form; RecursionError if nested deeper than the parser follows.
+# Raised for malformed files; RecursionError if JSON is nested too deeply for the parser.
 UNUSABLE_ERRORS = (
     OSError,
     ValueError,
@@ -33,14 +33,14 @@
     """A front node's configuration can't be used."""
 
     code = "node-configuration-unusable"
-    advice = "Correct the file that EDGE_CONFIG names; a node that runs goes on by what it had read"
+    advice = "Correct the file named by EDGE_CONFIG; a running node keeps its current configuration"
 
 
 class ConfigMismatchError(OperatorError):
-    """A front node's configuration at SIGHUP is not the one of the node that runs."""
+    """A front node's configuration file, reloaded at SIGHUP, is another node's or needs a restart."""
 
     code = "node-configuration-foreign"
-    advice = "Put the node's own file back, or restart the node to run by this one; it goes on as it was"
+    advice = "Restore the node's own file, or restart the node to use this one; it keeps its configuration"
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -55,13 +55,13 @@
     initial_batch: DiscoveryBatch
     settings: Settings
     connection_settings: ConnectionSettings
-    # `limits` and `settings` as the file has them, to name the keys that differ.
+    # `limits` and `settings` as read from the file, to name the keys that differ at a reload.
     raw_sections: dict[str, dict[str, Any]]
 
     def fields_changed_in(self, reloaded: Config) -> list[str]:
-        """Return the fields that differ in a reloaded file, by their names in the file.
+        """Return the names in the file of the fields that differ in a reloaded one and need a restart.
 
-        `board`, `known` and `seed` may differ at each reading. Settings that are not read don't count.
+        `board`, `known` and `seed` may change at any reload. Settings that the node doesn't read are ignored.
         """
         found = [name for name in ("name", "listen") if getattr(self, name) != getattr(reloaded, name)]
         settings_differ = (
@@ -80,7 +80,7 @@
     """Read the file.
 
     Raises:
-        ConfigError: unreadable, no JSON, or a field that can't be used.
+        ConfigError: the file is unreadable or not JSON, or a field is invalid.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -94,13 +94,13 @@
     """Read the file again while the node runs.
 
     Raises:
-        ConfigError: as `load`.
-        ConfigMismatchError: it is another node's, or changes a field that takes a restart.
+        ConfigError: as for `load`.
+        ConfigMismatchError: the file is another node's, or changes a field that needs a restart.
     """
     reloaded = load(path)
     changed = running.fields_changed_in(reloaded)
     if changed:
-        raise ConfigMismatchError(f"differs from what the node runs by in {', '.join(changed)}", path)
+        raise ConfigMismatchError(f"differs from the running configuration in {', '.join(changed)}", path)
     return reloaded
 
 
@@ -108,10 +108,10 @@
     """Return the configuration in a parsed JSON tree.
 
     Raises:
-        ConfigError, PlatformSettingsError, DiscoveryError, ValueError: a field can't be used.
+        ConfigError, PlatformSettingsError, DiscoveryError, ValueError: a field is invalid.
     """
     if not isinstance(tree, dict):
-        raise ConfigError("found no object")
+        raise ConfigError("the configuration is not a JSON object")
     settings, _ = facts.read_settings(tree.get("settings"))
     connection = facts.connection_settings(tree.get("settings"))
     limits = facts.SettingsReader(tree.get("limits", {}), "limits")
--- a/packages/node/src/fennelcove/node/config_reloader.py
+++ b/packages/node/src/fennelcove/node/config_reloader.py
@@ -12,15 +12,15 @@
 from fennelcove.node.descriptor_budget import DescriptorBudget, DescriptorUse
 from fennelcove.node.log import EventLogger
 
-MAX_ATTEMPTS = 5  # to read a file that may just be being replaced
+MAX_ATTEMPTS = 5  # to read a file that may be incomplete while it is replaced
 RETRY_DELAY_S = 0.1
 
 
 class ConfigReloader:
-    """Applies the file's discovery address, the one setting that a running node takes from it.
+    """Applies the file's discovery address, the only setting that a running node reloads.
 
-    It has its own thread: while the main thread read a file, or waited between two attempts, SIGTERM waited
-    with it and health checks continued to pass.
+    It has its own thread: if the main thread read the file, or waited between two attempts, it would handle a
+    SIGTERM only after that, and health checks would continue to pass until then.
     """
 
     def __init__(
@@ -39,22 +39,22 @@
         self.requested = threading.Event()
 
     def request(self) -> None:
-        """Have the file read soon; may be called from any thread."""
+        """Request a reload; may be called from any thread."""
         self.requested.set()
 
     def run(self) -> None:
-        """Read the file after each request; the body of the thread, which never ends."""
+        """Reload the file after each request; the body of the thread, which never returns."""
         while True:
             self.requested.wait()
             self.requested.clear()
             try:
                 self._reload()
-            # One file's fault must not end the reading of all later ones.
+            # An error with one file must not prevent later reloads.
             except Exception as error:  # noqa: BLE001 - top of a thread, logged
                 self.log("config_reload_failed", reason=f"{type(error).__name__}: {error}")
 
     def _reload(self) -> None:
-        """Apply the file; one that can't be used changes nothing, and is logged once."""
+        """Read and apply the file; an invalid one changes nothing and is logged once."""
         for attempts_left in reversed(range(MAX_ATTEMPTS)):
             try:
                 reloaded = self._read()
--- a/packages/node/src/fennelcove/node/deadlines.py
+++ b/packages/node/src/fennelcove/node/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines of the answers to set-up requests, in order and with one timer for all of them."""
+"""Answer deadlines of set-up requests: a sorted queue with one timer for all of them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from fennelcove.clock.timers import Timers
 from fennelcove.node.model import Session
 
-# A timer set for longer would outlive the requests that it was set for: client timeouts reach an hour.
+# Client timeouts reach an hour, and a timer set for that long would outlive the request that it was set for.
 MAX_TIMER_US = 1_000_000
 
 
@@ -21,12 +21,12 @@
         self.clock = clock
         self.timers = timers
         self.on_timer = on_timer
-        # Tuples for the sake of bisection: the deadline in microseconds, and the session's id.
+        # Sorted for bisection: the deadline in microseconds, and the session's id.
         self.entries: list[tuple[int, bytes]] = []
-        self.timer_at_us: int | None = None  # when the timer falls due, where one is set
+        self.timer_at_us: int | None = None  # when the timer falls due; None if none is set
 
     def add(self, session: Session, after_us: int) -> bool:
-        """Set a session's deadline; False where no timer can be had, and with it no certain answer."""
+        """Set a session's deadline; False if no timer can be set, so that it may be missed."""
         session.answer_deadline_us = self.clock.now_us() + after_us
         if not self._ensure_timer(session.answer_deadline_us):
             return False
@@ -34,7 +34,7 @@
         return True
 
     def drop(self, session: Session) -> None:
-        """Remove a session that is answered or closed; without effect where it has no deadline."""
+        """Remove a session that is answered or closed; no effect if it has no deadline."""
         entry = (session.answer_deadline_us, session.id)
         index = bisect_left(self.entries, entry)
         if index < len(self.entries) and self.entries[index] == entry:
--- a/packages/node/src/fennelcove/node/descriptor_budget.py
+++ b/packages/node/src/fennelcove/node/descriptor_budget.py
@@ -1,8 +1,8 @@
 """Budget of file descriptors: each use has a limit, and each descriptor is counted before it is opened.
 
-A descriptor counts until its `close`, not until the `shutdown` before that: counted only until the shutdown,
-the descriptor that replaced it was opened beside it. The budget's lock is the innermost of the process: while
-it is held, nothing is called but `close` on a socket.
+A descriptor counts until its `close`. If it counted only until the `shutdown` before that, its replacement
+would be opened while it is still open. The budget's lock is the innermost of the process: while it is held,
+nothing is called but `close` on a socket.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 STANDARD_STREAM_COUNT = 3  # input, output and error
 MIN_SERVER_DESCRIPTORS, MIN_CLIENT_DESCRIPTORS = 1, 2
-SERVER_SHARE_DIVISOR = 3  # servers get a third of the limit,
-CLIENT_SHARE_DIVISOR = 2  # clients at most half of it
+SERVER_SHARE_DIVISOR = 3  # servers get a third of the limit
+CLIENT_SHARE_DIVISOR = 2  # clients get at most half of it
 
 
 class DescriptorUse(Enum):
     """What a descriptor is used for."""
 
-    FIXED = "fixed"  # those open at the start, and the listening socket
-    FILE = "file"  # the configuration, and whatever the interpreter reads meanwhile
-    DISCOVERY = "discovery"  # a poll, and the one that a change of address ends
-    ACCEPT = "accept"  # a connection that has been accepted, until it is admitted
+    FIXED = "fixed"  # those open when the process starts, and the listening socket
+    FILE = "file"  # the configuration file, and files that the interpreter reads meanwhile
+    DISCOVERY = "discovery"  # the poll, and a previous one that a change of address ends
+    ACCEPT = "accept"  # an accepted connection that is not admitted yet
     SERVER = "server"
     CLIENT = "client"
 
@@ -38,19 +38,19 @@
 def count_open_descriptors() -> int:
     """Return how many descriptors this process holds."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # one was the directory's own
+        return len(os.listdir("/proc/self/fd")) - 1  # without the one that lists the directory
     except OSError:
         return STANDARD_STREAM_COUNT
 
 
 def effective_limit(sockets: int) -> int:
-    """Return the configured limit, or the process's own limit if that is lower."""
+    """Return the configured limit `sockets`, or the process's resource limit if that is lower."""
     own = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return sockets if own == resource.RLIM_INFINITY else min(sockets, own)
 
 
 class DescriptorBudget:
-    """Counts descriptors by use. The limits of all uses add up to the limit of the process at most."""
+    """Counts descriptors by use. The limits of all uses add up to at most the limit of the process."""
 
     def __init__(self, limit: int, fixed: int = STANDARD_STREAM_COUNT + 1) -> None:
         self.limit = limit
@@ -64,21 +64,21 @@
             DescriptorUse.CLIENT: clients,
         }
         self.open_counts = dict.fromkeys(DescriptorUse, 0) | {DescriptorUse.FIXED: fixed}
-        # Those open or about to be opened, without those that are about to be closed.
+        # Descriptors that are open or about to be opened, except those about to be closed.
         self.reserved_counts = dict.fromkeys(DescriptorUse, 0)
         self.changed = threading.Condition()
 
     def has_capacity(self, use: DescriptorUse) -> bool:
-        """Whether another may be reserved; to open it may still mean a wait for one that is being closed."""
+        """Whether another may be reserved; opening it may still have to wait for one that is being closed."""
         with self.changed:
             return self.reserved_counts[use] < self.limits[use]
 
     def reserve(self, use: DescriptorUse) -> Descriptor:
-        """Return a descriptor that is to be opened."""
+        """Return a descriptor that is yet to be opened."""
         return Descriptor(self, use)
 
     def register_open(self, use: DescriptorUse, sock: socket.socket | None = None) -> Descriptor:
-        """Return a descriptor that is open already, or is opened and closed by the caller meanwhile.
+        """Return a descriptor that is open already, or that the caller opens and closes itself.
 
         Args:
             use: what it is used for.
@@ -91,14 +91,14 @@
         return descriptor
 
     def counts_by_use(self) -> dict[str, int]:
-        """Return the limit and the numbers of open descriptors, as the state dump logs them."""
+        """Return the limit and the numbers of open descriptors, under their names in the state dump."""
         with self.changed:
             totals = {"limit": self.limit, "all": sum(self.open_counts.values())}
             return totals | {use.value: count for use, count in self.open_counts.items()}
 
 
 class Descriptor:
-    """One descriptor, from its reservation to its close; as a context manager it closes itself."""
+    """One descriptor, from its reservation to its close; a context manager that closes it."""
 
     def __init__(self, budget: DescriptorBudget, use: DescriptorUse) -> None:
         self.budget = budget
@@ -120,7 +120,7 @@
         self.close()
 
     def open_socket(self, timeout_us: int) -> socket.socket:
-        """Open a TCP socket, after waiting for a descriptor that is being closed if the use is at its limit.
+        """Open a TCP socket; if the use is at its limit, wait for a descriptor that is being closed.
 
         Raises:
             OSError: the system has no descriptor, or none was closed in time.
@@ -128,7 +128,7 @@
         budget = self.budget
         with budget.changed:
             if not self._wait_for_capacity(self.use, timeout_us):
-                raise OSError(errno.EMFILE, "no descriptor came free in time")
+                raise OSError(errno.EMFILE, "no free descriptor in time")
             budget.open_counts[self.use] += 1
             self.is_counted = True
         try:
@@ -139,10 +139,10 @@
         return self.sock
 
     def reassign(self, use: DescriptorUse, timeout_us: int) -> bool:
-        """Count the descriptor under another use, as soon as that is below its limit.
+        """Move the descriptor to another use, as soon as that is below its limit.
 
         Returns:
-            False if the other use stayed at its limit until the timeout.
+            False if the other use was at its limit until the timeout.
         """
         budget = self.budget
         with budget.changed:
@@ -161,13 +161,13 @@
         return budget.changed.wait_for(lambda: budget.open_counts[use] < budget.limits[use], timeout_us / 1e6)
 
     def release_reservation(self) -> None:
-        """Let another be reserved, because this one is about to be closed; the other is opened after that."""
+        """Allow another to be reserved, because this one is about to be closed; it is opened after that."""
         with self.budget.changed:
             self.budget.reserved_counts[self.use] -= self.is_reserved
             self.is_reserved = False
 
     def close(self) -> None:
-        """Close the socket and uncount it in one step; closing again has no effect."""
+        """Close the socket and stop counting it, atomically; closing again has no effect."""
         self.release_reservation()
         self._close_and_uncount()
 
--- a/packages/node/src/fennelcove/node/discovery_client.py
+++ b/packages/node/src/fennelcove/node/discovery_client.py
@@ -1,4 +1,4 @@
-"""Watches the discovery service: one thread that long-polls for events after the last one applied."""
+"""Client of the discovery service: a thread that long-polls for events after the last one applied."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 from fennelcove.node.discovery_events import DiscoveryBatch, DiscoveryError
 from fennelcove.node.session_manager import SessionManager
 
-LONG_POLL_MS = 1_000  # how long the service may hold a poll; one that goes silent is noticed soon after
-RESPONSE_GRACE_US = 400_000  # beyond it until the response begins, and between two parts of it
-MAX_RESPONSE_US = 4_000_000  # a response that has begun; a change counts as told 6 s after a failed poll
+LONG_POLL_MS = 1_000  # how long the service may delay its response; a silent one is detected soon after
+RESPONSE_GRACE_US = 400_000  # from then until the response begins, and between two parts of it
+MAX_RESPONSE_US = 4_000_000  # of a response once begun; a change counts as delivered 6 s after a failed poll
 CONNECT_TIMEOUT_US = 500_000
-# The backoff after a failure doubles with each, so that no fleet overloads a service that recovers,
+# The backoff doubles with each failure, so that a fleet does not overload a service that recovers.
 BACKOFF_BASE_US = 100_000
-BACKOFF_MAX_US = 500_000  # up to this, so that events of a service that is back still arrive in time
+BACKOFF_MAX_US = 500_000  # low enough that events of a service that has recovered arrive in time
 BACKOFF_MAX_DOUBLINGS = 10
 BACKOFF_MIN_FACTOR, BACKOFF_MAX_FACTOR = 0.5, 1.5  # jitter
-MAX_RESPONSE_BYTES = 8 << 20  # some 200 bytes for each of thousands of servers, and for each change of one
+MAX_RESPONSE_BYTES = 8 << 20  # about 200 bytes for each of thousands of servers, and for each change
 READ_BYTES = 65_536
 HTTP_OK = 200
 
 
 class DiscoveryUnreachableError(OperatorError):
-    """No whole response came from the discovery service (the platform's notice board)."""
+    """The discovery service (the platform's notice board) sent no complete response."""
 
     code = "board-unreached"
-    advice = "See that the board runs and can be reached; the node asks again and goes on by its list"
+    advice = "Check that the discovery service is up; the node retries and keeps its current list"
 
 
 def backoff_us(failures: int, rng: Random) -> int:
-    """Return how long to wait after so many failures in a row, in microseconds.
+    """Return the backoff after `failures` consecutive failures, in microseconds.
 
-    It is drawn from half to one and a half times the nominal backoff, since every process of a fleet loses
-    the same service at the same moment.
+    It has a jitter of half to one and a half times the nominal backoff, since all nodes of a fleet lose the
+    same service at the same moment.
     """
     doublings = min(failures - 1, BACKOFF_MAX_DOUBLINGS)
     nominal_us = min(BACKOFF_BASE_US << doublings, BACKOFF_MAX_US)
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Poll:
-    """What one poll asks for, and the generation in which it was started."""
+    """Address and revision of one poll, and the generation in which it was started."""
 
     generation: int
     address: Address
@@ -72,26 +72,26 @@
 class DiscoveryClient:
     """Owns the connection to the discovery service. All methods but `run` may be called from any thread.
 
-    What they change is guarded by `changed`, which may be acquired with the manager's lock held and never the
-    other way round. Each change of address or request for a full update begins a generation; responses to
-    polls of earlier generations are dropped.
+    Shared state is guarded by `changed`. Lock order: `changed` may be acquired with the manager's lock held,
+    never the other way round. Each change of address and each request for a full update begins a generation;
+    responses to polls of earlier generations are dropped.
     """
 
     def __init__(self, manager: SessionManager, clock: Clock, address: Address, revision: int) -> None:
         self.manager = manager
         self.clock = clock
         self.address = address
-        self.revision = revision  # of the last event that has been applied; 0 to request a full update
+        self.revision = revision  # of the last applied event; 0 to request a full update
         self.generation = 0
         self.rng = Random(manager.config.seed)
-        # If a full update leaves revisions out, a revision left out later means nothing.
+        # If a full update leaves revisions out, one that is missing later does not indicate a lost event.
         self.is_feed_gapless = not manager.config.initial_batch.has_gap_after(0)
         self.changed = threading.Condition()
         self.is_stopped = False
         self.connection: _Connection | None = None
 
     def change_address(self, address: Address) -> None:
-        """Continue at another address with the same revision; at the same one the open poll continues."""
+        """Continue at another address from the same revision; the same address leaves the open poll alone."""
         with self.changed:
             if address != self.address:
                 self.address = address
@@ -105,7 +105,7 @@
             self._begin_generation()
 
     def stop(self) -> None:
-        """End `run`, and the open poll."""
+        """End `run` and the open poll."""
         with self.changed:
             self.is_stopped = True
             self._interrupt()
@@ -117,7 +117,7 @@
         self.changed.notify_all()
 
     def _interrupt(self) -> None:
-        """Wake the thread if it waits on the connection; it closes the descriptor."""
+        """Wake the thread if it waits on the connection; the thread closes the descriptor."""
         if self.connection is not None:
             with suppress(OSError):
                 self.connection.sock.shutdown(socket.SHUT_RDWR)
@@ -143,16 +143,16 @@
         self._close()
 
     def _on_poll_failed(self, poll: _Poll, error: Exception, earlier_failures: int) -> int:
-        """Log the first failure in a row, and wait for the backoff.
+        """Log the first of consecutive failures, and wait for the backoff.
 
         Returns:
-            The number of failures in a row, at the address that the next poll goes to.
+            The number of consecutive failures at the address of the next poll.
         """
         with self.changed:
             if self.is_stopped or self._is_superseded(poll):
-                return 0  # interrupted by this client itself
+                return 0  # this client has interrupted the poll itself
         failures = earlier_failures + 1
-        if failures == 1:  # a service that is down for long must not fill the log
+        if failures == 1:  # a long outage must not fill the log
             self._log_failure(error, poll.address)
         with self.changed:
             if not self.is_stopped and not self._is_superseded(poll):
@@ -166,28 +166,28 @@
         self._log("discovery_poll_failed", **reported.fields())
 
     def _log(self, event: str, **fields: object) -> None:
-        with suppress(OSError, ValueError):  # polling goes on after the log's reader has gone
+        with suppress(OSError, ValueError):  # polling continues if the reader of the log has gone
             self.manager.logger(event, **fields)
 
     def _execute(self, poll: _Poll) -> None:
         """Send one poll and apply the response.
 
         Raises:
-            OSError: the service can't be reached, or does not answer in time or with status 200.
-            DiscoveryError: the response can't be used.
+            OSError: the service is unreachable, does not answer in time, or not with status 200.
+            DiscoveryError: the response is invalid.
         """
         connection = self._open_connection(poll)
         self._send_request(connection, poll)
         response = self._receive_response(connection)
         assert isinstance(response.head, ResponseHead)
         if response.head.status != HTTP_OK:
-            raise ConnectionError(f"answered {response.head.status}")
+            raise ConnectionError(f"the discovery service answered with status {response.head.status}")
         self._apply(poll, DiscoveryBatch.parse(json.loads(response.body)))
         if not response.head.keep_alive or self._is_superseded(poll):
             self._close()
 
     def _open_connection(self, poll: _Poll) -> _Connection:
-        """Return the connection of the poll before, or a new one."""
+        """Return the connection of the previous poll if it can be reused, or else a new one."""
         connection = self.connection
         if connection is not None and _is_clean(connection):
             return connection
@@ -205,7 +205,7 @@
         responses = Gatherer(Reader(False, CodecLimits(body_bytes=MAX_RESPONSE_BYTES)))
         connection = _Connection(descriptor, sock, responses)
         with self.changed:
-            # Known before it connects: a change of address need not wait for an address that hangs.
+            # Registered before it connects, so that a change of address can interrupt a connect that hangs.
             self.connection = connection
             if self.is_stopped or self._is_superseded(poll):
                 raise ConnectionError("the discovery address has changed")
@@ -227,20 +227,20 @@
             now_us = self.clock.now_us()
             remaining_us = min(receive_deadline_us, deadline_us) - now_us
             if remaining_us <= 0:
-                raise TimeoutError("the discovery service is silent, or too slow")
+                raise TimeoutError("the discovery service did not answer completely in time")
             sock.settimeout(remaining_us / 1e6)
             data = sock.recv(READ_BYTES)
-            # A large list over a slow path takes longer than a poll may wait; it only must not stand still.
+            # A large list on a slow path takes longer than a poll may wait; it only has to make progress.
             receive_deadline_us = max(receive_deadline_us, self.clock.now_us() + RESPONSE_GRACE_US)
             responses.reader.feed(data)
             if not data and responses.reader.between:
-                raise ConnectionResetError("closed before its response")
+                raise ConnectionResetError("the discovery service closed the connection before its response")
         return response
 
     def _apply(self, poll: _Poll, batch: DiscoveryBatch) -> None:
-        """Apply a response while the manager's lock is held once, unless the poll has been superseded.
+        """Apply a response, unless the poll has been superseded, with the manager's lock held throughout.
 
-        If the lock was released in between, a request saw a server gone and its replacement not there yet.
+        If it were released between two events, a request could see a server removed without its replacement.
         """
         events = batch.events_after(poll.revision, self.is_feed_gapless)
         if poll.revision == 0:
@@ -248,10 +248,10 @@
         with self.manager.lock if events else nullcontext(), self.changed:
             if self._is_superseded(poll):
                 raise ConnectionError("the discovery address has changed")
-            if events is None:  # polling on after its high revision would never return a change again
+            if events is None:  # polling after its revision again might never return another change
                 self.revision = 0
                 raise DiscoveryError(
-                    f"found events up to {batch.last_revision} that do not follow upon {poll.revision}",
+                    f"events up to revision {batch.last_revision} do not continue revision {poll.revision}",
                     "field rev",
                 )
             self.manager.on_discovery_events(events)
@@ -268,8 +268,8 @@
 def _is_clean(connection: _Connection) -> bool:
     """Whether nothing has arrived since the last response.
 
-    A second copy of it would be taken for the response to the next poll, and from then on each response for
-    that of the poll after its own.
+    A duplicate of it would be taken for the response to the next poll, and each later response for that of
+    the poll after its own.
     """
     connection.sock.settimeout(0)
     try:
--- a/packages/node/src/fennelcove/node/discovery_events.py
+++ b/packages/node/src/fennelcove/node/discovery_events.py
@@ -1,4 +1,4 @@
-"""Events of the discovery service (the platform's notice board): server lists and changes, without I/O."""
+"""Parses events of the discovery service (the platform's notice board): server lists and their changes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 SERVER_STATES = {"up": ServerState.ACTIVE, "draining": ServerState.LEAVING, "removed": ServerState.LEFT}
 MAX_SERVERS = 100_000
-MAX_NUMBER = 1e18  # beyond it, or with NaN, no whole number can be computed from the value
+MAX_NUMBER = 1e18  # larger values and NaN may fail to convert to an integer
 
 
 class DiscoveryError(OperatorError):
-    """The discovery service's response is malformed; nothing of it was used."""
+    """The discovery service's response is malformed, and no part of it was used."""
 
     code = "board-unreadable"
-    advice = "See what the board answers; the node goes on by the last list that it could read"
+    advice = "Check what the discovery service answers; the node keeps the last list that it could read"
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryBatch:
-    """Events up to a revision; `other_revisions` are those of events that are not about servers."""
+    """Events up to a revision; `other_revisions` are the revisions of events that do not concern servers."""
 
     revision: int
     events: tuple[DiscoveryEvent, ...]
@@ -40,36 +40,36 @@
 
     @classmethod
     def parse(cls, tree: Any) -> DiscoveryBatch:
-        """Parse a JSON tree: all of it, or none.
+        """Parse a JSON tree completely.
 
         Raises:
-            DiscoveryError: it is malformed anywhere.
+            DiscoveryError: any part of it is malformed.
         """
         notices, rev = _typed_field(tree, "notices", list), _typed_field(tree, "rev", int)
         if rev < 0:
-            raise DiscoveryError(f"found {rev}", "field rev")
+            raise DiscoveryError(f"negative revision {rev}", "field rev")
         if not all(isinstance(item, dict) for item in notices):
-            raise DiscoveryError("found an event that is none", "field notices")
+            raise DiscoveryError("an event is not a JSON object", "field notices")
         others = frozenset(_typed_field(item, "rev", int) for item in notices if "pool" not in item)
         return cls(rev, tuple(_parse_event(item) for item in notices if "pool" in item), others)
 
     @property
     def last_revision(self) -> int:
-        """The revision to poll after next."""
+        """The highest revision of the batch, after which to poll next."""
         return max(self.revision, *(event.revision for event in self.events), 0)
 
     def has_gap_after(self, revision: int) -> bool:
-        """Whether a revision after `revision`, up to the last, is missing from the batch."""
+        """Whether any revision after `revision`, up to the last one, is missing from the batch."""
         numbers = {event.revision for event in self.events} | self.other_revisions
         last = self.last_revision
         return sum(revision < rev <= last for rev in numbers) != last - revision
 
     def events_after(self, revision: int, gapless: bool) -> tuple[DiscoveryEvent, ...] | None:
-        """Return the events after revision `revision`, each once and in order.
+        """Return the events after a revision in order, without duplicates.
 
         Args:
-            revision: the last revision that has been applied; 0 if none has.
-            gapless: whether the service leaves no revision out.
+            revision: the last applied revision; 0 if there is none.
+            gapless: whether the service numbers its events without gaps.
 
         Returns:
             The events; None if they do not continue the list at `revision`: the service has restarted its
@@ -89,15 +89,15 @@
 
 
 def _merge_into_full_update(events: tuple[DiscoveryEvent, ...]) -> DiscoveryEvent:
-    """Return a full update and the changes after it as one full update.
+    """Merge a full update and the changes after it into one full update.
 
-    Applied one by one, a server that only a change names was off the list for a moment, and its state and
-    connections were dropped.
+    If they were applied one by one, a server named only by a change would be off the list for a moment, and
+    its state and connections would be dropped.
     """
     if len(events) == 1:
         return events[0]
     entries = {entry.address: entry for event in events for entry in event.update.entries}
-    addresses = {name: dial for event in events for name, dial in event.addresses.items()}
+    addresses = {name: address for event in events for name, address in event.addresses.items()}
     listed = tuple(entry for entry in entries.values() if entry.state is not ServerState.LEFT)
     return DiscoveryEvent(events[-1].revision, ListUpdate(ListMode.FULL, listed), addresses)
 
@@ -106,7 +106,7 @@
     pool = _typed_field(tree, "pool", dict)
     hosts = _typed_field(pool, "hosts", list)
     if len(hosts) > MAX_SERVERS:
-        raise DiscoveryError(f"found {len(hosts)}", "field hosts")
+        raise DiscoveryError(f"{len(hosts)} servers, at most {MAX_SERVERS} are allowed", "field hosts")
     mode = ListMode.FULL if _typed_field(pool, "whole", bool) else ListMode.INCREMENTAL
     entries = tuple(_parse_entry(host) for host in hosts)
     addresses = {e.address: _parse_server_address(host) for e, host in zip(entries, hosts, strict=True)}
@@ -118,16 +118,16 @@
         address = parse_address(tree.get("dial"))
     except ValueError as error:
         raise DiscoveryError(str(error)) from None
-    # A host name with such characters raises more than OSError where it is dialled, and ends that thread.
+    # Dialling a host name with other characters raises more than OSError, which would end the thread.
     if not address.host.isascii() or not address.host.isprintable() or " " in address.host:
-        raise DiscoveryError(f"no address: {address.host!r}", "field dial")
+        raise DiscoveryError(f"invalid host name: {address.host!r}", "field dial")
     return address
 
 
 def _parse_entry(tree: Any) -> ListEntry:
     state = SERVER_STATES.get(_typed_field(tree, "health", str))
     if state is None:
-        raise DiscoveryError(f"found an unknown value: {tree['health']!r}", "field health")
+        raise DiscoveryError(f"unknown value: {tree['health']!r}", "field health")
     return ListEntry(
         address=_typed_field(tree, "host", str),
         zone=_typed_field(tree, "site", str),
@@ -142,12 +142,12 @@
 def _typed_field(tree: Any, key: str, kind: type) -> Any:
     value = tree.get(key) if isinstance(tree, dict) else None
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
-        raise DiscoveryError(f"found no {kind.__name__}", f"field {key}")
+        raise DiscoveryError(f"not of type {kind.__name__}", f"field {key}")
     return value
 
 
 def _number_field(tree: Any, key: str, default: float) -> float:
     value = tree.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) <= MAX_NUMBER:
-        raise DiscoveryError("found no number", f"field {key}")
+        raise DiscoveryError("not a number in the allowed range", f"field {key}")
     return float(value)
--- a/packages/node/src/fennelcove/node/discovery_updates.py
+++ b/packages/node/src/fennelcove/node/discovery_updates.py
@@ -1,4 +1,4 @@
-"""Application of the discovery service's updates to the node's table of servers."""
+"""Applies updates of the discovery service to the node's table of servers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DiscoveryUpdateHandler:
-    """Applies updates of the list of servers; used with the node's lock held."""
+    """Applies updates of the server list; used with the node's lock held."""
 
     def __init__(
         self,
@@ -33,13 +33,13 @@
         self._actions = actions
 
     def on_event(self, event: DiscoveryEvent) -> None:
-        """Apply a whole list or a change of it."""
+        """Apply a full or an incremental update."""
         self.on_events((event,))
 
     def on_events(self, events: Iterable[DiscoveryEvent]) -> None:
-        """Apply events in their order, then once what all of them mean to connections and sessions.
+        """Apply events in order, then update connections and sessions once for all of them.
 
-        A release of many servers brings hundreds at a time, and every request waits meanwhile.
+        The rollout of a release brings hundreds of events at a time, and all requests wait for the lock.
         """
         for event in events:
             self._apply(event)
@@ -51,7 +51,7 @@
             self._monitor.forget_if_removed(server)
 
     def _apply(self, event: DiscoveryEvent) -> None:
-        # All of it is in the table before any session ends by it: the policy may then attempt any server.
+        # The table is complete before any session ends: the policy may then start attempts at any server.
         moved = self._update_table(event)
         self._actions.notify_policy(event.update)
         for server in moved:
@@ -60,7 +60,7 @@
             self._monitor.on_started(self._context.servers[entry.address], entry.started_us)
 
     def _update_table(self, event: DiscoveryEvent) -> list[Server]:
-        """Bring the table up to date; the servers whose address has changed."""
+        """Update the table, and return the servers whose address has changed."""
         table = self._context.server_table
         if event.update.mode is not ListMode.INCREMENTAL:
             table.delist_all()
--- a/packages/node/src/fennelcove/node/handovers.py
+++ b/packages/node/src/fennelcove/node/handovers.py
@@ -1,4 +1,4 @@
-"""Hand-over of sessions that play at a server already, as after a restart of another node."""
+"""Hand-over of sessions that are established at a server, for example after a restart of a node."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from fennelcove.node.server_pool import ServerPool
 from fennelcove.node.session_states import SessionActions, release_message
 
-UNKNOWN_SERVER_TIMEOUT_US = 2_000_000  # how long a session waits for a list that names its server
-MAX_WAITING = 1_024  # sessions whose server is not known
+UNKNOWN_SERVER_TIMEOUT_US = 2_000_000  # for a server list that names the session's server
+MAX_WAITING = 1_024  # sessions whose server is not known yet
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingHandover:
-    """A session handed over whose server is not known yet."""
+    """The hand-over of a session whose server is not known yet."""
 
     deadline_us: int
     request: Request
 
 
 class HandoverManager:
-    """Takes over sessions; used with the node's lock held."""
+    """Takes over established sessions; used with the node's lock held."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
         self.waiting: dict[Session, WaitingHandover] = {}
 
     def take_over(self, session: Session, request: Request, server: str) -> bool:
-        """Take over a session; False where its server is not known yet."""
+        """Take over a session; False if its server is not known yet."""
         is_known = self._monitor.is_known(server)
         if not is_known and len(self.waiting) >= MAX_WAITING:
             self._actions.send_to_client(session, release_message(session, Cause.RESET))
             return False
-        # Ignored, it was left established for good: with no list that names its server, nobody was
-        # notified of its end.
+        # Also a session at an unknown server is taken over: if it were ignored and no list named its server,
+        # the client would never be notified of its end.
         owner = self._context.servers[server] if is_known else Server(server, Address("", 0), listed=False)
         self._establish(session, owner)
         if not is_known:
@@ -66,14 +66,14 @@
         return True
 
     def resolve_waiting(self) -> None:
-        """Attach sessions whose server is known by now, and close those that have waited too long."""
+        """Attach sessions whose server has become known, and close those that have waited too long."""
         for session, handover in list(self.waiting.items()):
             attempt = session.current_attempt
             placeholder = attempt.server
             if self._monitor.is_known(placeholder.name):
                 del self.waiting[session]
                 server = self._context.servers[placeholder.name]
-                server.unsent.extend(placeholder.unsent)  # closed meanwhile, it still plays at its server
+                server.unsent.extend(placeholder.unsent)  # a session closed meanwhile is still released there
                 self._context.server_table.supervise(server)
                 if session.state is SessionState.ESTABLISHED:
                     attempt.server = server
@@ -83,7 +83,7 @@
                 self._attempts.on_completed(session, Outcome.CONNECTION_LOST, None)
 
     def _establish(self, session: Session, server: Server) -> None:
-        # It began before this process: a server that has started since holds it no longer.
+        # It began before this process did: a server that has started later no longer has it.
         session.attempt = Attempt(server, 0, self._context.created_us, 0)
         session.attempts = 1
         session.state = SessionState.ESTABLISHED
@@ -93,7 +93,7 @@
             session.client.established_sessions[session] = None
 
     def _attach(self, session: Session, request: Request, server: Server) -> None:
-        """Attach a session to its server, and handle what the server has already sent of it."""
+        """Attach a session to its server, and handle the server's cached messages about it."""
         server.established[session] = None
         self._context.server_table.supervise(server)
         self._actions.notify_policy(Handover(request, server.name))
--- a/packages/node/src/fennelcove/node/log.py
+++ b/packages/node/src/fennelcove/node/log.py
@@ -1,4 +1,4 @@
-"""The node's log: one JSON line per event on standard output, by the standard library alone."""
+"""The node's log: one JSON line per event on standard output; uses the standard library only."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     def log_event(event: str, **fields: object) -> None:
         line = {"at": round(time.time(), 3), "node": name, "event": event, **fields}
-        # Any thread logs here, and it must not end because the log's reader has gone.
+        # Any thread may log, and must not end because the reader of the log has gone.
         with suppress(OSError, ValueError):
             sys.stdout.write(json.dumps(line, default=str) + "\n")
             sys.stdout.flush()
--- a/packages/node/src/fennelcove/node/model.py
+++ b/packages/node/src/fennelcove/node/model.py
@@ -1,4 +1,4 @@
-"""Records of the node: an attempt, a session, a server, and the interfaces of their connections."""
+"""Data model of the node: attempts, sessions, servers, and the interfaces of their connections."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class SessionState(Enum):
-    """Where a session is between its set-up request and its end."""
+    """State of a session, from its set-up request to its end."""
 
     PENDING = 1  # waits for the placement policy's decision
-    ATTEMPTING = 2  # an attempt is under way at a server
+    ATTEMPTING = 2  # an attempt is in flight at a server
     ESTABLISHED = 3  # plays at a server
     CLOSED = 4
 
@@ -38,10 +38,10 @@
     address: Address
     state: ConnectionState
     dispatched_session: Session | None  # the session whose set-up request is in flight
-    abandoned_ids: set[bytes]  # ids of abandoned set-ups for which an answer may still arrive
+    abandoned_ids: set[bytes]  # ids of abandoned set-ups that may still be answered here
     last_received_us: int  # when data was last received
     opened_us: int
-    keepalive_sent_us: int | None  # when the unanswered liveness probe was sent
+    keepalive_sent_us: int | None  # when the keepalive request without an answer was sent
 
     @property
     def is_idle(self) -> bool:
@@ -57,15 +57,15 @@
         ...
 
     def send(self, data: bytes) -> bool:
-        """Send a message without waiting; False where the connection has failed."""
+        """Send a message without waiting; False if the connection has failed."""
         ...
 
     def send_keepalive(self) -> None:
-        """Send a liveness probe."""
+        """Send a keepalive request."""
         ...
 
     def answer_keepalive(self) -> None:
-        """Answer a liveness probe of the server."""
+        """Answer a keepalive request of the server."""
         ...
 
     def abandon(self, session: Session) -> None:
@@ -85,10 +85,10 @@
     """A connection from a client, as its users see it."""
 
     peer: str  # the client's address
-    open_sessions: dict[Session, None]  # set-up requests without an answer
-    established_sessions: dict[Session, None]  # established sessions
-    recent_clients: dict[str, None]  # ids of the clients lately seen here; many may share an address
-    withdrawn_ids: set[bytes]  # set-up requests cancelled before any work was begun for them
+    open_sessions: dict[Session, None]  # sessions whose set-up request has no answer yet
+    established_sessions: dict[Session, None]
+    recent_clients: dict[str, None]  # ids of clients that sent requests here; many may share an address
+    withdrawn_ids: set[bytes]  # ids of set-up requests that were cancelled before their processing began
     is_closed: bool
 
     def has_left(self) -> bool:
@@ -96,7 +96,7 @@
         ...
 
     def send(self, data: bytes) -> bool:
-        """Send a message without waiting; False where not all of it was accepted."""
+        """Send a message without waiting; False if the kernel did not accept all of it."""
         ...
 
     def disconnect(self) -> None:
@@ -114,7 +114,7 @@
     timeout_us: int  # timeout, counted from `sent_us`
     link: ServerLink | None = None  # the connection in use until the session is established
     outcome: Outcome = Outcome.NO_ANSWER
-    is_sent: bool = False  # its set-up request was handed to the kernel, in part at least
+    is_sent: bool = False  # at least a part of its set-up request was passed to the kernel
     report: LoadReport | None = None
 
 
@@ -123,7 +123,7 @@
     """A client's session, from its set-up request until it is closed."""
 
     id: bytes
-    name: str  # the id as the client wrote it
+    name: str  # the id in the client's spelling
     cseq: str
     service_class: str
     title: str
@@ -135,9 +135,9 @@
     attempt: Attempt | None = None
     attempts: int = 0
     answer: bytes = b""  # the body of the server's answer
-    is_answered: bool = False  # the set-up request has its answer
-    may_have_run: bool = False  # an attempt that has ended may have been carried out
-    retry_after_us: int = 0  # sent to a client that is rejected; 0 for none
+    is_answered: bool = False  # the set-up request has been answered
+    may_have_run: bool = False  # a server may have executed an earlier attempt
+    retry_after_us: int = 0  # sent to a client that is rejected; 0 sends no delay
     answer_deadline_us: int = 0
     client_id: str = ""
 
@@ -151,7 +151,7 @@
         """The attempt in flight, or the one that established the session.
 
         Raises:
-            RuntimeError: there is none; the caller has mistaken the session's state.
+            RuntimeError: there is none; the caller has assumed a wrong state of the session.
         """
         if self.attempt is None:
             raise RuntimeError(f"session {self.key} has no attempt in state {self.state.name}")
@@ -160,29 +160,29 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server of the discovery service's list; its address may pass to another server once it has gone."""
+    """A server of the discovery service's list; after it has gone, another server may get its address."""
 
     name: str
     address: Address
     listed: bool = True
-    started_us: int = 0  # start of its process by the list, Unix time; 0 for long ago
+    started_us: int = 0  # start of its process by the server list, Unix time; 0 for long ago or unknown
     links: dict[ServerLink, None] = field(default_factory=dict)
     established: dict[Session, None] = field(default_factory=dict)
-    # Messages for which no connection was open; sent as soon as one is.
+    # Messages for which no connection was open; sent when the next one opens.
     unsent: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_UNSENT_MESSAGES))
     outcome_counts: Counter[Outcome] = field(default_factory=Counter)  # of attempts and sessions here
     connection_loss: ConnectionLossTracker = field(default_factory=ConnectionLossTracker)
     next_dial_us: int = 0  # no dial before this time, while dials fail
     last_closed_us: int = 0  # when its last connection closed
-    # A connection was closed before it was read to its end: the server repeats its last messages on the next.
+    # A connection was closed before all its data was read: the server repeats its last messages on the next.
     needs_redial: bool = False
-    is_interrupted: bool = False  # it ended the last connection, and none has been opened since
-    last_message_us: int = 0  # when it last sent anything
-    # When a connection was closed on which it did not answer; 0 once it has sent something since. Until then
-    # it may not know of that end, and what it tells next goes there.
+    is_interrupted: bool = False  # the server ended the last connection, and none has been opened since
+    last_message_us: int = 0  # when the server last sent anything
+    # When a connection was closed because the server did not answer on it; 0 after the server has sent
+    # something since. Until then it may not have noticed the close, and may send its next messages there.
     unanswered_close_us: int = 0
 
     @property
     def needs_link(self) -> bool:
-        """Whether a connection must be open, for the ends of sessions or for unsent messages."""
+        """Whether a connection is needed, to receive the ends of sessions or to send queued messages."""
         return bool(self.established or self.unsent)
--- a/packages/node/src/fennelcove/node/node_context.py
+++ b/packages/node/src/fennelcove/node/node_context.py
@@ -1,4 +1,4 @@
-"""The state that the parts of a node share."""
+"""The state that the components of a node share."""
 
 from __future__ import annotations
 
@@ -39,6 +39,6 @@
         self.created_us = self.now_us()
 
     def now_us(self) -> int:
-        """Unix time, to which rules and servers' starts refer; it never goes back."""
+        """The Unix time in microseconds, monotonic; rules and servers' start times refer to it."""
         self.last_us = max(self.last_us, self.clock.wall_us())
         return self.last_us
--- a/packages/node/src/fennelcove/node/outcome_mapping.py
+++ b/packages/node/src/fennelcove/node/outcome_mapping.py
@@ -1,4 +1,4 @@
-"""Translation of servers' messages into the placement policy's types."""
+"""Maps servers' messages to the placement policy's types."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from fennelcove.interface import LoadReport, Outcome, ReportKind
 from fennelcove.isup.messages import Cause, Message, Parameter
 
+# The kind of a session report, by its name in the message.
 REPORT_KINDS = {
     "quality": ReportKind.DELIVERED,
     "profile": ReportKind.RUNG,
     "nic": ReportKind.LINK,
     "tor": ReportKind.UPLINK,
 }
-# The outcome of an attempt, by the cause of the release that ends it.
+# The outcome of an attempt, by the cause of the release that rejects it.
 ATTEMPT_OUTCOMES: dict[int | None, Outcome] = {
     Cause.FULL: Outcome.REJECTED,
     Cause.ERROR: Outcome.SERVER_ERROR,
@@ -28,13 +29,13 @@
 
 
 def release_outcome(message: Message, *, is_established: bool) -> Outcome:
-    """What a release means; an unknown cause counts as a lost connection."""
+    """The outcome that a release reports; an unknown cause counts as a lost connection."""
     outcomes = SESSION_OUTCOMES if is_established else ATTEMPT_OUTCOMES
     return outcomes.get(message.cause, Outcome.CONNECTION_LOST)
 
 
 def parse_load_report(message: Message) -> LoadReport | None:
-    """The load report in a message; None where there is none or it is malformed."""
+    """The load report in a message; None if it is absent or malformed."""
     values: dict[str, float] = {}
     for part in filter(None, message.text(Parameter.LOAD_REPORT).split(";")):
         name, _, raw = part.partition(":")
--- a/packages/node/src/fennelcove/node/pending_notifications.py
+++ b/packages/node/src/fennelcove/node/pending_notifications.py
@@ -7,34 +7,34 @@
 
 from fennelcove.node.model import ClientLink
 
-NOTIFICATION_TTL_US = 8_000_000  # a notification is queued for so long,
-MAX_NOTIFICATIONS = 10_000  # and so many for all peers: as many as sessions
+NOTIFICATION_TTL_US = 8_000_000
+MAX_NOTIFICATIONS = 10_000  # for all peers together: as many as sessions
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Notification:
-    """One whole message, and the time at which it was queued."""
+    """One complete message, and the time at which it was queued."""
 
     queued_us: int
     data: bytes
 
 
 class PendingNotifications:
-    """The queues of all peers. The session manager's lock guards it.
+    """The queues of all peers; guarded by the session manager's lock.
 
-    When no connection was open, as after a reset, the end of an established session reached nobody, and its
-    client waited for good.
+    Without them, the release of an established session would be lost if its client has no open connection, as
+    after a reset, and the client would wait indefinitely.
     """
 
     def __init__(self) -> None:
         self.by_peer: dict[str, deque[_Notification]] = {}
-        self.count = 0  # of all queues
+        self.count = 0  # of notifications in all queues
 
     def defer(self, peer: str, data: bytes, now_us: int) -> bool:
         """Queue a message for the peer's next connection.
 
         Returns:
-            False if it was dropped, because too many are queued.
+            False if it was dropped because the limit was reached.
         """
         if self.count >= MAX_NOTIFICATIONS:
             return False
@@ -43,7 +43,7 @@
         return True
 
     def deliver(self, connection: ClientLink) -> None:
-        """Send what is queued for this connection's peer; what can't be sent stays for the next one."""
+        """Send what is queued for this connection's peer; what can't be sent stays queued."""
         queue = self.by_peer.get(connection.peer, deque())
         while queue and not connection.has_left() and connection.send(queue[0].data):
             self._drop_first(queue)
@@ -51,7 +51,7 @@
             self.by_peer.pop(connection.peer, None)
 
     def expire(self, now_us: int) -> None:
-        """Drop the notifications that have been queued for too long."""
+        """Drop the notifications whose time to live has passed."""
         for peer, queue in list(self.by_peer.items()):
             while queue and now_us - queue[0].queued_us > NOTIFICATION_TTL_US:
                 self._drop_first(queue)
--- a/packages/node/src/fennelcove/node/policy_effects.py
+++ b/packages/node/src/fennelcove/node/policy_effects.py
@@ -1,4 +1,4 @@
-"""Effects of the placement policy on the node: each becomes an event of a session's state machine."""
+"""Applies the placement policy's effects: most become events of a session's state machine."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class EffectTarget(SessionActions, Protocol):
-    """What the effects act on."""
+    """The node, as the placement policy's effects use it."""
 
     sessions: dict[bytes, Session]
     servers: dict[str, Server]
     timers: Timers
-    request_full_list: Callable[[], None]  # requests the whole list of servers
+    request_full_list: Callable[[], None]  # requests a full update of the server list
 
     def run_locked(self, call: Callable[[], None]) -> None:
-        """Call with the node's lock held."""
+        """Make a call with the node's lock held."""
         ...
 
 
 class PolicyEffects:
-    """The placement policy's `Effects`; called with the node's lock held."""
+    """Implements `Effects` of the placement policy; called with the node's lock held."""
 
     def __init__(self, target: EffectTarget) -> None:
         self._target = target
 
     def start_attempt(self, id: str, server: str, timeout_us: int) -> None:
-        """Attempt to set the session up at this server."""
+        """Start an attempt to set the session up at this server."""
         target = self._target
         session = self._session(id)
         session.attempt = Attempt(target.servers[server], session.attempts, target.now_us(), timeout_us)
@@ -46,38 +46,38 @@
         session_states.apply_event(self._target, session, SessionEvent.RUNG_CHANGED)
 
     def reject(self, id: str, retry_after_us: int) -> None:
-        """Reject the session, to be retried after `retry_after_us`; 0 for no time given."""
+        """Reject the session, to be retried after `retry_after_us`; 0 sends no delay."""
         session = self._session(id)
         session.retry_after_us = retry_after_us
         session_states.apply_event(self._target, session, SessionEvent.REJECTED)
 
     def fail(self, id: str) -> None:
-        """Fail the session."""
+        """Answer the session's set-up request with an error."""
         session_states.apply_event(self._target, self._session(id), SessionEvent.FAILED)
 
     def migrate(self, id: str) -> None:
-        """Move the session to another server."""
+        """Redirect the client to set the session up again, and release it here."""
         session_states.apply_event(self._target, self._session(id), SessionEvent.MIGRATED)
 
     def set_timer(self, name: int, delay_us: int) -> None:
-        """Notify the policy after a delay."""
+        """Deliver `TimerFired` to the policy after a delay."""
         target = self._target
         target.timers.after(
             delay_us, lambda: target.run_locked(lambda: target.notify_policy(TimerFired(name)))
         )
 
     def fetch_list(self) -> None:
-        """Request the whole list of servers."""
+        """Request a full update of the server list."""
         self._target.request_full_list()
 
     def watch_list(self) -> None:
-        """Do nothing: the list is always watched."""
+        """Do nothing: the discovery client always watches the list."""
 
     def probe(self, server: str) -> None:
-        """Do nothing: this protocol's probe shows a connection and no load."""
+        """Do nothing: a probe of this protocol checks the connection only and reports no load."""
 
     def send_peer_message(self, front: int, message: PeerMessage) -> None:
-        """Do nothing: fronts of this protocol exchange no messages."""
+        """Do nothing: fronts exchange no messages on this protocol."""
 
     def _session(self, id: str) -> Session:
         return self._target.sessions[bytes.fromhex(id)]
--- a/packages/node/src/fennelcove/node/policy_notifier.py
+++ b/packages/node/src/fennelcove/node/policy_notifier.py
@@ -1,4 +1,4 @@
-"""Delivery of events to the placement policy, one after another."""
+"""Delivers events to the placement policy, one at a time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PolicyNotifier:
-    """Queues events, so that the policy has handled one before it gets the next; the node's lock is held."""
+    """Queues events, so that the policy is not re-entered while it handles one; the node's lock is held."""
 
     def __init__(self, context: NodeContext, policy: PlacementPolicy, actions: SessionActions) -> None:
         """Start with an empty queue."""
@@ -23,7 +23,7 @@
         self._is_delivering = False
 
     def notify(self, event: Event) -> None:
-        """Deliver an event, after those that are queued already."""
+        """Deliver an event after those that are already queued."""
         self._events.append(event)
         if self._is_delivering:
             return
@@ -37,12 +37,12 @@
     def _deliver(self, event: Event) -> None:
         """Let the policy handle one event.
 
-        The policy must not raise. If it does all the same, a request that it failed on is answered, since
-        its client would wait for good, and all other sessions are served on.
+        The policy must not raise. If it does, the error is logged and all other sessions continue; a request
+        that caused it is answered, since its client would wait indefinitely.
         """
         try:
             self._policy.handle(event, self._context.now_us())
-        except Exception as error:  # noqa: BLE001 - a fault of the policy, logged and answered
+        except Exception as error:  # noqa: BLE001 - a fault in the policy, logged and answered
             self._context.logger(
                 "decision_failed", event_type=type(event).__name__, reason=f"{type(error).__name__}: {error}"
             )
--- a/packages/node/src/fennelcove/node/program.py
+++ b/packages/node/src/fennelcove/node/program.py
@@ -1,4 +1,4 @@
-"""One front node put together: its start, its signals, its threads and its graceful shutdown."""
+"""The process of one front node: start, signals, threads and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -17,18 +17,17 @@
 from fennelcove.node.session_manager import SessionManager
 from fennelcove.node.thread_start import start_thread
 
-STACK_BYTES = 256 * 1024  # address space; only what is touched of it takes memory
+STACK_BYTES = 256 * 1024  # of address space per thread; only the part in use takes memory
 MAINTENANCE_INTERVAL_US = 250_000
-MAX_START_US = 20_000_000  # of the 30 s after which the platform counts a start as failed
-# From SIGTERM to the end: the longest client timeout, but no more than this,
-MAX_SHUTDOWN_WAIT_US = 3_000_000
-SHUTDOWN_MARGIN_US = 500_000  # and a little for the last requests; the platform kills 0.2 s after
-MIN_SHUTDOWN_WAIT_US = 700_000  # set-ups still arrive until then, however short their timeouts
+MAX_START_US = 20_000_000  # the platform counts a start as failed after 30 s
+MAX_SHUTDOWN_WAIT_US = 3_000_000  # upper bound of the client timeout that is waited for after SIGTERM
+SHUTDOWN_MARGIN_US = 500_000  # added for the last requests; the platform kills the process 0.2 s later
+MIN_SHUTDOWN_WAIT_US = 700_000  # set-ups still arrive for this long, even if their timeouts are short
 HANDLED_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
 
 
 class NodeProgram:
-    """Owns the threads of one front node."""
+    """Creates one front node's components and owns its threads."""
 
     def __init__(self, path: str) -> None:
         self.config = config.load(path)
@@ -48,7 +47,7 @@
         self.listener = ClientListener(self.manager, self.clock, self.log)
 
     def on_timer_failed(self, error: Exception) -> None:
-        """Log an error that a timer's callback has raised."""
+        """Log an error raised by a timer's callback."""
         self.log("timer_failed", reason=f"{type(error).__name__}: {error}")
 
     def run(self) -> int:
@@ -58,8 +57,8 @@
             The process's exit status.
 
         Raises:
-            ConfigError: the address of the configuration can't be listened on.
-            RuntimeError: the machine had no threads in time.
+            ConfigError: the configured address can't be listened on.
+            RuntimeError: the system could not start the threads in time.
         """
         self._start()
         self._handle_signals()
@@ -71,9 +70,9 @@
         with self.manager.lock:
             for event in self.config.initial_batch.events:
                 self.manager.on_discovery_event(event)
-        # Blocked before any thread starts, so that each one inherits it and only the main thread receives
-        # them; and before it listens, since what is accepted from then on must be served until the shutdown's
-        # end.
+        # Blocked before any thread starts, so that all threads inherit the mask and only the main thread
+        # receives these signals; and before the node listens, since connections that are accepted must be
+        # served until the end of the shutdown.
         signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         self.listener.listen(self.config.listen)
         self._start_threads()
@@ -92,23 +91,23 @@
         self.listener.start(MAX_START_US)
 
     def _handle_signals(self) -> None:
-        """Request a reload at each SIGHUP; return at SIGTERM or SIGINT."""
+        """Request a reload on each SIGHUP; return on SIGTERM or SIGINT."""
         while signal.sigwait(HANDLED_SIGNALS) == signal.SIGHUP:
             self.reloader.request()
 
     def run_maintenance(self) -> None:
-        """Maintain the connections to servers; the body of a thread, which never ends."""
+        """Run the manager's maintenance periodically; the body of a thread, which never returns."""
         while True:
             time.sleep(MAINTENANCE_INTERVAL_US / 1e6)
             try:
                 with self.manager.lock:
                     self.manager.run_maintenance()
-            # One round's fault must not end all later ones.
+            # An error in one run must not prevent later ones.
             except Exception as error:  # noqa: BLE001 - top of a thread, logged
                 self.log("maintenance_failed", reason=f"{type(error).__name__}: {error}")
 
     def _shut_down(self) -> None:
-        """Fail health checks from now on, but serve sessions and answer requests until the wait is over."""
+        """Fail health checks from now on, but continue to serve until the shutdown wait is over."""
         with self.manager.lock:
             self.manager.is_shutting_down = True
         self.log("shutdown_started", held=len(self.manager.sessions))
--- a/packages/node/src/fennelcove/node/receive_queue.py
+++ b/packages/node/src/fennelcove/node/receive_queue.py
@@ -1,4 +1,4 @@
-"""Queue of a client connection's received messages that have not been processed yet, in order."""
+"""Queue of the received messages of a client connection that have not been processed yet."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 from fennelcove.rtsp.messages import Message, ProtocolError, Request
 from fennelcove.rtsp.reader import Reader
 
-MAX_UNPROCESSED_BYTES = 65_536  # read ahead of the message being processed
+MAX_UNPROCESSED_BYTES = 65_536  # read ahead of the message that is processed
 
 
 class ReceiveQueue:
-    """The queue of one connection; it knows which queued set-ups a later message withdraws."""
+    """Queue of one connection; it tracks which queued set-ups a later queued message cancels."""
 
     def __init__(self) -> None:
         self.reader = Reader()
         self.messages: deque[Message] = deque()
-        self.teardown_counts: Counter[str] = Counter()  # among the messages, by session id
+        self.teardown_counts: Counter[str] = Counter()  # in `messages`, by session id
         self.unprocessed_bytes = 0  # fed since the queue was last empty
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is queued, not even a part of a message."""
+        """Whether neither a message nor a part of one is queued."""
         return self.reader.is_between_messages and not self.messages
 
     @property
     def is_full(self) -> bool:
-        """Whether no more may be read before queued messages have been processed."""
+        """Whether queued messages must be processed before more is read."""
         return self.unprocessed_bytes >= MAX_UNPROCESSED_BYTES
 
     def feed(self, data: bytes) -> None:
-        """Add what was read; `raise_failure` raises what is unreadable, after all messages before it."""
+        """Add received data. A protocol error is kept for `raise_failure`; messages before it are queued."""
         self.unprocessed_bytes += len(data)
         if self.reader.failure is None:
             self.reader.feed(data)
@@ -58,14 +58,14 @@
         return message
 
     def is_withdrawn(self, message: Message) -> bool:
-        """Whether a message that is still queued tears this message's session down."""
+        """Whether a queued TEARDOWN ends the session of this message."""
         return bool(self.teardown_counts) and _session_name(message) in self.teardown_counts
 
     def raise_failure(self) -> None:
         """Raise the reader's failure, if there is one.
 
         Raises:
-            ProtocolError: the stream can't be read any further.
+            ProtocolError: the stream can't be parsed any further.
         """
         if self.reader.failure is not None:
             raise self.reader.failure
--- a/packages/node/src/fennelcove/node/server_connection.py
+++ b/packages/node/src/fennelcove/node/server_connection.py
@@ -1,7 +1,7 @@
-"""Connections to servers: one thread each, and at most one set-up in flight on each.
+"""Connections to servers: one thread each, and at most one set-up request in flight on each.
 
 A server's answer may be corrupted, cut off or missing, and then the connection is unusable for everything
-else in flight on it. With one set-up per connection, only the set-up whose answer was bad is lost.
+else in flight on it. With one set-up per connection, only the set-up with the faulty answer is lost.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from fennelcove.node.node_lock import NodeLock
 
 READ_BYTES = 16_384
-REDIAL_DELAY_US = 300_000  # delay between two dials for the sessions that are established at a server
+REDIAL_DELAY_US = 300_000  # between two dials for the sessions established at a server
 MIN_RECEIVE_TIMEOUT_US = 1_000
 NO_SESSION_ID = bytes(8)
 KEEPALIVE_REQUEST_CAUSE = b"\0"
@@ -33,7 +33,7 @@
 
 
 class SendGuard(Protocol):
-    """The invariants that sending a set-up request asks for."""
+    """The invariants that are checked before a set-up request is sent."""
 
     def may_send(self, session: Session) -> bool:
         """Whether the session's current attempt may be sent to its server now."""
@@ -57,7 +57,7 @@
         ...
 
     def now_us(self) -> int:
-        """Return the Unix time in microseconds; it never goes back."""
+        """Return the Unix time in microseconds; monotonic."""
         ...
 
     def supervise(self, server: Server) -> None:
@@ -77,7 +77,7 @@
         ...
 
     def is_still_wanted(self, session: Session) -> bool:
-        """Whether the client of a set-up that waited for its connection is still there."""
+        """Whether a set-up that waited for its connection is still to be sent; closes the session if not."""
         ...
 
     def on_dial_failed(self, server: Server, refused: bool) -> None:
@@ -86,7 +86,7 @@
 
 
 def set_receive_timeout(sock: socket.socket, timeout_us: int) -> None:
-    """Let the kernel bound each receive; sends stay non-blocking by `MSG_DONTWAIT`."""
+    """Set the kernel's receive timeout; sends stay non-blocking by `MSG_DONTWAIT`."""
     seconds, micros = divmod(max(MIN_RECEIVE_TIMEOUT_US, timeout_us), 1_000_000)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, struct.pack("ll", seconds, micros))
 
@@ -95,7 +95,7 @@
     """Send without waiting.
 
     Returns:
-        Whether the kernel accepted all of it. False if it would have to wait, or the connection is broken.
+        Whether the kernel accepted all of it; False if the send would block or the connection is broken.
     """
     try:
         return sock.send(data, socket.MSG_DONTWAIT) == len(data)
@@ -133,7 +133,7 @@
         self.abandoned_ids: set[bytes] = set()  # ids of abandoned set-ups that may still be answered here
         self.last_received_us = self.opened_us = manager.now_us()
         self.keepalive_sent_us: int | None = None
-        self.is_dialling = False  # its thread is dialling: it holds a descriptor, whatever the state
+        self.is_dialling = False  # its thread is dialling, with a descriptor open even if the state is CLOSED
         self.descriptor = manager.descriptors.reserve(DescriptorUse.SERVER)
         self.is_read_to_end = False  # every message that the server has sent here has been handled
         server.links[self] = None
@@ -145,14 +145,14 @@
         return self.state is ConnectionState.OPEN and self.dispatched_session is None
 
     def is_ended_by_server(self) -> bool:
-        """Whether the server has closed or reset the stream, though the thread may not have read that yet.
+        """Whether the server has closed or reset the stream, even if the thread has not read that yet.
 
-        Data sent after that is lost, and a lost set-up may have run.
+        Data sent after that is lost, and a lost set-up must be treated as one that may have been executed.
         """
         return self.sock is not None and poll_peer_events(self.sock) != 0
 
     def start(self) -> None:
-        """Start to dial. If no thread can be started, the connection is closed at once."""
+        """Start to dial in a new thread; if no thread can be started, the connection is closed at once."""
         self.is_dialling = True
         try:
             threading.Thread(target=self.run, name="server", daemon=True).start()
@@ -173,7 +173,7 @@
             return
         session.attempt.is_sent = True
         parameters = self._set_up_parameters(session, session.attempt)
-        # If the kernel accepts only a part of it, nothing more is sent: no server receives it whole.
+        # If the kernel accepts only a part, the connection is closed: no server receives a complete set-up.
         self.send(writer.message(MessageKind.SET_UP, session.id, *parameters), Outcome.NOT_SENT)
 
     def _set_up_parameters(self, session: Session, attempt: Attempt) -> list[tuple[Parameter, bytes]]:
@@ -190,10 +190,10 @@
         return parameters
 
     def send(self, data: bytes, failure_outcome: Outcome = Outcome.CONNECTION_LOST) -> bool:
-        """Send a short message without waiting; a server that does not accept it is disconnected.
+        """Send a short message without waiting; the connection is closed if the kernel does not accept it.
 
         Args:
-            data: the whole message.
+            data: the complete message.
             failure_outcome: the outcome of the set-up in flight, if the message can't be sent.
 
         Returns:
@@ -226,7 +226,7 @@
             self.send(writer.release(session.id, Cause.OK))
 
     def on_set_up_completed(self) -> None:
-        """Record that the server has answered the set-up in flight, and so has read every earlier release."""
+        """Record that the server has answered the set-up in flight, and so has read all earlier releases."""
         self.dispatched_session = None
         self.abandoned_ids.clear()
 
@@ -263,7 +263,7 @@
         try:
             self._receive(sock)
         except (OSError, ProtocolError):
-            pass  # broken, or unreadable: either way nothing more can be received
+            pass  # broken or unparsable: nothing more can be received
         finally:
             with self.manager.lock:
                 self.server.is_interrupted |= self.state is ConnectionState.OPEN
@@ -292,8 +292,8 @@
     def _on_no_descriptor(self) -> None:
         """Close the connection; a missing descriptor proves nothing about the server.
 
-        Without the close the connection stayed in its tables for good, and meanwhile no other was opened to a
-        server with established sessions.
+        If it were not closed here, the connection would stay in the server's table for good and keep a server
+        with established sessions from getting another one.
         """
         with self.manager.lock:
             self._on_dial_finished()
@@ -329,30 +329,30 @@
     def _on_dial_finished(self) -> None:
         """Release the descriptor's reservation if the connection was closed while its thread dialled.
 
-        An abandoned dial holds its descriptor until it ends. Not counted until then, dials to unreachable
-        servers exceeded the node's budget of descriptors.
+        An abandoned dial keeps its descriptor open until the dial ends, and has to be counted until then:
+        otherwise dials to unreachable servers exceed the node's descriptor budget.
         """
         self.is_dialling = False
         if self.state is ConnectionState.CLOSED:
             self.descriptor.release_reservation()
 
     def _on_opened(self) -> None:
-        """Send what has waited for the connection."""
+        """Send the messages and the set-up that waited for the connection."""
         if self.is_ended_by_server():
-            # Closed by its server while new: a set-up sent now would count as one that may have run.
+            # The server has closed it already: a set-up sent now would count as possibly executed.
             self._complete_attempt(Outcome.NO_CONNECTION)
             return
         self._send_queued_messages()
         if not self.manager.accepts_attempts(self.server) or self.address != self.server.address:
             # The list has changed during the dial: a slow dial may outlast the grace period, and another
-            # server may be behind the address by now. The connection stays for the established sessions.
+            # server may have the address by now. The connection stays open for the established sessions.
             self._complete_attempt(Outcome.NOT_SENT)
         elif self.dispatched_session is not None:
             self._send_waiting_set_up()
 
     def _send_queued_messages(self) -> None:
         unsent = self.server.unsent
-        # If one of these can't be sent, the waiting set-up has not been sent either.
+        # If one of these can't be sent, the waiting set-up was not sent either: its outcome is NOT_SENT.
         while unsent and self.send(unsent[0], Outcome.NOT_SENT):
             unsent.popleft()
 
@@ -363,7 +363,7 @@
             self._send_set_up(session)
 
     def _complete_attempt(self, outcome: Outcome) -> None:
-        """Report the outcome of the set-up that waited, if there is one; the connection stays open."""
+        """Report the outcome of the set-up in flight, if there is one; the connection stays open."""
         session, self.dispatched_session = self.dispatched_session, None
         if session is not None:
             self.manager.on_attempt_completed(session, outcome, None)
@@ -381,6 +381,6 @@
         self.last_received_us, self.keepalive_sent_us = self.manager.now_us(), None
         self.server.connection_loss.on_received(self.last_received_us)
         self.server.last_message_us = self.last_received_us
-        # Read to the end even if the connection was closed meanwhile: a session's release may be among them.
+        # All messages are handled even if one of them closes the connection: a release may be among the rest.
         while (message := reader.next()) is not None:
             self.manager.on_server_message(self, message)
--- a/packages/node/src/fennelcove/node/server_messages.py
+++ b/packages/node/src/fennelcove/node/server_messages.py
@@ -1,4 +1,4 @@
-"""Handling of servers' messages, and of those that come before their session is known."""
+"""Handles servers' messages, including those that arrive before their session is known."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from fennelcove.node.node_context import NodeContext
 from fennelcove.node.session_states import SessionActions, SessionEvent
 
-EARLY_MESSAGE_US = 2_000_000  # how long messages are cached for sessions that are not known yet
+EARLY_MESSAGE_US = 2_000_000  # how long a message is cached for a session that is not known yet
 MAX_EARLY_SESSIONS = 4_096
 MAX_EARLY_MESSAGES = 8  # per session
 
 
 @dataclass(frozen=True, slots=True)
 class EarlyMessage:
-    """A server's message on a session that is not known yet."""
+    """A server's message about a session that is not known yet."""
 
     received_us: int
     link: ServerLink
@@ -34,25 +34,26 @@
         self._context = context
         self._attempts = attempts
         self._actions = actions
-        self.early: dict[bytes, list[EarlyMessage]] = {}  # by session, in the order of their first messages
+        self.early: dict[bytes, list[EarlyMessage]] = {}  # by session id, oldest first message first
 
     def on_message(self, link: ServerLink, message: Message) -> None:
         """Handle a message of a server.
 
-        An answer without a request is ignored: it may have crossed with the end of its session, be a second
-        copy, or come ahead of its request.
+        An answer without a matching request is ignored: it may have crossed the end of its session, be a
+        duplicate, or arrive before its request.
         """
         session = self._context.sessions.get(message.session)
         if message.kind is MessageKind.KEEPALIVE:
             link.answer_keepalive()
         if session is None and message.kind in (MessageKind.SESSION_REPORT, MessageKind.RELEASE):
-            # At a start a server reports the rungs of all its sessions as soon as a connection is open, and
-            # most clients have not named theirs by then: ignored, all would be taken for the lowest rung.
+            # After the node's start, a server reports the rungs of all its sessions as soon as a connection
+            # opens, before most clients have handed theirs over. Without these reports the node would assume
+            # the lowest rung for all of them.
             self._cache(link, message)
         if session is None or session.attempt is None or session.attempt.server is not link.server:
             return
         if session.state is SessionState.ATTEMPTING and session.attempt.link is not link:
-            return  # of an earlier attempt under this id: until it succeeds, an attempt has one connection
+            return  # for an earlier attempt under this id: an attempt in flight uses one connection only
         if message.kind is MessageKind.ANSWER:
             self._on_answer(link, session, message)
         elif message.kind is MessageKind.RELEASE:
@@ -61,31 +62,31 @@
             self._on_report(session, message)
 
     def replay(self, session: Session) -> None:
-        """Handle the messages that came before the session was known."""
+        """Handle the cached messages of a session that has become known."""
         for early in self.early.pop(session.id, ()):
             self.on_message(early.link, early.message)
 
     def expire(self, now_us: int) -> None:
-        """Drop cached messages whose sessions have not become known in time."""
+        """Drop cached messages of sessions that have not become known in time."""
         for id, messages in list(self.early.items()):
             if now_us - messages[0].received_us <= EARLY_MESSAGE_US:
                 break
             del self.early[id]
 
     def _cache(self, link: ServerLink, message: Message) -> None:
-        """Keep a message; bounded in sessions, in each one's messages and in age, as most are never used."""
+        """Cache a message; sessions, messages of each and their age are limited, as most are never used."""
         if message.session not in self.early and len(self.early) >= MAX_EARLY_SESSIONS:
             return
         messages = self.early.setdefault(message.session, [])
         if len(messages) < MAX_EARLY_MESSAGES:
             messages.append(EarlyMessage(self._context.now_us(), link, message))
         elif message.kind is MessageKind.RELEASE:
-            # Crowded out by notes, the end of a session was lost, and its client waited for good.
+            # A release replaces the last report: without it, the client would wait indefinitely.
             messages[-1] = EarlyMessage(self._context.now_us(), link, message)
 
     def _on_answer(self, link: ServerLink, session: Session, message: Message) -> None:
         if session.state is not SessionState.ATTEMPTING:
-            return  # a second copy
+            return  # a duplicate
         description = message.parameters.get(Parameter.DESCRIPTION)
         if description is None:
             link.close(Outcome.CONNECTION_LOST)
--- a/packages/node/src/fennelcove/node/server_monitor.py
+++ b/packages/node/src/fennelcove/node/server_monitor.py
@@ -1,4 +1,4 @@
-"""Supervision of servers: liveness probes, lost servers and the ends of their sessions."""
+"""Supervises servers: sends keepalives, detects lost servers and ends their sessions."""
 
 from __future__ import annotations
 
@@ -11,13 +11,12 @@
 from fennelcove.node.server_pool import ServerPool
 from fennelcove.placement import PlacementPolicy
 
-# A connection to a server with established sessions is probed when it has been quiet for this long,
-PROBE_AFTER_US = 1_500_000
-PROBE_TIMEOUT_US = 1_500_000  # and closed when the probe has not been answered for this long.
+PROBE_AFTER_US = 1_500_000  # without data from a server with established sessions, until it is probed
+PROBE_TIMEOUT_US = 1_500_000  # for the answer to a probe, until the connection is closed
 
 
 class ServerMonitor:
-    """Keeps track of which servers are there; used with the node's lock held."""
+    """Tracks which servers are reachable; used with the node's lock held."""
 
     def __init__(
         self,
@@ -33,16 +32,16 @@
         self._attempts = attempts
 
     def accepts_attempts(self, server: Server) -> bool:
-        """Whether the list, as far as it is known, lets new sessions go to this server."""
+        """Whether the current server list allows new sessions at this server."""
         entry = self._policy.servers.get(server.name)
         return entry is not None and entry.state is ServerState.ACTIVE
 
     def is_known(self, name: str) -> bool:
-        """Whether both the policy and the node have a server of this name."""
+        """Whether both the policy and the node know a server of this name."""
         return name in self._policy.servers and name in self._context.servers
 
     def on_dial_failed(self, server: Server, refused: bool) -> None:
-        """Record that a connection could not be made."""
+        """Record that a connection to the server could not be opened."""
         now_us = self._context.now_us()
         server.connection_loss.on_dial_completed(
             DialResult.REFUSED if refused else DialResult.TIMED_OUT, now_us
@@ -51,39 +50,41 @@
         self.close_if_lost(server)
 
     def close_if_lost(self, server: Server) -> None:
-        """Close the sessions at a server that is gone: their clients must be notified."""
+        """Close the sessions at a server that is lost, so that their clients are notified."""
         if any(link.state is ConnectionState.OPEN for link in server.links):
             return
-        # Taken for gone after two dials that timed out, a zone that was only cut off lost all its clients.
+        # Two dials that time out do not make a server lost: a zone that is only partitioned from this node
+        # would lose all its sessions.
         if server.connection_loss.is_lost(server.listed, self._context.now_us()):
             self.close_sessions(server)
 
     def close_sessions(self, server: Server) -> None:
-        """Close all sessions at a server that is gone, and drop what was to be sent to it."""
+        """Close all sessions at a lost server, and drop the messages queued for it."""
         server.unsent.clear()
         for session in list(server.established):
             self._attempts.on_completed(session, Outcome.CONNECTION_LOST, None)
 
     def on_started(self, server: Server, started_us: int) -> None:
-        """Close what was set up before the process start that the list now reports.
+        """Close connections and sessions older than the process start that the list now reports.
 
-        A process that dies and is back before two dials have failed looks alive, and clients waited for good.
+        A process that restarts before two dials have failed looks alive, and its former clients would wait
+        indefinitely.
         """
         if started_us <= server.started_us:
             return
         server.started_us = started_us
         for link in list(server.links):
-            # A machine that vanished ended none of its connections: a set-up on one of them is reset.
+            # A machine that failed has not closed its connections: a set-up sent on one of them is reset.
             if link.is_idle and link.last_received_us < started_us:
                 link.close(Outcome.CONNECTION_LOST)
         for session in list(server.established):
             if session.attempt is not None and session.attempt.sent_us < started_us:
-                # As a lost connection, it made the policy date the new process from now: each front had
-                # another start, by its own clock, and the slow-start slots of all no longer fitted.
+                # Not CONNECTION_LOST: the policy would take the current time for the start of the new
+                # process, each front a different one, and their slow-start slots would no longer match.
                 self._attempts.on_completed(session, Outcome.NO_ANSWER, None)
 
     def forget_if_removed(self, server: Server) -> None:
-        """Forget a server that is off the list, once the policy has and no session is left there."""
+        """Forget a server that is off the list, once the policy has forgotten it and no session is left."""
         if server.listed or server.established or server.name in self._policy.servers:
             return
         for link in list(server.links):
@@ -93,7 +94,7 @@
             self._context.server_table.forget(server)
 
     def check_servers(self, now_us: int) -> None:
-        """Probe, close and open connections; called periodically."""
+        """Probe, close and open connections as necessary; called periodically."""
         waiting = list[Server]()
         for server in self._context.server_table.supervised():
             self._check_connections(server, now_us)
@@ -101,7 +102,7 @@
                 self.close_if_lost(server)
             if self._is_dial_due(server, now_us):
                 server.needs_redial = False
-                # A dial would reach the one that came in its place, whose answers prove nothing of it.
+                # A dial would reach its successor, whose answers prove nothing about this server.
                 if self._context.server_table.successor_of(server) is not None:
                     self.close_sessions(server)
                 else:
@@ -110,7 +111,7 @@
         self._pool.connect_waiting(waiting)
 
     def _check_connections(self, server: Server, now_us: int) -> None:
-        """Probe quiet connections, and close dead ones, and unused ones before the server does."""
+        """Probe silent connections, close dead ones, and close unused ones before the server does."""
         unused_after_us = self._context.config.connection_settings.idle_us * 3 // 4
         for link in list(server.links):
             if link.state is not ConnectionState.OPEN:
@@ -128,10 +129,11 @@
                 link.send_keepalive()
 
     def _is_dial_due(self, server: Server, now_us: int) -> bool:
-        # The ends of sessions come on any open connection, or on the next that is opened. One that was
-        # closed unread may have carried them, and with others open no next one ever came.
+        # A server sends the ends of sessions on any open connection, or on the next one that opens. If a
+        # connection was closed with unread data, they may have been in it, and another one must be opened
+        # even if others are open.
         if 0 < server.unanswered_close_us < server.last_message_us:
-            # It goes on: what it tells now on the connection that was closed meanwhile must come again.
+            # The server is alive: messages that it has sent on the closed connection must be repeated.
             server.needs_redial, server.unanswered_close_us = True, 0
         server.needs_redial = server.needs_redial and bool(server.established)
         needs_another = server.needs_redial and not self._pool.is_full
--- a/packages/node/src/fennelcove/node/server_pool.py
+++ b/packages/node/src/fennelcove/node/server_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to servers: which one carries a set-up, which one is closed to make room."""
+"""The pool of connections to servers: selects one for each set-up, and closes idle ones at the limit."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from fennelcove.node.node_context import NodeContext
 from fennelcove.node.server_connection import ConnectionOwner, ServerConnection
 
-# In this time each server with established sessions gets its turn, well within 8 s of a session's end.
+# If connections are scarce, each server with established sessions is connected once in this time, well
+# within 8 s of a session's end.
 ROTATION_PERIOD_US = 4_000_000
-MIN_CONNECTION_AGE_US = 500_000  # how long one keeps its connection at least
-MAX_ABANDONED = 64  # set-ups, one after another on a connection whose server answers none of them
+MIN_CONNECTION_AGE_US = 500_000  # before a connection is closed in favour of an urgent one
+MAX_ABANDONED = 64  # abandoned set-ups in succession on a connection whose server answers none of them
 
 
 def _is_urgent(server: Server) -> bool:
-    """Whether its process may have ended: whoever dials it too late meets the next one in its place."""
+    """Whether its process may have ended: a late dial would reach the server that replaced it."""
     return server.is_interrupted or server.connection_loss.is_suspected
 
 
@@ -23,18 +24,18 @@
     """The connections from one node to servers; used with its lock held."""
 
     def __init__(self, context: NodeContext, owner: ConnectionOwner) -> None:
-        """Start without connections; `owner` gets the events of those that are opened."""
+        """Start without connections; `owner` receives the events of those that are created."""
         self._context = context
         self._owner = owner
 
     @property
     def connection_count(self) -> int:
-        """Connections that are not closed."""
+        """The number of connections that are not closed."""
         return self._context.descriptors.reserved_counts[DescriptorUse.SERVER]
 
     @property
     def max_connections(self) -> int:
-        """The servers' part of the node's descriptors."""
+        """The servers' share of the node's descriptors."""
         return self._context.descriptors.limits[DescriptorUse.SERVER]
 
     @property
@@ -43,19 +44,19 @@
         return self.connection_count >= self.max_connections
 
     def create(self, server: Server) -> ServerConnection:
-        """A new connection, to be started by the caller."""
+        """Create a connection; the caller starts it."""
         return ServerConnection(self._owner, server)
 
     def find_idle(self, server: Server, session: Session) -> list[ServerLink]:
-        """Connections on which the session's set-up may be sent, the one last heard from at the end.
+        """Connections on which the session's set-up may be sent, ordered by when data was last received.
 
-        None of them is being closed by the server or is about to be: a set-up lost there fails for good
-        where it may not be repeated.
+        A connection that the server has closed, or is about to close as idle, is left out: a set-up that is
+        lost there fails permanently if it must not be repeated.
         """
         since_us = self._context.now_us() - self._context.config.connection_settings.idle_us * 3 // 4
         idle = [link for link in server.links if link.is_idle and link.address == server.address]
         live = [link for link in idle if link.last_received_us >= since_us and not link.is_ended_by_server()]
-        # Where a set-up under this id was abandoned, the answer to it may be on its way.
+        # If a set-up with this id was abandoned on a connection, its answer may still be in transit there.
         usable = [
             link
             for link in live
@@ -64,10 +65,10 @@
         return sorted(usable, key=lambda link: link.last_received_us)
 
     def close_idle(self, min_age_us: int = 0) -> bool:
-        """Close an idle connection to make room for another.
+        """Close an idle connection so that another may be opened.
 
-        The one silent longest of those that no server needs is closed, or else the oldest, if it has been
-        open for `min_age_us`.
+        Of the connections that their server does not need, the one that has been silent longest is closed; if
+        there is none, the oldest connection, if it has been open for `min_age_us`.
 
         Returns:
             Whether one was closed.
@@ -86,16 +87,17 @@
         return True
 
     def ensure_capacity(self) -> bool:
-        """Whether a connection may be opened, after an idle one was closed where that was necessary."""
+        """Whether a connection may be opened; an idle one is closed first if that is necessary."""
         if self.is_full:
             self.close_idle()
         return not self.is_full
 
     def connect_waiting(self, waiting: list[Server]) -> None:
-        """Connect to servers that need it, in turns where they are more than the connections allowed.
+        """Connect to servers that need it, in rotation if they outnumber the allowed connections.
 
-        A server repeats on the next connection which sessions have ended. Those that may be gone come first:
-        with a whole turn for each dial that shows it, clients heard of the end too late.
+        On its next connection a server repeats which sessions have ended. Servers whose process may have
+        ended come first, without waiting for their place in the rotation: otherwise their clients would be
+        notified too late.
         """
         turn_us = ROTATION_PERIOD_US * self.max_connections // (self.max_connections + len(waiting))
         for server in sorted(waiting, key=lambda server: (not _is_urgent(server), server.last_closed_us)):
@@ -104,7 +106,7 @@
             self.create(server).start()
 
     def close_outdated(self, server: Server) -> None:
-        """Close connections that lead to another process than the list now means."""
+        """Close idle and dialling connections to the server's previous address."""
         for link in list(server.links):
             if link.state is ConnectionState.DIALLING:
                 link.close(Outcome.NOT_SENT)
@@ -112,10 +114,11 @@
                 link.close(Outcome.CONNECTION_LOST)
 
     def close_links_to_successor(self, server: Server, successor: Server) -> None:
-        """Close connections of a server that has gone which lead to the one in its place.
+        """Close connections of a server that has gone if they lead to its successor at the same address.
 
-        The signs of life of the second would keep sessions of the first open. A dial under way reaches the
-        second; so has a connection that was opened after the second had started, before the list named it.
+        Otherwise messages of the successor would keep sessions of the first server open. A dial in progress
+        reaches the successor, and so does a connection that was opened after the successor's start, even if
+        the list did not name it yet.
         """
         for link in list(server.links):
             if link.state is ConnectionState.DIALLING:
--- a/packages/node/src/fennelcove/node/server_table.py
+++ b/packages/node/src/fennelcove/node/server_table.py
@@ -1,4 +1,4 @@
-"""The servers that a node knows, by name and by address, and those that need supervision."""
+"""Table of the servers that a node knows, by name and by address, and of those that are supervised."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class ServerTable:
-    """All servers, used with the node's lock held.
+    """All servers; used with the node's lock held.
 
-    Of thousands of listed servers a node has connections and sessions at a few. Only these, and those off the
-    list, are supervised: what is done for each event or at each interval must not visit all servers.
+    A node has connections and sessions at few of the thousands of listed servers. Only these, and servers off
+    the list, are supervised: the work for an event or an interval must not visit all servers.
     """
 
     def __init__(self) -> None:
@@ -22,14 +22,14 @@
         self._supervised: dict[Server, None] = {}
 
     def get_or_add(self, name: str, address: Address) -> Server:
-        """The server of this name; a new one starts off the list, at this address."""
+        """Return the server of this name, or add one at this address that is not listed yet."""
         server = self.by_name.get(name)
         if server is None:
             server = self.by_name[name] = Server(name, address, listed=False)
         return server
 
     def update(self, server: Server, address: Address, *, is_listed: bool) -> None:
-        """Record where a server is, and whether the list names it."""
+        """Record a server's address, and whether the list names it."""
         if server.listed:
             self._remove_from_index(server)
         server.address = address
@@ -40,14 +40,14 @@
             self.supervise(server)
 
     def delist_all(self) -> None:
-        """Record that the list names no server, before a whole list is applied."""
+        """Record that the list names no server, before a full update is applied."""
         for server in self.by_name.values():
             server.listed = False
         self._listed_at.clear()
         self._supervised = dict.fromkeys(self.by_name.values())
 
     def successor_of(self, server: Server) -> Server | None:
-        """The listed server that has the address of a server off the list by now, or None."""
+        """Return the listed server that now has the address of a server off the list, or None."""
         if server.listed:
             return None
         return next(iter(self._listed_at.get(server.address, ())), None)
@@ -57,9 +57,9 @@
         self._supervised[server] = None
 
     def supervised(self) -> Iterator[Server]:
-        """The supervised servers, in the order in which their supervision began; it may change meanwhile.
+        """Iterate over the supervised servers, oldest first; their set may change meanwhile.
 
-        A listed server without connections, sessions and unsent messages needs no supervision any longer.
+        The supervision of a listed server without connections, sessions and unsent messages ends here.
         """
         for server in list(self._supervised):
             if server.listed and not server.links and not server.needs_link:
--- a/packages/node/src/fennelcove/node/session_guard.py
+++ b/packages/node/src/fennelcove/node/session_guard.py
@@ -1,7 +1,7 @@
-"""The invariants of a session: one guard for its start, attempts, answer, release and connection's end.
+"""The invariants of a session: checked at its start, attempts, answer, release and connection's close.
 
-Each step that could lose a request or run it twice asks the guard first. A step that would break an invariant
-is refused or made harmless, counted, and logged with the session's transitions: a correct node takes none.
+Each step that could lose a request or execute it twice is checked first. A violation is prevented or made
+harmless, counted, and logged with the session's transitions; in a correct node there are none.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 
 class Invariant(Enum):
-    """What must hold; the values stand in the log and in the metrics."""
-
-    STARTED_ONCE = "started_once"  # no set-up replaces another that is open under its id
-    SENT_WHILE_OPEN = "sent_while_open"  # nothing is sent to a server after a request's answer or end
-    ONE_ATTEMPT = "one_attempt"  # nor while an attempt before it is in flight
-    SERVER_LISTED = "server_listed"  # nor to a server that drains or has left the list
-    REPEATED_WITH_PROOF = "repeated_with_proof"  # a single-shot set-up is repeated only if it never ran
-    REJECTED_WITH_PROOF = "rejected_with_proof"  # and called harmless only then
+    """The invariants; their values are written to the log and the metrics."""
+
+    STARTED_ONCE = "started_once"  # a set-up does not replace an open one with the same id
+    SENT_WHILE_OPEN = "sent_while_open"  # no set-up is sent after its request was answered or cancelled
+    ONE_ATTEMPT = "one_attempt"  # only one attempt is in flight, and none is sent twice
+    SERVER_LISTED = "server_listed"  # no set-up is sent to a server that drains or is off the list
+    REPEATED_WITH_PROOF = "repeated_with_proof"  # a single-shot set-up is repeated only if never executed
+    REJECTED_WITH_PROOF = "rejected_with_proof"  # a retry of it is called safe only then
     ANSWERED_ONCE = "answered_once"
-    ANSWERED_BEFORE_CLOSE = "answered_before_close"  # the node closes no connection with an open set-up
-    RELEASE_KEPT = "release_kept"  # the release of a session is sent or kept, never dropped
+    ANSWERED_BEFORE_CLOSE = "answered_before_close"  # the node closes no connection with an unanswered set-up
+    RELEASE_KEPT = "release_kept"  # a session's release is sent or queued, never dropped
 
 
 class SessionGuard:
@@ -45,8 +45,8 @@
     def may_send(self, session: Session) -> bool:
         """Whether the session's current attempt may be sent to its server now.
 
-        Past its client's timeout it may not, which breaks no invariant: its connection was made as the time
-        ran out, and the timer that ends the attempt waits for the lock.
+        After its client's timeout it may not, which is no violation: the connection opened as the timeout
+        passed, while the timer that ends the attempt still waits for the lock.
         """
         attempt = session.current_attempt
         entry = self._policy.servers.get(attempt.server.name)
@@ -68,17 +68,17 @@
         return self._require(Invariant.ANSWERED_ONCE, session, holds=not session.is_answered)
 
     def may_reject(self, session: Session) -> bool:
-        """Whether the answer may call a retry harmless."""
+        """Whether the answer may state that a retry is safe."""
         is_safe = not (session.may_have_run and self._is_single_shot(session))
         return self._require(Invariant.REJECTED_WITH_PROOF, session, holds=is_safe)
 
     def check_close(self, client: ClientLink) -> None:
-        """Check that the node closes a connection only once its set-ups are answered."""
+        """Check that every set-up request on a connection that the node closes has been answered."""
         for session in client.open_sessions:
             self._require(Invariant.ANSWERED_BEFORE_CLOSE, session, holds=False)
 
     def check_release(self, session: Session, *, is_queued: bool) -> None:
-        """Check that a release which could not be sent is kept for the client's next connection."""
+        """Check that a release that could not be sent is queued for the client's next connection."""
         self._require(Invariant.RELEASE_KEPT, session, holds=is_queued)
 
     def _is_single_shot(self, session: Session) -> bool:
@@ -86,11 +86,11 @@
         return service_class is not None and service_class.effect is Effect.SINGLE_SHOT
 
     def _require(self, invariant: Invariant, session: Session, *, holds: bool) -> bool:
-        """Count and log a broken invariant."""
+        """Return `holds`; if it is False, count the violation and log the 1st, 2nd, 4th, 8th and so on."""
         if not holds:
             metrics = self._context.metrics
             metrics.count(Metric.VIOLATION, invariant.value)
-            if metrics.counts[Metric.VIOLATION][invariant.value].bit_count() == 1:  # the 1st, 2nd, 4th, ...
+            if metrics.counts[Metric.VIOLATION][invariant.value].bit_count() == 1:
                 transitions = metrics.transitions_of(session.id)
                 self._context.logger(
                     "invariant_violated", invariant=invariant.value, id=session.key, transitions=transitions
--- a/packages/node/src/fennelcove/node/session_manager.py
+++ b/packages/node/src/fennelcove/node/session_manager.py
@@ -1,7 +1,7 @@
 """The front node behind its one lock: the placement policy, and the sessions, servers and connections.
 
-Nothing here waits: what is sent is handed to the kernel or given up, and the threads of the connections wait
-outside. All calls are made with the lock held, but for those of `run_locked`, which acquires it.
+Nothing here blocks: a send is accepted by the kernel at once or fails, and the threads of connections block
+without the lock. Every method is called with the lock held, except `run_locked`, which acquires it.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class SessionManager:
-    """One node, composed of its parts.
+    """One node, composed of its components.
 
-    Connections, the discovery client and the program know the node by this class alone. Their entry points
-    are methods of the parts, bound here once, so that an event costs no further call.
+    Connections, the discovery client and the program depend on this class alone. The entry points that they
+    call are methods of the components, bound as attributes once, so that an event costs no extra call.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         logger: EventLogger,
         descriptors: DescriptorBudget | None = None,
     ) -> None:
-        """Create a node without servers; `logger` logs an event with its fields."""
+        """Create a node without servers; `descriptors` defaults to a budget by the configured limit."""
         self.config = config
         self.clock = clock
         self.timers = timers
         self.logger = logger
         self.descriptors = descriptors or DescriptorBudget(effective_limit(config.socket_limit))
         self.is_shutting_down = False
-        self.request_full_list: Callable[[], None] = lambda: None  # requests the whole list of servers
+        self.request_full_list: Callable[[], None] = lambda: None  # requests a full update of the server list
         self.context = NodeContext(config, clock, timers, logger, self.descriptors)
         self.sessions = self.context.sessions
         self.servers = self.context.servers
@@ -71,21 +71,21 @@
 
     @property
     def max_server_connections(self) -> int:
-        """The number of connections to servers that are allowed."""
+        """The maximum number of connections to servers."""
         return self.pool.max_connections
 
     def run_locked(self, call: Callable[[], None]) -> None:
-        """Call with the lock held; for timers."""
+        """Make a call with the lock held, as timers do."""
         with self.lock:
             call()
 
     def run_maintenance(self) -> None:
-        """Expire what is too old, and check the servers; called periodically."""
+        """Expire queued messages, check handovers, deadlines and servers, and report metrics."""
         now_us = self.now_us()
         self.messages.expire(now_us)
         self.connections.expire(now_us)
         self.handovers.resolve_waiting()
-        self.admission.answer_overdue()  # here too, for want of a timer for the next deadline
+        self.admission.answer_overdue()  # in case no timer could be set for the next deadline
         self.monitor.check_servers(now_us)
         self.metrics.report()
 
@@ -104,26 +104,26 @@
         self.updates = DiscoveryUpdateHandler(context, self.pool, self.monitor, self.handovers, self)
 
     def _bind_entry_points(self) -> None:
-        # Of sessions' transitions (`SessionActions`).
+        # Called by session transitions (`SessionActions`).
         self.notify_policy = self.notifier.notify
         self.dispatch_attempt = self.attempts.dispatch
         self.answer_setup = self.messenger.answer_setup
         self.send_to_client = self.messenger.send_to_client
         self.send_to_server = self.messenger.send_to_server
         self.forget_session = self.messenger.forget_session
-        # Of connections from clients (`client_requests.Counter`).
+        # Called by connections from clients (`client_connection.ClientSessions`).
         self.deliver_pending = self.connections.deliver
         self.may_hold_sessions = self.connections.may_hold_sessions
         self.admit = self.admission.admit
         self.take_over = self.handovers.take_over
-        # Of connections to servers (`ConnectionOwner`).
+        # Called by connections to servers (`server_connection.ConnectionOwner`).
         self.supervise = self.context.server_table.supervise
         self.on_server_message = self.messages.on_message
         self.on_attempt_completed = self.attempts.on_completed
         self.accepts_attempts = self.monitor.accepts_attempts
         self.is_still_wanted = self.attempts.is_wanted
         self.on_dial_failed = self.monitor.on_dial_failed
-        # Of the discovery client and the program.
+        # Called by the discovery client and the program.
         self.on_discovery_event = self.updates.on_event
         self.on_discovery_events = self.updates.on_events
         self.shut_down = self.admission.shut_down
--- a/packages/node/src/fennelcove/node/session_messenger.py
+++ b/packages/node/src/fennelcove/node/session_messenger.py
@@ -1,4 +1,4 @@
-"""Messages on sessions to clients and servers, and removal of closed sessions."""
+"""Sends sessions' messages to clients and servers, and removes closed sessions."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class SessionMessenger:
-    """Sends without waiting; used with the node's lock held."""
+    """Sends messages without waiting; used with the node's lock held."""
 
     def __init__(self, context: NodeContext, deadlines: Deadlines, guard: SessionGuard) -> None:
-        """Use the context's connections; `deadlines` are those of unanswered set-up requests."""
+        """Send on the context's connections; `deadlines` has the unanswered set-up requests."""
         self._context = context
         self._deadlines = deadlines
         self._guard = guard
@@ -22,14 +22,14 @@
         """Answer the set-up request, on its own connection only.
 
         Returns:
-            False where its client has not got all of it. The kernel accepts data for a client that has closed
-            as well, and the session would be established for nobody.
+            False if it could not be delivered in full. A closed connection is checked for first: the kernel
+            accepts data even after the client has closed, and the session would load the server unused.
         """
         self._deadlines.drop(session)
         return session.client is not None and not session.client.has_left() and session.client.send(data)
 
     def send_to_client(self, session: Session, data: bytes) -> None:
-        """Send on the set-up's connection, or another of the same client's, or keep it for the next one."""
+        """Send on the set-up's connection or another one of the client; else queue for its next one."""
         client = session.client
         if client is None or client.has_left():
             client = self._context.connections.find_connection(session.peer, session.client_id)
@@ -39,12 +39,13 @@
             self._guard.check_release(session, is_queued=is_queued)
 
     def send_to_server(self, session: Session, data: bytes) -> None:
-        """Send on an open connection to the session's server, or keep it for the next one."""
+        """Send on an open connection to the session's server; else queue for the next one."""
         if session.attempt is None:
             return
         server = session.attempt.server
         for link in list(server.links):
-            # Lost on a connection that has ended, a message left its session established for nobody.
+            # On a connection that the server has ended, the message would be lost: after a lost release,
+            # the session stays established and loads the server unused.
             if link.state is ConnectionState.OPEN and not link.is_ended_by_server() and link.send(data):
                 return
         self._context.metrics.count(Metric.RELEASE_DEFERRED, "server")
--- a/packages/node/src/fennelcove/node/session_states.py
+++ b/packages/node/src/fennelcove/node/session_states.py
@@ -20,40 +20,40 @@
 RETRY_AFTER_FIELD = "Come-Back-Ms"
 TEARDOWN_CSEQ = "2"
 REDIRECT_CSEQ = "4"
-# The outcomes that prove that no server carried the attempt out.
+# Outcomes that prove that no server has executed the attempt.
 NOT_EXECUTED_OUTCOMES = frozenset({Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT})
-# What a server's end of a session means to its client; any other outcome is a reset.
+# The release cause sent to the client, by the outcome of its session; any other outcome is sent as a reset.
 RELEASE_CAUSES = {Outcome.SERVED: Cause.OK}
 
 
 class SessionEvent(Enum):
-    """What moves a session from one state to the next."""
+    """Events of a session's state machine."""
 
     ATTEMPT_STARTED = auto()
     SETUP_ANSWERED = auto()
-    ATTEMPT_ENDED = auto()  # the attempt has failed, or the session that it established has ended
+    ATTEMPT_ENDED = auto()  # the attempt has failed, or its established session has ended
     REJECTED = auto()
     FAILED = auto()
     RUNG_CHANGED = auto()
     MIGRATED = auto()
     CLIENT_GONE = auto()
-    ABORTED = auto()  # the node shuts down, or the placement policy has failed on the session
+    ABORTED = auto()  # the node itself ends it: at shutdown, a deadline, a close, or a fault of the policy
 
 
 class Guard(Protocol):
-    """The invariants that transitions ask for; `session_guard` has them all."""
+    """The invariants that transitions check; `session_guard` implements them."""
 
     def may_answer(self, session: Session) -> bool:
         """Whether the set-up request may be answered."""
         ...
 
     def may_reject(self, session: Session) -> bool:
-        """Whether the answer may call a retry harmless."""
+        """Whether the answer may state that a retry is safe."""
         ...
 
 
 class SessionActions(Protocol):
-    """The operations by which transitions act on the node; called with the node's lock held."""
+    """The operations that transitions perform on the node; called with the node's lock held."""
 
     metrics: NodeMetrics
 
@@ -63,7 +63,7 @@
         ...
 
     def now_us(self) -> int:
-        """Unix time; never goes back."""
+        """The Unix time in microseconds; monotonic."""
         ...
 
     def notify_policy(self, event: Event) -> None:
@@ -75,15 +75,15 @@
         ...
 
     def answer_setup(self, session: Session, data: bytes) -> bool:
-        """Answer the set-up request; False where its client has not got all of the answer."""
+        """Answer the set-up request; False if the answer could not be delivered in full."""
         ...
 
     def send_to_client(self, session: Session, data: bytes) -> None:
-        """Send to the client on any of its connections, or on its next one."""
+        """Send to the client on any of its connections, or queue for its next one."""
         ...
 
     def send_to_server(self, session: Session, data: bytes) -> None:
-        """Send to the session's server, now or on its next connection."""
+        """Send to the session's server on an open connection, or queue for its next one."""
         ...
 
     def forget_session(self, session: Session) -> None:
@@ -98,7 +98,7 @@
     """Apply an event to a session and carry out the actions of the transition.
 
     Returns:
-        False where the event has no meaning in the session's state, as where it crosses the session's end.
+        False if the state has no transition for the event, as when the event crosses the session's end.
     """
     transition = TRANSITIONS.find(session.state, event)
     if transition is None:
@@ -111,7 +111,7 @@
 
 
 def release_message(session: Session, cause: Cause) -> bytes:
-    """The message that notifies a client of its session's end."""
+    """Encode the message that notifies a client of its session's end."""
     return rtsp.request(
         "TEARDOWN",
         f"rtsp://media/{session.title}",
@@ -122,7 +122,7 @@
 
 
 def retry_after_fields(retry_after_us: int) -> tuple[tuple[str, str], ...]:
-    """The header field by which a client is asked to retry later; none for 0."""
+    """The header field that asks a client to retry later; empty if the delay is 0."""
     if not retry_after_us:
         return ()
     return ((RETRY_AFTER_FIELD, str(max(1, retry_after_us // 1000))),)
@@ -130,14 +130,14 @@
 
 def _dispatch_attempt(actions: SessionActions, session: Session) -> None:
     if session.client is not None and session.client.has_left():
-        # Its end lies unread while its thread waits for the lock, perhaps for long.
+        # The client has closed, but its thread has not read that yet: it may wait for the lock for long.
         apply_event(actions, session, SessionEvent.CLIENT_GONE)
     else:
         actions.dispatch_attempt(session)
 
 
 def _establish(actions: SessionActions, session: Session) -> None:
-    """Answer the client with the server's description, unchanged."""
+    """Pass the server's description on to the client unchanged."""
     attempt = session.current_attempt
     is_delivered = _answer(actions, session, STATUS_OK, body=session.answer)
     if session.client is not None:
@@ -148,7 +148,7 @@
     attempt.server.established[session] = None
     actions.notify_policy(SessionStarted(session.key, attempt.number, actions.now_us() - attempt.sent_us))
     if not is_delivered:
-        # Its connection broke under the answer: kept, the session would load the server for nobody.
+        # The connection broke before the answer was delivered: the session would load the server unused.
         apply_event(actions, session, SessionEvent.CLIENT_GONE)
 
 
@@ -157,7 +157,7 @@
 
 
 def _on_session_ended(actions: SessionActions, session: Session) -> None:
-    """Close a session that has ended at its server, and notify the client unless it ended it itself."""
+    """Close a session that has ended at its server; notify the client unless the client ended it."""
     outcome = session.current_attempt.outcome
     if outcome is not Outcome.CANCELLED:
         cause = RELEASE_CAUSES.get(outcome, Cause.RESET)
@@ -166,14 +166,14 @@
 
 
 def _release_at_server(actions: SessionActions, session: Session) -> None:
-    """End an established session at its server, which does not know yet that the client has ended it."""
+    """Release an established session at its server: the client has ended it, or it migrates."""
     actions.send_to_server(session, isup.release(session.id, Cause.OK))
     session.current_attempt.outcome = Outcome.CANCELLED
     _complete_attempt(actions, session, is_finished=True)
 
 
 def _abandon_attempt(actions: SessionActions, session: Session) -> None:
-    """Give up the attempt in flight: nobody waits for its answer any more."""
+    """Abandon the attempt in flight: its set-up request was answered or its client has gone."""
     attempt = session.current_attempt
     if attempt.link is not None:
         attempt.link.abandon(session)
@@ -201,13 +201,13 @@
 
 
 def _abort_pending(actions: SessionActions, session: Session) -> None:
-    """Answer without the placement policy, which may have failed on the session and still holds it."""
+    """Answer without the placement policy, which may have failed while it handled the session."""
     _fail(actions, session)
     actions.notify_policy(ClientGone(session.key))
 
 
 def _abort_attempt(actions: SessionActions, session: Session) -> None:
-    """Answer with a failure: it is unknown whether the attempt in flight took effect."""
+    """Answer with a failure: it is unknown whether the server executes the attempt in flight."""
     _answer(actions, session, STATUS_FAILED)
     _abandon_attempt(actions, session)
 
@@ -218,7 +218,7 @@
 
 
 def _migrate(actions: SessionActions, session: Session) -> None:
-    """Ask the client to set the session up anew, and end the present one."""
+    """Ask the client to set the session up again, and release the current one."""
     fields = (("CSeq", REDIRECT_CSEQ), ("Session", session.name))
     actions.send_to_client(session, rtsp.request("REDIRECT", f"rtsp://media/{session.title}", *fields))
     _release_at_server(actions, session)
@@ -240,7 +240,7 @@
 def _answer(
     actions: SessionActions, session: Session, status: int, *fields: tuple[str, str], body: bytes = b""
 ) -> bool:
-    """Answer the set-up request; False where its client has not got all of the answer."""
+    """Answer the set-up request; False if the answer could not be delivered in full."""
     if not actions.guard.may_answer(session):
         return False
     session.is_answered = True
--- a/packages/node/src/fennelcove/node/setup_request.py
+++ b/packages/node/src/fennelcove/node/setup_request.py
@@ -1,4 +1,4 @@
-"""Validation of a client's set-up request: checked whole before any of it is used."""
+"""Parses and validates a client's set-up request completely before any of it is used."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     """A valid set-up request."""
 
     request: Request
-    current_server: str  # where the session plays already; empty for a session to be set up
+    current_server: str  # the server where the session is established already; empty for a new session
     client_id: str
 
 
 def parse_setup(settings: Settings, message: messages.Request, key: str) -> SetupRequest:
-    """Validate a set-up request of the session that the placement policy knows as `key`.
+    """Parse and validate the set-up request of the session whose id in the placement policy is `key`.
 
     Raises:
         InvalidRequestError: a field is missing, malformed or out of its range.
@@ -57,13 +57,13 @@
 
 
 def expects_answer(message: messages.Request) -> bool:
-    """Whether a set-up request is to be answered; one that hands over a session that plays is not."""
+    """Whether a set-up request is to be answered; one that hands over an established session is not."""
     routing = message.fields.get("routing-data", "")
     return not any(part.startswith("at:") and part != "at:" for part in routing.split(";"))
 
 
 def _parse_routing(raw: str) -> dict[str, str]:
-    """Values by name, from parts of the form `name:value`; each name may occur once."""
+    """Parse parts of the form `name:value`; a name may occur only once."""
     values: dict[str, str] = {}
     for part in raw.split(";"):
         name, colon, value = part.partition(":")
@@ -81,7 +81,7 @@
 
 
 def _parse_timeout_us(raw: str) -> int:
-    """The client's timeout, from milliseconds."""
+    """Parse the client's timeout, given in milliseconds."""
     try:
         timeout_ms = float(raw)
     except ValueError:
--- a/packages/node/src/fennelcove/node/state_dump.py
+++ b/packages/node/src/fennelcove/node/state_dump.py
@@ -1,6 +1,6 @@
-"""Periodic dump of each server's state, as the placement policy and the node see it, and of descriptors.
+"""Periodic dump of the state of servers, as the placement policy and the node see them, and of descriptors.
 
-Off unless the environment sets FENNELCOVE_TRACE to the number of milliseconds between two dumps.
+Disabled unless FENNELCOVE_TRACE in the environment gives the interval in milliseconds.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from fennelcove.placement import PlacementPolicy
 
 INTERVAL_VARIABLE = "FENNELCOVE_TRACE"
-MAX_DUMPS = 1_000  # standard output counts as memory
+MAX_DUMPS = 1_000  # bounds the standard output, which counts as memory of the process
 MIN_INTERVAL_MS = 100
 
 
 class DumpedNode(Protocol):
-    """What is dumped."""
+    """The node, as the dump uses it."""
 
     lock: NodeLock
     logger: EventLogger
@@ -32,7 +32,7 @@
 
 
 def start(node: DumpedNode) -> None:
-    """Start to dump, where the environment asks for it."""
+    """Start the dump's thread if the environment enables it."""
     raw = os.environ.get(INTERVAL_VARIABLE, "")
     if not raw.isdecimal() or int(raw) <= 0:
         return
@@ -41,7 +41,7 @@
 
 
 def server_states(node: DumpedNode) -> list[dict[str, object]]:
-    """The fields of one log line for each server; the node's lock is held."""
+    """The fields of one log line for each server; called with the node's lock held."""
     return [_server_fields(node, server) for server in node.servers.values()]
 
 
--- a/packages/node/src/fennelcove/node/thread_start.py
+++ b/packages/node/src/fennelcove/node/thread_start.py
@@ -1,4 +1,4 @@
-"""Starting a thread on a machine that may be out of threads for a moment."""
+"""Starts a thread with retries, in case the system has run out of threads temporarily."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def start_thread(thread: threading.Thread, clock: Clock, timeout_us: int) -> None:
-    """Start a thread as soon as the machine has one.
+    """Start a thread, and retry until the timeout while the system has none available.
 
-    Where many processes start together it may be out of them for a moment; a process that ended because of
-    that counted as a crash.
+    If many processes start together, the system may run out of threads briefly; a process that exits because
+    of that counts as crashed.
 
     Raises:
-        RuntimeError: none became available in time.
+        RuntimeError: no thread became available in time.
     """
     deadline_us = clock.now_us() + timeout_us
     while True:
--- a/packages/node/src/fennelcove/rtsp/__init__.py
+++ b/packages/node/src/fennelcove/rtsp/__init__.py
@@ -1,1 +1,1 @@
-"""Codec of the clients' side of the platform's protocol (RTSP/1.0), without I/O."""
+"""Codec of the protocol between clients and nodes (RTSP/1.0), without I/O."""
--- a/packages/node/src/fennelcove/rtsp/messages.py
+++ b/packages/node/src/fennelcove/rtsp/messages.py
@@ -1,20 +1,20 @@
-"""Messages between clients and a node, and the error that refuses one."""
+"""Messages between clients and a node, and the error raised for a malformed one."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_MESSAGE_BYTES = 16_384  # of one message, head and body together: the platform's bound
+MAX_MESSAGE_BYTES = 16_384  # of one message, head and body together; a limit of the platform
 MAX_FIELDS = 32
 
 Fields = dict[str, str]
 
 
 class ProtocolError(Exception):
-    """A message that must not be acted on; the connection can't be read any further.
+    """A malformed or oversized message; the rest of the connection's stream can't be parsed.
 
     Attributes:
-        status: the status code of the response that refuses it (RFC 2326, section 11).
+        status: the status code of the response to it (RFC 2326, section 11).
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Request:
-    """A request; the names of its header fields are in lower case."""
+    """A request. Names of header fields are in lower case."""
 
     method: str
     uri: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Response:
-    """A response; the names of its header fields are in lower case."""
+    """A response. Names of header fields are in lower case."""
 
     status: int
     fields: Fields
--- a/packages/node/src/fennelcove/rtsp/reader.py
+++ b/packages/node/src/fennelcove/rtsp/reader.py
@@ -1,4 +1,4 @@
-"""Reads messages off a stream of bytes: feed bytes, then call `next` until it returns None."""
+"""Incremental parser: feed bytes to it, then call `next` until it returns None."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Reader:
-    """Reads one direction of one connection; after a ProtocolError each further call raises it again."""
+    """Parses one direction of one connection; after a ProtocolError each further call raises it again."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
@@ -37,14 +37,14 @@
         return self.head is None and not self.buffer
 
     def feed(self, data: bytes) -> None:
-        """Add what was read."""
+        """Add received data."""
         self.buffer += data
 
     def next(self) -> Message | None:
         """Return the next message, or None while more bytes are needed.
 
         Raises:
-            ProtocolError: the message is refused; nothing more can be read.
+            ProtocolError: the message is malformed or too long; nothing more can be parsed.
         """
         if self.failure is not None:
             raise self.failure
@@ -60,11 +60,12 @@
     def _read_head(self) -> bool:
         end = self.buffer.find(b"\r\n\r\n", max(0, self.scanned_bytes - 3))
         head_length = len(self.buffer) if end < 0 else end
-        # A line feed alone ends a line for some readers and not for others: two messages could hide in one.
+        # Some parsers accept a bare line feed as the end of a line and some do not, which would allow
+        # one message to be smuggled inside another.
         if _BARE_LINE_BREAK.search(self.buffer, max(0, self.scanned_bytes - 2), head_length):
-            raise ProtocolError(400, "a line that does not end with CR LF")
+            raise ProtocolError(400, "a line does not end with CR LF")
         if head_length > MAX_MESSAGE_BYTES:
-            raise ProtocolError(413, f"a head longer than {MAX_MESSAGE_BYTES} bytes")
+            raise ProtocolError(413, f"message head longer than {MAX_MESSAGE_BYTES} bytes")
         if end < 0:
             self.scanned_bytes = len(self.buffer)
             return False
@@ -72,15 +73,15 @@
         del self.buffer[: end + 4]
         self.scanned_bytes = 0
         if _REQUEST_LINE.fullmatch(lines[0]) is None and _STATUS_LINE.fullmatch(lines[0]) is None:
-            raise ProtocolError(400, "a first line of neither request nor answer")
+            raise ProtocolError(400, "the first line is neither a request line nor a status line")
         fields = _parse_fields(lines[1:])
         length = fields.get("content-length", "0")
-        # Refused at its head: what was declared too long is never gathered.
+        # The declared length is checked before any of the body is buffered.
         if _LENGTH.fullmatch(length) is None:
-            raise ProtocolError(400, "a Content-Length that is no count")
+            raise ProtocolError(400, "Content-Length is not a valid number")
         self.body_length = int(length)
         if head_length + self.body_length > MAX_MESSAGE_BYTES:
-            raise ProtocolError(413, f"a message longer than {MAX_MESSAGE_BYTES} bytes")
+            raise ProtocolError(413, f"message longer than {MAX_MESSAGE_BYTES} bytes")
         self.head = (lines[0], fields)
         return True
 
@@ -99,14 +100,14 @@
 
 def _parse_fields(lines: list[bytes]) -> Fields:
     if len(lines) > MAX_FIELDS:
-        raise ProtocolError(400, f"more than {MAX_FIELDS} fields")
+        raise ProtocolError(400, f"more than {MAX_FIELDS} header fields")
     fields: Fields = {}
     for line in lines:
         match = _FIELD.fullmatch(line)
         if match is None:
-            raise ProtocolError(400, "a field that is no `name: value`")
+            raise ProtocolError(400, "malformed header field")
         name = match[1].decode().lower()
         if name in fields:
-            raise ProtocolError(400, f"{name} given twice")
+            raise ProtocolError(400, f"duplicate header field {name}")
         fields[name] = match[2].decode().rstrip(" \t")
     return fields
--- a/packages/node/src/fennelcove/rtsp/writer.py
+++ b/packages/node/src/fennelcove/rtsp/writer.py
@@ -1,4 +1,4 @@
-"""Writes messages as bytes; a header field that could end its line early is refused."""
+"""Encodes messages; a header field with a line break or other control characters is rejected."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def _message(start_line: str, fields: tuple[tuple[str, str], ...], body: bytes) -> bytes:
     lines = [start_line, *(f"{name}: {value}" for name, value in fields), f"Content-Length: {len(body)}"]
     if not all(_SINGLE_LINE.fullmatch(line) for line in lines):
-        raise ValueError("a field would break its line")
+        raise ValueError("a header field or the request line contains a line break or an invalid character")
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
@@ -34,7 +34,7 @@
     """Encode a response.
 
     Raises:
-        ValueError: a field that would break its line.
+        ValueError: a header field contains a line break or an invalid character.
     """
     return _message(f"RTSP/1.0 {status} {REASON_PHRASES.get(status, 'Unknown')}", fields, body)
 
@@ -43,6 +43,6 @@
     """Encode a request.
 
     Raises:
-        ValueError: a field or address that would break its line.
+        ValueError: the address or a header field contains a line break or an invalid character.
     """
     return _message(f"{method} {address} RTSP/1.0", fields, body)
--- a/tests/test_node_reload.py
+++ b/tests/test_node_reload.py
@@ -65,7 +65,7 @@
                     "config_reload_failed",
                     "node-configuration-foreign",
                 )
-                assert line["reason"].endswith(f"differs from what the node runs by in {field}"), line
+                assert line["reason"].endswith(f"differs from the running configuration in {field}"), line
                 assert "restart the node" in line["advice"]
         polls = rig.board.polls
         eventually(lambda: rig.board.polls > polls + 2, "polls at the node's own board")
