--- a/packages/node/src/fennelcove/node/setup_request.py
+++ b/packages/node/src/fennelcove/node/setup_request.py
@@ -1,4 +1,4 @@
-"""Validation of a client's set-up request: checked whole before any of it is used."""
+"""Parses and validates a client's set-up request completely before any of it is used."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 MAX_TIMEOUT_MS = 3_600_000
 MAX_CLIENT_ID_CHARS = 16
 _TITLE_ADDRESS = re.compile(r"rtsp://media/([0-9a-f]{1,16})")
-_WHOLE_NUMBER = re.compile(r"[0-9]{1,9}")
+_INTEGER = re.compile(r"[0-9]{1,9}")
 
 
 class InvalidRequestError(Exception):
@@ -24,12 +24,12 @@
     """A valid set-up request."""
 
     request: Request
-    current_server: str  # where the session plays already; empty for a session to be set up
+    current_server: str  # the server where the session is established already; empty for a new session
     client_id: str
 
 
 def parse_setup(settings: Settings, message: messages.Request, key: str) -> SetupRequest:
-    """Validate a set-up request of the session that the placement policy knows as `key`.
+    """Parse and validate the set-up request of the session whose id in the placement policy is `key`.
 
     Raises:
         InvalidRequestError: a field is missing, malformed or out of its range.
@@ -43,9 +43,9 @@
         id=key,
         service_class=service_class,
         title=int(title[1], 16),
-        first_cell=_parse_whole(routing, "home", 0, settings.cell_count - 1),
-        cell_count=_parse_whole(routing, "copies", 1, settings.cell_count),
-        top_rung=_parse_whole(routing, "top", 0, len(settings.ladder_kb) - 1),
+        first_cell=_parse_integer(routing, "home", 0, settings.cell_count - 1),
+        cell_count=_parse_integer(routing, "copies", 1, settings.cell_count),
+        top_rung=_parse_integer(routing, "top", 0, len(settings.ladder_kb) - 1),
         timeout_us=0 if "at" in routing else _parse_timeout_us(message.fields.get("answer-within", "")),
         is_repeat=routing.get("again", "0") == "1",
     )
@@ -57,13 +57,13 @@
 
 
 def expects_answer(message: messages.Request) -> bool:
-    """Whether a set-up request is to be answered; one that hands over a session that plays is not."""
+    """Whether a set-up request is to be answered; one that hands over an established session is not."""
     routing = message.fields.get("routing-data", "")
     return not any(part.startswith("at:") and part != "at:" for part in routing.split(";"))
 
 
 def _parse_routing(raw: str) -> dict[str, str]:
-    """Values by name, from parts of the form `name:value`; each name may occur once."""
+    """Parse parts of the form `name:value`; a name may occur only once."""
     values: dict[str, str] = {}
     for part in raw.split(";"):
         name, colon, value = part.partition(":")
@@ -73,15 +73,15 @@
     return values
 
 
-def _parse_whole(routing: dict[str, str], name: str, minimum: int, maximum: int) -> int:
+def _parse_integer(routing: dict[str, str], name: str, minimum: int, maximum: int) -> int:
     raw = routing.get(name, "")
-    if _WHOLE_NUMBER.fullmatch(raw) is None or not minimum <= int(raw) <= maximum:
+    if _INTEGER.fullmatch(raw) is None or not minimum <= int(raw) <= maximum:
         raise InvalidRequestError
     return int(raw)
 
 
 def _parse_timeout_us(raw: str) -> int:
-    """The client's timeout, from milliseconds."""
+    """Parse the client's timeout, given in milliseconds."""
     try:
         timeout_ms = float(raw)
     except ValueError:
--- a/packages/node/src/fennelcove/rtsp/writer.py
+++ b/packages/node/src/fennelcove/rtsp/writer.py
@@ -1,12 +1,12 @@
-"""Writes messages as bytes; a header field that could end its line early is refused."""
+"""Encodes messages; a header field with a line break or other control characters is rejected."""
 
 from __future__ import annotations
 
 import re
 
-_SAFE = re.compile(r"[\t\x20-\x7e]*")
+_SINGLE_LINE = re.compile(r"[\t\x20-\x7e]*")
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -23,10 +23,10 @@
 }
 
 
-def _message(first: str, fields: tuple[tuple[str, str], ...], body: bytes) -> bytes:
-    lines = [first, *(f"{name}: {value}" for name, value in fields), f"Content-Length: {len(body)}"]
-    if not all(_SAFE.fullmatch(line) for line in lines):
-        raise ValueError("a field would break its line")
+def _message(start_line: str, fields: tuple[tuple[str, str], ...], body: bytes) -> bytes:
+    lines = [start_line, *(f"{name}: {value}" for name, value in fields), f"Content-Length: {len(body)}"]
+    if not all(_SINGLE_LINE.fullmatch(line) for line in lines):
+        raise ValueError("a header field or the request line contains a line break or an invalid character")
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
@@ -34,15 +34,15 @@
     """Encode a response.
 
     Raises:
-        ValueError: a field that would break its line.
+        ValueError: a header field contains a line break or an invalid character.
     """
-    return _message(f"RTSP/1.0 {status} {REASONS.get(status, 'Unknown')}", fields, body)
+    return _message(f"RTSP/1.0 {status} {REASON_PHRASES.get(status, 'Unknown')}", fields, body)
 
 
 def request(method: str, address: str, *fields: tuple[str, str], body: bytes = b"") -> bytes:
     """Encode a request.
 
     Raises:
-        ValueError: a field or address that would break its line.
+        ValueError: the address or a header field contains a line break or an invalid character.
     """
     return _message(f"{method} {address} RTSP/1.0", fields, body)
