--- a/packages/core/src/fennelcove/core/admission.py
+++ b/packages/core/src/fennelcove/core/admission.py
@@ -55,13 +55,13 @@
         """Add a rule that is checked before the others."""
         self._rules.insert(0, rule)
 
-    def try_admit(self, entry: AdmissionRequest) -> SessionResponse | None:
+    def try_admit(self, kind: AdmissionRequest) -> SessionResponse | None:
         """Admit and count an entry; the rejection to answer with where it is not admitted."""
         with self.context.lock:
-            decision = self.controller.admit(entry)
+            decision = self.controller.admit(kind)
             if decision is AdmissionDecision.LET_IN:
                 return None
-            self.context.increment(f"refused_{entry.name.lower()}_{decision.name.lower()}")
+            self.context.increment(f"refused_{kind.name.lower()}_{decision.name.lower()}")
             reason = REJECTION_REASONS[decision]
             return SessionResponse(ResponseKind.REJECTED, reason, self.retry_after_us())
 
--- a/packages/core/src/fennelcove/core/assembly.py
+++ b/packages/core/src/fennelcove/core/assembly.py
@@ -265,15 +265,15 @@
             self.idempotency.on_session_closed,
             self.seat_leases.on_session_closed,
             self.lifecycle.remove,
-            self._end_expiry,
+            self._remove_expiry,
             self.migrations.on_session_closed,
             self.content.on_session_closed,
-            self.lifecycle.remember_close_reason,
+            self.lifecycle.record_close_reason,
             self.server_registry.on_session_closed,
             self.slots.on_session_closed,
         )
 
-    def _end_expiry(self, session: Session) -> None:
+    def _remove_expiry(self, session: Session) -> None:
         self.expiry.remove(session.id)
 
     def _bind(self) -> None:
--- a/packages/core/src/fennelcove/core/attempt_results.py
+++ b/packages/core/src/fennelcove/core/attempt_results.py
@@ -57,10 +57,10 @@
             self.slots.release(session, attempt, result.outcome)
             counted = Outcome.NO_ANSWER if event is SessionEvent.ATTEMPT_SERVED_LATE else result.outcome
             session.last_result = AttemptResult(counted, result.hints, result.duration_us)
-            session.may_be_held_by_server = attempt_exchange.may_need_release(result.outcome)
+            session.may_exist_on_server = attempt_exchange.may_need_release(result.outcome)
             self.context.increment(f"joins_{result.outcome.value}")
             self.lifecycle.apply(session, event)
-            self.slots.start_waiting()
+            self.slots.assign_free_slots()
             return session.take_step_if_ready()
 
     def _event_of(self, session: Session, outcome: Outcome, now_us: int) -> SessionEvent:
--- a/packages/core/src/fennelcove/core/attempt_slots.py
+++ b/packages/core/src/fennelcove/core/attempt_slots.py
@@ -30,7 +30,7 @@
         if self.scheduler is not None:
             self.scheduler.release(session, attempt, outcome)
 
-    def start_waiting(self) -> None:
+    def assign_free_slots(self) -> None:
         """Start the requests for which slots are free now."""
         if self.scheduler is not None:
             self.scheduler.assign_free_slots()
@@ -49,7 +49,7 @@
             raise SessionStateError(f"session {step.session.id} waits for a slot, but none are scheduled")
         return self.scheduler.end_wait(step, event)
 
-    def drop(self, session: Session) -> None:
+    def discard(self, session: Session) -> None:
         """Remove a session that failed, together with its slots."""
         if self.scheduler is not None:
             self.scheduler.discard(session)
--- a/packages/core/src/fennelcove/core/client_notifier.py
+++ b/packages/core/src/fennelcove/core/client_notifier.py
@@ -72,7 +72,7 @@
 class Mailbox(Protocol):
     """One client connection."""
 
-    def put(self, news: Notification, number: int) -> None:
+    def put(self, notification: Notification, sequence: int) -> None:
         """Queue a notification with its number within the session; never blocks."""
 
     def __hash__(self) -> int:
@@ -130,10 +130,10 @@
         """A connection closed; the ids of its sessions, which anybody may claim until they expire."""
         with self.context.lock:
             self.mailboxes.discard(mailbox)
-            orphans = self.ownerships.on_disconnected(mailbox)
-            if orphans:
+            unowned_ids = self.ownerships.on_disconnected(mailbox)
+            if unowned_ids:
                 self.context.increment("orphaned")
-            return orphans
+            return unowned_ids
 
     def claim(self, mailbox: Mailbox, session_id: str, client: str, seen_sequence: int | None) -> ClaimResult:
         """Make a connection the owner of an established session; its former owner is notified.
@@ -185,23 +185,23 @@
 
     def on_rung_changed(self, session: Session) -> None:
         """A session's rung, or its highest one, has changed."""
-        owner, number = self.ownerships.on_update(session.id)
+        owner, sequence = self.ownerships.on_update(session.id)
         if owner is not None:
-            owner.put(RungNotification(self.views.view_of(session)), number)
+            owner.put(RungNotification(self.views.view_of(session)), sequence)
 
     def on_migrated(self, session: Session) -> None:
         """Another server plays a session."""
-        owner, number = self.ownerships.on_update(session.id)
+        owner, sequence = self.ownerships.on_update(session.id)
         if owner is not None:
-            owner.put(MigrationNotification(self.views.view_of(session)), number)
+            owner.put(MigrationNotification(self.views.view_of(session)), sequence)
 
     def on_session_closed(self, session: Session) -> None:
         """A session was closed."""
         ownership = self.ownerships.by_session.get(session.id)
-        number = ownership.update_count + 1 if ownership is not None else 0
+        sequence = ownership.update_count + 1 if ownership is not None else 0
         owner = self.ownerships.on_session_closed(session.id)
         if owner is not None:
-            owner.put(EndNotification(session.id, session.close_reason or "released"), number)
+            owner.put(EndNotification(session.id, session.close_reason or "released"), sequence)
 
     def on_content_changed(self, change: Change, state: str) -> None:
         """An author's change was made, or withdrawn."""
@@ -211,9 +211,9 @@
                 continue
             if not change.target.matches(session.title, session.service_class, session_id):
                 continue
-            owner, number = self.ownerships.on_update(session_id)
+            owner, sequence = self.ownerships.on_update(session_id)
             if owner is not None:
-                owner.put(ContentNotification(session_id, change.id, state), number)
+                owner.put(ContentNotification(session_id, change.id, state), sequence)
 
     def on_storm_state_changed(self, state: str) -> None:
         """The retry-storm state of the front has changed: notify every connection."""
--- a/packages/core/src/fennelcove/core/content_insertion.py
+++ b/packages/core/src/fennelcove/core/content_insertion.py
@@ -60,7 +60,7 @@
 
 def configured_media(catalogue: Catalogue) -> dict[str, Media]:
     """Return the media of the titles that have some, by title."""
-    whole_ladder = tuple(range(len(catalogue.ladder_kb)))
+    all_rungs = tuple(range(len(catalogue.ladder_kb)))
     found = {}
     for _, title in catalogue.titles.values():
         settings = title.media
@@ -71,7 +71,7 @@
             settings.timescale,
             settings.segment_ticks,
             settings.segments,
-            tuple(sorted(settings.rungs)) or whole_ladder,
+            tuple(sorted(settings.rungs)) or all_rungs,
             settings.codecs,
             settings.live_from_ms * 1000,
         )
@@ -118,20 +118,20 @@
     def submit(self, change: Change) -> ChangeResult:
         """Decide on a change; an accepted one is in force at once."""
         with self._context.lock:
-            verdict = self.ledger.submit(change, self._scene(change.target))
-            self._context.increment(f"changes_{verdict.status.value}")
-            if verdict.status is ChangeStatus.ACCEPTED:
+            result = self.ledger.submit(change, self._validation_context(change.target))
+            self._context.increment(f"changes_{result.status.value}")
+            if result.status is ChangeStatus.ACCEPTED:
                 self._notifier.on_content_changed(change, "made")
-            return verdict
+            return result
 
     def withdraw(self, change_id: str) -> ChangeResult:
         """Withdraw a change."""
         with self._context.lock:
-            verdict = self.ledger.withdraw(change_id)
-            self._context.increment(f"changes_{verdict.status.value}")
-            if verdict.status is ChangeStatus.WITHDRAWN:
+            result = self.ledger.withdraw(change_id)
+            self._context.increment(f"changes_{result.status.value}")
+            if result.status is ChangeStatus.WITHDRAWN:
                 self._notifier.on_content_changed(self.ledger.entries[change_id].change, "withdrawn")
-            return verdict
+            return result
 
     def restore(self, entries: Iterable[tuple[Change, bool]]) -> None:
         """Restore the changes of an earlier incarnation.
@@ -155,7 +155,7 @@
                 if title in (None, entry.change.target.title)
             ]
 
-    def _scene(self, target: ChangeTarget) -> ValidationContext:
+    def _validation_context(self, target: ChangeTarget) -> ValidationContext:
         """Collect what the ledger has to know of the sessions that a change is meant for."""
         session = self._lifecycle.sessions.get(target.session_id) if target.session_id else None
         is_playing = target.session_id is None or (session is not None and session.title == target.title)
@@ -210,10 +210,10 @@
             track = player.track
             if self._playlists.extend(session, track, wall_us):
                 self._save_resume_token(session, track)
-            shown, joints = track.window()
+            shown, discontinuity_sequence = track.window()
             return MediaListing(
                 shown,
-                joints,
+                discontinuity_sequence,
                 track.is_ended,
                 media.is_live,
                 track.began_wall_us,
@@ -298,6 +298,6 @@
     def _save_resume_token(self, session: Session, track: PlaylistTrack) -> None:
         """Have the session's server store how far the playlist is."""
         if session.current_target is not None and not session.is_orphaned:
-            home = session.current_target
+            target = session.current_target
             token = resume_tokens.encode(track)
-            self._commands.enqueue(Command(home.server, session.id, home.attempt, None, token))
+            self._commands.enqueue(Command(target.server, session.id, target.attempt, None, token))
--- a/packages/core/src/fennelcove/core/endpoint_discovery.py
+++ b/packages/core/src/fennelcove/core/endpoint_discovery.py
@@ -59,17 +59,17 @@
         """The list service sent a list, or changes to one."""
         with self.context.lock:
             is_first = self.tracker.version is None
-            verdict = self.tracker.apply(message)
-            self.context.increment(f"lists_{verdict.decision.name.lower()}")
-            if verdict.update is not None:
-                self._accept(verdict.update, message.version, is_first=is_first)
-            elif verdict.decision is ListDecision.REFUSED:
+            result = self.tracker.apply(message)
+            self.context.increment(f"lists_{result.decision.name.lower()}")
+            if result.update is not None:
+                self._accept(result.update, message.version, is_first=is_first)
+            elif result.decision is ListDecision.REFUSED:
                 self.context.log_event(
-                    "endpoint_list_rejected", version=message.version, reason=verdict.reason
+                    "endpoint_list_rejected", version=message.version, reason=result.reason
                 )
-            if verdict.decision is ListDecision.GAP:
+            if result.decision is ListDecision.GAP:
                 self.source.fetch()
-            return verdict.decision
+            return result.decision
 
     def _accept(self, update: ListUpdate, version: int, *, is_first: bool) -> None:
         now_us = self.context.now_us()
@@ -77,7 +77,7 @@
         policy_update = update if self._update_filter is None else self._update_filter(update)
         self.policy.handle(policy_update, now_us)
         if is_first:
-            self.server_registry.request_greetings(update, now_us)
+            self.server_registry.request_session_reports(update, now_us)
         self.snapshots.on_list_received()
         self.migrations.on_list(now_us)
         self.context.log_event("endpoint_list_accepted", version=version, boxes=len(update.entries))
--- a/packages/core/src/fennelcove/core/health_check_coordinator.py
+++ b/packages/core/src/fennelcove/core/health_check_coordinator.py
@@ -44,7 +44,7 @@
         front_count: int,
         first_report_number: int,
         listed_servers: Callable[[], Iterable[str]],
-        living_fronts: Callable[[], Iterable[int]],
+        live_fronts: Callable[[], Iterable[int]],
         clock: Clock,
         rng: Random,
         lock: threading.RLock,
@@ -52,13 +52,13 @@
     ) -> None:
         self._checks = HealthCheckAssignment(index, front_count, first_report_number)
         self._listed_servers = listed_servers
-        self._living_fronts = living_fronts
+        self._live_fronts = live_fronts
         self._clock = clock
         self._rng = rng
         self._lock = lock
         self._log = log
         self._servers: dict[int, str] = {}  # the listed servers by key
-        self._gone: set[str] = set()  # servers that the fronts agreed were gone, at the last look
+        self._down: set[str] = set()  # servers that the fronts agreed were gone, at the last look
         self._probe_count = 0
         self._rejection_count = 0
         self.broadcast: Callable[[HealthReport], None] = lambda _report: None
@@ -72,20 +72,22 @@
         with self._lock:
             now_us = self._clock.now_us()
             self._servers = {health_checks.hash_address(server): server for server in self._listed_servers()}
-            living = list(self._living_fronts())
-            due = self._checks.due_probes(self._servers.values(), living, self._rng.random(), now_us)
-            self._update_gone(living, now_us)
+            live_fronts = list(self._live_fronts())
+            due = self._checks.due_probes(self._servers.values(), live_fronts, self._rng.random(), now_us)
+            self._update_down(live_fronts, now_us)
         for server in due:
             is_started = self.start_probe(server)
             self._probe_count += is_started
 
-    def _update_gone(self, living: list[int], now_us: int) -> None:
+    def _update_down(self, live_fronts: list[int], now_us: int) -> None:
         """Update which servers the fronts agree are gone, and log the changes."""
-        gone = {server for server in self._servers.values() if self._checks.is_down(server, living, now_us)}
-        for server in sorted(gone ^ self._gone):
-            event = "server_marked_gone" if server in gone else "server_marked_back"
+        down = {
+            server for server in self._servers.values() if self._checks.is_down(server, live_fronts, now_us)
+        }
+        for server in sorted(down ^ self._down):
+            event = "server_marked_gone" if server in down else "server_marked_back"
             self._log(event, box=server)
-        self._gone = gone
+        self._down = down
 
     def on_probe_completed(self, event: ProbeCompleted) -> None:
         """Handle the end of a probe."""
@@ -107,8 +109,8 @@
             if report.verdict is HealthVerdict.ATTEMPT_FAILED:
                 self._checks.on_probe_requested(server, now_us)
             else:
-                is_ill = report.verdict is HealthVerdict.UNHEALTHY
-                self._checks.on_report(sender, server, is_ill, report.sequence, now_us)
+                is_unhealthy = report.verdict is HealthVerdict.UNHEALTHY
+                self._checks.on_report(sender, server, is_unhealthy, report.sequence, now_us)
 
     def on_attempt_ended(self, server: str, outcome: Outcome) -> None:
         """Count the end of an attempt of this front at a server."""
@@ -123,14 +125,14 @@
     def may_use_server(self, id: str, server: str) -> bool:
         """Return whether an attempt may go to a server, as `PlacementPolicy.free` asks."""
         with self._lock:
-            is_gone = self._checks.is_down(server, self._living_fronts(), self._clock.now_us())
-            self._rejection_count += is_gone
-            return not is_gone
+            is_down = self._checks.is_down(server, self._live_fronts(), self._clock.now_us())
+            self._rejection_count += is_down
+            return not is_down
 
     def status(self) -> dict[str, object]:
         """Return the figures of the `watchers` section of the status JSON."""
         with self._lock:
             status = HealthCheckStatus(
-                gone=sorted(self._gone), probes=self._probe_count, kept_away=self._rejection_count
+                gone=sorted(self._down), probes=self._probe_count, kept_away=self._rejection_count
             )
             return asdict(status)
--- a/packages/core/src/fennelcove/core/idempotency_store.py
+++ b/packages/core/src/fennelcove/core/idempotency_store.py
@@ -46,9 +46,9 @@
         if not request.idempotency_key:
             return None
         with self.context.lock:
-            what = f"{request.title}/{request.service_class}"
+            fingerprint = f"{request.title}/{request.service_class}"
             found = self.table.request(
-                _key_of(request), what, self._is_repeatable(request), self.context.wall_us()
+                _key_of(request), fingerprint, self._is_repeatable(request), self.context.wall_us()
             )
             if found is None:
                 return _rejection(ResponseKind.KEY_REUSED, "this key stands for another set-up")
--- a/packages/core/src/fennelcove/core/learned_limit_messages.py
+++ b/packages/core/src/fennelcove/core/learned_limit_messages.py
@@ -41,7 +41,7 @@
         """Encode a window's messages, then start notices for the fronts that have not confirmed one yet."""
         replica = self._replica
         outgoing = []
-        for front in sorted({taker for message in messages for taker in message.recipients}):
+        for front in sorted({recipient for message in messages for recipient in message.recipients}):
             addressed = [message for message in messages if front in message.recipients]
             payloads = limit_messages.encode(replica.incarnation, replica.sequence, addressed, now_us)
             outgoing += [OutgoingMessage(front, payload) for payload in payloads]
--- a/packages/core/src/fennelcove/core/learned_limit_status.py
+++ b/packages/core/src/fennelcove/core/learned_limit_status.py
@@ -52,20 +52,20 @@
 def _server_status(
     server: ServerLimits, replica: Replica, service_classes: tuple[str, ...], now_us: int
 ) -> ServerLimitStatus:
-    learner, lot = server.adaptive_limit, server.loans
+    adaptive_limit, loans = server.adaptive_limit, server.loans
     return ServerLimitStatus(
         whole=server.agreement.limit,
         stands=server.agreement.state.name.lower(),
-        phase=learner.state.name.lower() if learner is not None else None,
-        gradient=round(learner.last_gradient, 2) if learner is not None else None,
-        here=lot.max_in_flight(now_us),
-        out=lot.in_flight,
-        waiting=lot.waiting,
-        borrowed=len(lot.quota.borrowed),
-        lent=len(lot.quota.lent),
+        phase=adaptive_limit.state.name.lower() if adaptive_limit is not None else None,
+        gradient=round(adaptive_limit.last_gradient, 2) if adaptive_limit is not None else None,
+        here=loans.max_in_flight(now_us),
+        out=loans.in_flight,
+        waiting=loans.waiting,
+        borrowed=len(loans.quota.borrowed),
+        lent=len(loans.quota.lent),
         links=replica.connection_target(server.key, now_us),
         holds_ms={
-            shape_name(shape, service_classes): round(hold_us / 1000)
-            for shape, hold_us in sorted(server.median_service_us.items())
+            shape_name(shape, service_classes): round(service_us / 1000)
+            for shape, service_us in sorted(server.median_service_us.items())
         },
     )
--- a/packages/core/src/fennelcove/core/load_shedding_coordinator.py
+++ b/packages/core/src/fennelcove/core/load_shedding_coordinator.py
@@ -96,10 +96,10 @@
         self, title: str, service_class: SheddingClass, queue: WaitingQueue, now_us: int
     ) -> SheddingAction:
         # The title's pace grows as long as the placement policy rejects nobody, so no class is shed for good.
-        wait_s = self._allocation.retry_after_us(
+        wait_us = self._allocation.retry_after_us(
             title, service_class.priority_weight, queue.rate_per_s, None, now_us, self._rng.random()
         )
-        return SheddingAction.ADMIT if wait_s is None else SheddingAction.REJECT
+        return SheddingAction.ADMIT if wait_us is None else SheddingAction.REJECT
 
     def _on_request_ended(self, service_class: str, was_served: bool) -> None:
         """Count an admitted request that was served, or that the placement policy rejected."""
--- a/packages/core/src/fennelcove/core/membership_coordinator.py
+++ b/packages/core/src/fennelcove/core/membership_coordinator.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        company_settings: CompanySettings,
+        peer_settings: CompanySettings,
         instance: Instance,
         incarnation: int,
         clock: Clock,
@@ -44,11 +44,11 @@
         log: EventLogger,
     ) -> None:
         interval_us, lease_us = (
-            round(company_settings.beat_ms * 1000),
-            round(company_settings.lease_ms * 1000),
+            round(peer_settings.beat_ms * 1000),
+            round(peer_settings.lease_ms * 1000),
         )
         settings = MembershipSettings(
-            instance.fronts, instance.index, interval_us, lease_us, lease_us, company_settings.kept
+            instance.fronts, instance.index, interval_us, lease_us, lease_us, peer_settings.kept
         )
         self._clock = clock
         self._lock = lock
--- a/packages/core/src/fennelcove/core/player_playlists.py
+++ b/packages/core/src/fennelcove/core/player_playlists.py
@@ -63,14 +63,14 @@
         added = 0
         for _ in range(2):
             replayed_version = track.replay_version()
-            viewpoint = self._viewpoint(session, track, wall_us, replayed_version)
+            context = self._selection_context(session, track, wall_us, replayed_version)
             version = self._ledger.version if replayed_version is None else replayed_version
-            added += track.extend(viewpoint, version)
+            added += track.extend(context, version)
             if replayed_version is None:
                 break
         return added
 
-    def _viewpoint(
+    def _selection_context(
         self, session: Session, track: PlaylistTrack, wall_us: int, at_version: int | None
     ) -> SelectionContext:
         changes = tuple(self._ledger.active_changes(session.title, at_version))
--- a/packages/core/src/fennelcove/core/policy_effects.py
+++ b/packages/core/src/fennelcove/core/policy_effects.py
@@ -111,7 +111,7 @@
         targets = self._targets
         session = targets.lifecycle.by_policy_id[id]
         if session.current_target is not None:
-            targets.migrations.on_attempt_refused(session, id)
+            targets.migrations.on_attempt_rejected(session, id)
             return
         if targets.slots.is_waiting(session):
             return
@@ -123,7 +123,7 @@
         """Fail a session whose attempt may have run and must not be repeated."""
         session = self._targets.lifecycle.by_policy_id[id]
         if session.current_target is not None:
-            self._targets.migrations.on_attempt_refused(session, id)
+            self._targets.migrations.on_attempt_rejected(session, id)
             return
         session.next_step = SessionResponse(
             ResponseKind.FAILED, "a join may have run and must not be repeated"
@@ -138,9 +138,9 @@
         """Probe a server's load."""
         self._targets.probes.probe(server)
 
-    def send_peer_message(self, front: int, said: PeerMessage) -> None:
+    def send_peer_message(self, front: int, message: PeerMessage) -> None:
         """Send a message to another front; it may be lost."""
-        self._targets.probes.send_peer_message(front, said)
+        self._targets.probes.send_peer_message(front, message)
 
     def set_timer(self, name: int, delay_us: int) -> None:
         """Send the policy a timer event after a delay in microseconds."""
--- a/packages/core/src/fennelcove/core/probe_coordinator.py
+++ b/packages/core/src/fennelcove/core/probe_coordinator.py
@@ -22,7 +22,7 @@
 class PeerMessenger(Protocol):
     """Sends messages to other fronts."""
 
-    def tell(self, front: int, said: PeerMessage) -> None:
+    def tell(self, front: int, message: PeerMessage) -> None:
         """Send a message, or lose it, without waiting."""
 
 
--- a/packages/core/src/fennelcove/core/recovery_coordinator.py
+++ b/packages/core/src/fennelcove/core/recovery_coordinator.py
@@ -21,7 +21,7 @@
 CAPACITY_CHECK_INTERVAL_US = 250_000
 START_TOLERANCE_US = 250_000  # by how much two reports of one server's start may differ
 POLL_INTERVAL_US = 1_000_000  # and up to as much again, so that not all fronts poll a server at once
-PACE_SPAN_US = 1_000_000
+RATE_WINDOW_US = 1_000_000
 REJECTION_REASONS = {
     RecoveryState.DARK: "this front has no list of boxes yet",
     RecoveryState.ASKING: "this front asks its boxes what plays",
@@ -34,12 +34,12 @@
 class FleetCapacity:
     """Places for streams at active servers, and how many of them are at servers in slow start."""
 
-    places: int
+    max_streams: int
     warming_up: int
 
     def is_mostly_warming_up(self) -> bool:
         """Return whether more than half of the places are at servers in slow start."""
-        return 2 * self.warming_up > self.places
+        return 2 * self.warming_up > self.max_streams
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,13 +115,13 @@
 
     def _rationed_wait_us(self, title: str, priority_weight: float, now_us: int) -> int | None:
         """Return how long a request has to wait while servers warm up; None where it is admitted."""
-        pace = self._slow_start_pace(title)
-        if pace is None or not self._settings.by_benefit:
+        rate = self._slow_start_rate(title)
+        if rate is None or not self._settings.by_benefit:
             return None
         draw = self._rng.random()
-        return self._allocation.retry_after_us(title, priority_weight, pace, self._max_wait_us, now_us, draw)
+        return self._allocation.retry_after_us(title, priority_weight, rate, self._max_wait_us, now_us, draw)
 
-    def _slow_start_pace(self, title: str) -> float | None:
+    def _slow_start_rate(self, title: str) -> float | None:
         """Return the set-ups a second that a title's replicas take of this front.
 
         None where one of them is not in slow start.
@@ -136,8 +136,8 @@
                 if not self._policy.is_warming_up(server):
                     return None
                 now_us = self._clock.now_us()
-                turns_by_then = self._policy.elapsed_turns(server, now_us + PACE_SPAN_US)
-                total += turns_by_then - self._policy.elapsed_turns(server, now_us)
+                turns_by_end = self._policy.elapsed_turns(server, now_us + RATE_WINDOW_US)
+                total += turns_by_end - self._policy.elapsed_turns(server, now_us)
         return total / front_count
 
     def advance(self, now_us: int) -> None:
@@ -156,14 +156,14 @@
             self._on_state_changed(capacity)
 
     def _capacity(self) -> FleetCapacity:
-        places = warming_up = 0
+        max_streams = warming_up = 0
         for server in self._policy.servers.values():
             if server.state is not ServerState.ACTIVE:
                 continue
-            places += server.max_streams
+            max_streams += server.max_streams
             if self._policy.is_warming_up(server):
                 warming_up += server.max_streams
-        return FleetCapacity(places, warming_up)
+        return FleetCapacity(max_streams, warming_up)
 
     def _on_state_changed(self, capacity: FleetCapacity) -> None:
         state_before, self._logged_state = self._logged_state, self.state.state
@@ -172,7 +172,7 @@
             phase=self._logged_state.name.lower(),
             was=state_before.name.lower(),
             cold=capacity.warming_up,
-            places=capacity.places,
+            places=capacity.max_streams,
         )
         if self._uses_stored_list and state_before is RecoveryState.ASKING:
             self._apply_stored_list()
@@ -227,7 +227,9 @@
             return
         self._uses_stored_list = True
         self._log("stored_list_used", boxes=len(self.stored_list))
-        self._registry.request_greetings(ListUpdate(ListMode.SAVED, self.stored_list), self._clock.now_us())
+        self._registry.request_session_reports(
+            ListUpdate(ListMode.SAVED, self.stored_list), self._clock.now_us()
+        )
 
     def _poll_absent_servers(self, now_us: int) -> None:
         """Poll servers of the stored list that have not answered, as no list reports their return."""
@@ -236,9 +238,9 @@
             return
         self._next_poll_us = now_us + round(POLL_INTERVAL_US * (1 + self._rng.random()))
         absent = tuple(
-            entry for entry in self.stored_list if entry.address not in self._registry.greeted_servers
+            entry for entry in self.stored_list if entry.address not in self._registry.synced_servers
         )
-        self._registry.request_greetings(ListUpdate(ListMode.SAVED, absent), now_us)
+        self._registry.request_session_reports(ListUpdate(ListMode.SAVED, absent), now_us)
 
     def _apply_stored_list(self) -> None:
         """Put the answering servers of the stored list in force."""
@@ -246,7 +248,7 @@
         answered = tuple(
             replace(entry, started_us=self._reported_starts.get(entry.address, now_us))
             for entry in self.stored_list
-            if entry.address in self._registry.greeted_servers
+            if entry.address in self._registry.synced_servers
         )
         if answered:
             self._policy.handle(ListUpdate(ListMode.FULL, answered), now_us)
--- a/packages/core/src/fennelcove/core/requests.py
+++ b/packages/core/src/fennelcove/core/requests.py
@@ -116,7 +116,7 @@
     attempt_sent_us: int = -1
     request: SessionRequest | None = None
     last_result: AttemptResult | None = None
-    may_be_held_by_server: bool = False
+    may_exist_on_server: bool = False
     established_us: int = 0
     close_reason: str = ""
     next_step: NextStep | None = None
@@ -144,7 +144,7 @@
             SessionStateError: it is not established.
         """
         if self.current_target is None:
-            raise SessionStateError(f"session {self.id} ({self.state.name}) plays nowhere")
+            raise SessionStateError(f"session {self.id} ({self.state.name}) is not played by any server")
         return self.current_target
 
     def required_pending_target(self) -> AttemptTarget:
@@ -167,7 +167,7 @@
         self.pending_target = None
         return target
 
-    def play_at_pending_target(self) -> AttemptTarget:
+    def activate_pending_target(self) -> AttemptTarget:
         """Play where the pending attempt was served, at the rung of that attempt.
 
         Raises:
--- a/packages/core/src/fennelcove/core/retry_storm_guard.py
+++ b/packages/core/src/fennelcove/core/retry_storm_guard.py
@@ -103,9 +103,9 @@
         queue = self._advance(request.title, now_us)
         window = self.detector.window
         window.request_count += 1
-        tries = self._client_counts.add(request.client, now_us) if request.client else 1
+        request_count = self._client_counts.add(request.client, now_us) if request.client else 1
         ticket = self._ticket_of(request)
-        status = self._ticket_status(request, ticket, request.is_retry or tries > 1, now_us)
+        status = self._ticket_status(request, ticket, request.is_retry or request_count > 1, now_us)
         self._context.increment(f"storm_{status.name.lower()}")
         decision = self._decide(request, status, queue, now_us)
         if decision is QueueDecision.ADMIT:
@@ -113,10 +113,10 @@
             queue.admitted_count += 1
             return None
         if decision is QueueDecision.KEEP_TICKET and ticket is not None:
-            response = self._not_yet_due(request, ticket)
+            response = self._rejection_with_same_ticket(request, ticket)
         else:
             reason = "many ask at once; this is your place"
-            response = self._with_ticket(request, queue, reason, now_us, decision, ticket)
+            response = self._rejection_with_new_ticket(request, queue, reason, now_us, decision, ticket)
         return replace(response, ticket_status=status.name.lower())
 
     def _advance(self, title: str, now_us: int) -> WaitingQueue:
@@ -131,49 +131,49 @@
             )
         return queue
 
-    def _log_state(self, state_before: StormState, pace: float, asked: int, refused: int) -> None:
+    def _log_state(self, state_before: StormState, rate: float, requested: int, rejected: int) -> None:
         self._context.log_event(
             "storm_phase",
             phase=self.detector.state.name.lower(),
             was=state_before.name.lower(),
             usual=round(self.detector.baseline, 1),
-            pace=round(pace, 1),
-            asked=asked,
-            refused=refused,
+            pace=round(rate, 1),
+            asked=requested,
+            refused=rejected,
         )
 
     def _decide(
-        self, ask: SessionRequest, status: TicketStatus, queue: WaitingQueue, now_us: int
+        self, request: SessionRequest, status: TicketStatus, queue: WaitingQueue, now_us: int
     ) -> QueueDecision:
         decision = QueueDecision.ADMIT
         if self.admission_rule is not None:
-            decision = self.admission_rule(ask, status, queue, now_us)
+            decision = self.admission_rule(request, status, queue, now_us)
         elif self._settings.damping and self.detector.is_damping():
             decision = waiting_room.DECISIONS[status, queue.capacity]
         if decision is not QueueDecision.ADMIT_AT_RATE:
             return decision
-        service_class = self._catalogue.service_classes[ask.service_class]
+        service_class = self._catalogue.service_classes[request.service_class]
         if queue.admit(status, queue.cost(service_class.benefit)):
             return QueueDecision.ADMIT
         return waiting_room.REJECTED_DECISIONS[status]
 
-    def _ticket_of(self, ask: SessionRequest) -> QueueTicket | None:
-        return waiting_room.verify_ticket(ask.queue_ticket, self._macs) if ask.queue_ticket else None
+    def _ticket_of(self, request: SessionRequest) -> QueueTicket | None:
+        return waiting_room.verify_ticket(request.queue_ticket, self._macs) if request.queue_ticket else None
 
     def _ticket_status(
-        self, ask: SessionRequest, ticket: QueueTicket | None, is_retry: bool, now_us: int
+        self, request: SessionRequest, ticket: QueueTicket | None, is_retry: bool, now_us: int
     ) -> TicketStatus:
-        requested = (ask.client, ask.title, ask.service_class)
+        requested = (request.client, request.title, request.service_class)
         wall_us = self._context.wall_us()
-        status = waiting_room.ticket_status(ticket, bool(ask.queue_ticket), is_retry, requested, wall_us)
+        status = waiting_room.ticket_status(ticket, bool(request.queue_ticket), is_retry, requested, wall_us)
         is_usable = status in (TicketStatus.DUE, TicketStatus.LATE)
-        if is_usable and self._ticket_counts.add(ask.queue_ticket or "", now_us) > 1:
+        if is_usable and self._ticket_counts.add(request.queue_ticket or "", now_us) > 1:
             return TicketStatus.INVENTED  # the ticket was used before, or passed on to others
         return status
 
     # Responses.
 
-    def _not_yet_due(self, ask: SessionRequest, ticket: QueueTicket) -> SessionResponse:
+    def _rejection_with_same_ticket(self, request: SessionRequest, ticket: QueueTicket) -> SessionResponse:
         """Return the response to a request that comes before its ticket's time."""
         wall_us = self._context.wall_us()
         # With the short time that was left as its wait, a client that came too early came again and again and
@@ -181,11 +181,11 @@
         wait_us = max(waiting_room.MIN_WAIT_US, ticket.earliest_us - wall_us)
         latest_us = max(wait_us + waiting_room.MIN_WINDOW_US, ticket.latest_us - wall_us)
         reason = "your place is not due yet"
-        return SessionResponse(ResponseKind.REJECTED, reason, wait_us, latest_us, ask.queue_ticket or "")
+        return SessionResponse(ResponseKind.REJECTED, reason, wait_us, latest_us, request.queue_ticket or "")
 
-    def _with_ticket(
+    def _rejection_with_new_ticket(
         self,
-        ask: SessionRequest,
+        request: SessionRequest,
         queue: WaitingQueue,
         reason: str,
         now_us: int,
@@ -193,17 +193,22 @@
         ticket: QueueTicket | None,
     ) -> SessionResponse:
         """Return a rejection with a new ticket."""
-        draw, vain_tries = self._context.rng.random(), 0
+        draw, rejection_count = self._context.rng.random(), 0
         if decision is QueueDecision.EARLY_TICKET:
-            vain_tries = ticket.vain + 1 if ticket is not None else 1
-            wait_us, latest_us = queue.early_window(draw, vain_tries)
+            rejection_count = ticket.vain + 1 if ticket is not None else 1
+            wait_us, latest_us = queue.early_window(draw, rejection_count)
         else:
             max_wait_us = self._policy.settings.retry_after_us
             is_new = decision is QueueDecision.NEW_TICKET
             wait_us, latest_us = queue.reserve_window(now_us, max_wait_us, draw, is_new)
         wall_us = self._context.wall_us()
         new_ticket = QueueTicket(
-            ask.client, ask.title, ask.service_class, wall_us + wait_us, wall_us + latest_us, vain_tries
+            request.client,
+            request.title,
+            request.service_class,
+            wall_us + wait_us,
+            wall_us + latest_us,
+            rejection_count,
         )
         token = waiting_room.sign_ticket(new_ticket, self._macs[0])
         return SessionResponse(ResponseKind.REJECTED, reason, wait_us, latest_us, token)
@@ -215,14 +220,14 @@
         queue = self.waiting_room.queue_for(session.title, now_us)
         queue.rejected_count += 1
         self.on_request_ended(session.service_class, False)
-        ask = session.request
-        if ask is None or not self._gives_tickets():
+        request = session.request
+        if request is None or not self._issues_tickets():
             return SessionResponse(ResponseKind.REJECTED, reason, wait_us)
-        ticket = self._ticket_of(ask)
-        decision = waiting_room.REJECTED_DECISIONS[_rejected_status(ask, ticket)]
-        return self._with_ticket(ask, queue, reason, now_us, decision, ticket)
+        ticket = self._ticket_of(request)
+        decision = waiting_room.REJECTED_DECISIONS[_rejected_status(request, ticket)]
+        return self._rejection_with_new_ticket(request, queue, reason, now_us, decision, ticket)
 
-    def _gives_tickets(self) -> bool:
+    def _issues_tickets(self) -> bool:
         return self.is_shedding() or (self._settings.damping and self.detector.is_damping())
 
     # Attempts.
@@ -248,12 +253,12 @@
     def status(self) -> dict[str, object]:
         """Return the figures of the `storm` section of the status JSON."""
         detector = self.detector
-        paces = self.waiting_room.backlogged_rates(self._context.now_us())
+        rates = self.waiting_room.backlogged_rates(self._context.now_us())
         status = StormStatus(
             phase=detector.state.name.lower(),
             usual=round(detector.baseline, 2),
             changes=detector.transition_count,
-            paces={title: round(pace, 2) for title, pace in paces.items()},
+            paces={title: round(rate, 2) for title, rate in rates.items()},
             sign=detector.signal.name.lower(),
         )
         return asdict(status)
@@ -264,10 +269,10 @@
     return keyed_mac(blake3.blake3(purpose, key=key).digest())
 
 
-def _rejected_status(ask: SessionRequest, ticket: QueueTicket | None) -> TicketStatus:
+def _rejected_status(request: SessionRequest, ticket: QueueTicket | None) -> TicketStatus:
     """Return the status of an admitted request that the policy rejects."""
     if ticket is not None:
         return TicketStatus.DUE  # it was admitted, so its ticket's time had come
-    if ask.is_retry or ask.queue_ticket:
+    if request.is_retry or request.queue_ticket:
         return TicketStatus.AGAIN
     return TicketStatus.FIRST
--- a/packages/core/src/fennelcove/core/rollout_coordinator.py
+++ b/packages/core/src/fennelcove/core/rollout_coordinator.py
@@ -130,7 +130,7 @@
 
         def submit(now_us: int) -> Outbox:
             number, _, messages = self.agreement.command(command, now_us)
-            self._follow(PendingCommand(number, reply, now_us + ANSWER_TIMEOUT_US))
+            self._check_command(PendingCommand(number, reply, now_us + ANSWER_TIMEOUT_US))
             return messages
 
         return self._wait_for(reply, submit)
@@ -214,9 +214,9 @@
                 self._process(self._events.get(timeout=wait_us / 1e6))
             pending, self._pending = self._pending, []
             for command in pending:
-                self._follow(command)
+                self._check_command(command)
 
-    def _follow(self, command: PendingCommand) -> None:
+    def _check_command(self, command: PendingCommand) -> None:
         """Answer an operator's command, or keep it pending where its result is not known."""
         answer = self.agreement.command_outcome(command.number)
         if answer is CommandOutcome.PENDING and self.clock.now_us() < command.deadline_us:
@@ -226,10 +226,12 @@
         command.reply.set(CommandOutcome.LOST if answer is CommandOutcome.PENDING else answer)
 
     def _heartbeat(self, now_us: int) -> Outbox:
-        sights = self._observe_servers()
-        self.agreement.update_servers({cell: sight.location for cell, sight in sights.items()}, now_us)
-        for cell, sight in sights.items():
-            self.agreement.observe_server(cell, sight.is_serving, sight.observed_us, now_us)
+        observations = self._observe_servers()
+        self.agreement.update_servers(
+            {cell: observation.location for cell, observation in observations.items()}, now_us
+        )
+        for cell, observation in observations.items():
+            self.agreement.observe_server(cell, observation.is_serving, observation.observed_us, now_us)
         messages = self.agreement.tick(self._own_state(), now_us, self._rng.random())
         self._agreement_status = self.agreement.status(now_us)
         return messages
@@ -244,9 +246,9 @@
     def _apply(self, event: Event) -> None:
         """Process an event, make its promises durable, and only then send messages and act."""
         messages = event(self.clock.now_us())
-        memory = self.agreement.state_to_persist()
-        if memory is not None:
-            self._unsaved = memory
+        state = self.agreement.state_to_persist()
+        if state is not None:
+            self._unsaved = state
         if self._unsaved is not None:
             if not self._persist(self._unsaved):
                 return
@@ -254,9 +256,9 @@
         for front, message in messages:
             self.send(front, message)
         for action in self.agreement.take_actions():
-            self._act(action)
+            self._execute(action)
 
-    def _act(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if action.action_kind is ActionKind.LOG:
             self._log("rollout_plan_changed", told=action.text)
         elif action.action_kind is ActionKind.CANCEL:
--- a/packages/core/src/fennelcove/core/segment_sources.py
+++ b/packages/core/src/fennelcove/core/segment_sources.py
@@ -63,30 +63,30 @@
 
     def segment(self, session: Session, shown: ListedSegment, tried: list[str]) -> Fetch:
         """Choose the source of a segment and add its server to `tried`, those tried for it before."""
-        pick = self._pick(session, shown, tried)
-        self._context.increment(f"segments_{pick.source.name.lower()}")
-        if not pick.server:
-            return Fetch(pick.source)
+        route = self._route(session, shown, tried)
+        self._context.increment(f"segments_{route.source.name.lower()}")
+        if not route.server:
+            return Fetch(route.source)
         if len(tried) < MAX_SERVERS_TRIED:
-            tried.append(pick.server)
-        path = self._path(pick.source, shown, session.floor_rung)
+            tried.append(route.server)
+        path = self._path(route.source, shown, session.floor_rung)
         attempt = session.current_target.attempt if session.current_target is not None else 0
         query = f"subscription={session.id}&join={attempt}{path.extra_query}"
-        url = f"http://{pick.server}/media/{path.media}/{path.rung}/{path.number}.m4s?{query}"
-        return Fetch(pick.source, url)
+        url = f"http://{route.server}/media/{path.media}/{path.rung}/{path.number}.m4s?{query}"
+        return Fetch(route.source, url)
 
     def initialization(self, session: Session, shown: ListedSegment) -> Fetch:
         """Choose the source of the initialisation segment of a rendition."""
-        pick = self._pick(session, shown, ())
-        if not pick.server:
-            return Fetch(pick.source)
-        return Fetch(pick.source, f"http://{pick.server}/media/{shown.media}/{shown.rung}/init.mp4")
+        route = self._route(session, shown, ())
+        if not route.server:
+            return Fetch(route.source)
+        return Fetch(route.source, f"http://{route.server}/media/{shown.media}/{shown.rung}/init.mp4")
 
-    def _pick(self, session: Session, shown: ListedSegment, tried: Sequence[str]) -> SegmentRoute:
-        offer = self._offer(session, shown)
+    def _route(self, session: Session, shown: ListedSegment, tried: Sequence[str]) -> SegmentRoute:
+        candidates = self._candidates(session, shown)
         if shown.media == session.title:
-            return segment_routing.route_title_segment(offer)
-        return segment_routing.route_clip_segment(offer, tuple(tried))
+            return segment_routing.route_title_segment(candidates)
+        return segment_routing.route_clip_segment(candidates, tuple(tried))
 
     def _path(self, source: SegmentSource, shown: ListedSegment, floor: int) -> _SegmentPath:
         if source is SegmentSource.LOWER:
@@ -101,22 +101,22 @@
         lower = [rung for rung in self._media[shown.media].rungs if floor <= rung < shown.rung]
         return max(lower, default=shown.rung)
 
-    def _offer(self, session: Session, shown: ListedSegment) -> SegmentCandidates:
+    def _candidates(self, session: Session, shown: ListedSegment) -> SegmentCandidates:
         """Collect the servers that could serve a segment now."""
-        home = self._home(session)
+        current_server = self._current_server(session)
         if shown.media == session.title:
-            return SegmentCandidates(home, True, (), (), None)
+            return SegmentCandidates(current_server, True, (), (), None)
         replicas = self._usable_replicas(shown.media)
-        has_home_replica = any(server.address == home for server in replicas)
+        is_current_usable = any(server.address == current_server for server in replicas)
         lower_rung = self._lower_rung(shown, session.floor_rung)
         at_lower_rung: list[str] = []
         if lower_rung < shown.rung:
             at_lower_rung = self._ordered(replicas, session.rates_kb[lower_rung])
-        slate_server = self._slate_server(home)
+        slate_server = self._slate_server(current_server)
         at_rung = self._ordered(replicas, session.rates_kb[shown.rung])
-        return SegmentCandidates(home, has_home_replica, at_rung, at_lower_rung, slate_server)
+        return SegmentCandidates(current_server, is_current_usable, at_rung, at_lower_rung, slate_server)
 
-    def _home(self, session: Session) -> str | None:
+    def _current_server(self, session: Session) -> str | None:
         """Return the server that plays the session; None while it migrates or where the server has left."""
         if session.current_target is None or session.is_orphaned:
             return None
@@ -125,12 +125,12 @@
             return None
         return session.current_target.server
 
-    def _slate_server(self, home: str | None) -> str | None:
+    def _slate_server(self, current_server: str | None) -> str | None:
         if self._slate is None:
             return None
         usable = [server.address for server in self._usable_replicas(self._slate)]
-        if home in usable:
-            return home
+        if current_server in usable:
+            return current_server
         return usable[0] if usable else None
 
     def _usable_replicas(self, title: str) -> list[Server]:
--- a/packages/core/src/fennelcove/core/server_registry.py
+++ b/packages/core/src/fennelcove/core/server_registry.py
@@ -59,8 +59,8 @@
         self.reports = reports
         self.records: dict[str, ServerRecord] = {}
         self.streams = ServerStreams(context, gateway, self.records, self)
-        self.greeted_attempts: frozenset[tuple[str, int]] = frozenset()
-        self.greeted_servers: set[str] = set()
+        self.reported_attempts: frozenset[tuple[str, int]] = frozenset()
+        self.synced_servers: set[str] = set()
         self.on_uptime: Callable[[str, float | None], None] = lambda address, up_ms: None
         self.recovery_finished = threading.Event()
         self._loss_handler: ServerLossHandler
@@ -91,7 +91,7 @@
         if not server.sessions:
             self.streams.apply(server, StreamEvent.NO_SESSIONS_HELD)
 
-    def request_greetings(self, update: ListUpdate, now_us: int) -> None:
+    def request_session_reports(self, update: ListUpdate, now_us: int) -> None:
         """Open the streams of all servers of a list: each reports what it still holds for this front."""
         addresses = {entry.address for entry in update.entries if entry.state is not ServerState.LEFT}
         self.recovery.on_endpoints_listed(addresses, now_us)
@@ -114,7 +114,7 @@
     # Events of servers; a generation names the stream that they came on.
 
     def on_hello(
-        self, address: str, generation: int, boot: str, held: Sequence[Held], up_ms: float | None = None
+        self, address: str, generation: int, boot: str, reported: Sequence[Held], up_ms: float | None = None
     ) -> None:
         """A server opens its stream: its boot id, the attempts that it holds here, and its uptime."""
         with self.context.lock:
@@ -122,15 +122,15 @@
             if server is None:
                 return
             now_us = self.context.now_us()
-            self.greeted_servers.add(address)
+            self.synced_servers.add(address)
             self.on_uptime(address, up_ms)
-            self.greeted_attempts = frozenset((item.subscription, item.join) for item in held)
-            self.streams.greet(server, boot)
-            for item in held:
-                session = self.adoption.claim(address, item)
+            self.reported_attempts = frozenset((item.subscription, item.join) for item in reported)
+            self.streams.on_hello(server, boot)
+            for item in reported:
+                session = self.adoption.reconcile(address, item)
                 if session is not None:
                     server.sessions[session.id] = session
-            self._finish_greeting(server, now_us)
+            self._finish_sync(server, now_us)
 
     def on_load_report(
         self, address: str, generation: int, hints: ServerHints, delivered_share: float | None
@@ -154,7 +154,7 @@
             if session is None or session.current_target is None or session.current_target.attempt != attempt:
                 return
             session.close_reason = "ended at its box"
-            session.may_be_held_by_server = False
+            session.may_exist_on_server = False
             self.lifecycle.apply(session, SessionEvent.RELEASED)
 
     def on_stream_closed(self, address: str, generation: int, *, is_refused: bool) -> None:
@@ -167,13 +167,13 @@
             event = StreamEvent.REFUSED if is_refused else StreamEvent.DISCONNECTED
             self.streams.apply(server, event)
             if is_refused:
-                self._finish_greeting(server, now_us)
+                self._finish_sync(server, now_us)
 
     def _record_of_stream(self, address: str, generation: int) -> ServerRecord | None:
         server = self.records.get(address)
         return server if server is not None and server.generation == generation else None
 
-    def _finish_greeting(self, server: ServerRecord, now_us: int) -> None:
+    def _finish_sync(self, server: ServerRecord, now_us: int) -> None:
         self.recovery.on_server_settled(server.address, now_us)
         if not server.sessions and self.records.get(server.address) is server:
             self.streams.apply(server, StreamEvent.NO_SESSIONS_HELD)
@@ -187,7 +187,7 @@
         if server.sessions:
             self.context.log_event("server_lost", box=server.address, subscriptions=len(server.sessions))
         else:
-            self._finish_greeting(server, self.context.now_us())
+            self._finish_sync(server, self.context.now_us())
         for session in list(server.sessions.values()):
             self._loss_handler.on_server_lost(session)
 
@@ -195,7 +195,7 @@
         """A server has restarted: it lost the sessions that it does not report."""
         for session in list(server.sessions.values()):
             target = session.current_target
-            is_unknown = target is None or (session.id, target.attempt) not in self.greeted_attempts
+            is_unknown = target is None or (session.id, target.attempt) not in self.reported_attempts
             # A session that was established while the greeting was under way is not in it, and not lost.
             if is_unknown and session.established_us < server.stream_opened_us:
                 session.close_reason = "its box knows it no more"
--- a/packages/core/src/fennelcove/core/server_streams.py
+++ b/packages/core/src/fennelcove/core/server_streams.py
@@ -50,7 +50,7 @@
         """Apply an event to a server's stream."""
         self._run(server, server.stream.apply(event, self.context.now_us()))
 
-    def greet(self, server: ServerRecord, boot: str) -> None:
+    def on_hello(self, server: ServerRecord, boot: str) -> None:
         """A server has opened its stream under this boot id."""
         self._run(server, server.stream.on_hello(boot, self.context.now_us()))
 
--- a/packages/core/src/fennelcove/core/session_actions.py
+++ b/packages/core/src/fennelcove/core/session_actions.py
@@ -55,8 +55,8 @@
         self.reports = reports
         self.close_listeners = close_listeners
         self.handlers: ActionHandlers = {
-            SessionAction.SEND_ATTEMPT: self._keep_step,
-            SessionAction.RESPOND_ESTABLISHED: self._respond_playing,
+            SessionAction.SEND_ATTEMPT: self._on_attempt_ready,
+            SessionAction.RESPOND_ESTABLISHED: self._respond_established,
             SessionAction.RESPOND_REJECTED: self._count_rejected,
             SessionAction.RESPOND_FAILED: self._count_failed,
             SessionAction.RESPOND_STOPPED: self._respond_shutting_down,
@@ -69,10 +69,10 @@
             SessionAction.DISCARD: self.close,
         }
 
-    def _keep_step(self, session: Session) -> None:
+    def _on_attempt_ready(self, session: Session) -> None:
         """The attempt is the session's next step already; whoever runs the request takes it."""
 
-    def _respond_playing(self, session: Session) -> None:
+    def _respond_established(self, session: Session) -> None:
         session.next_step = SessionResponse(ResponseKind.PLAYING, "")
         self.context.increment("playing")
 
@@ -100,7 +100,7 @@
     def _on_established(self, session: Session) -> None:
         now_us = self.context.now_us()
         result = session.required_result()
-        target = session.play_at_pending_target()
+        target = session.activate_pending_target()
         started = SessionStarted(target.policy_id, target.policy_attempt, result.duration_us)
         self.policy.handle(started, now_us)
         session.established_us = now_us
@@ -148,7 +148,7 @@
 
     def _release_at_server(self, session: Session) -> None:
         target = session.current_target or session.pending_target
-        if session.may_be_held_by_server and target is not None and not session.is_orphaned:
+        if session.may_exist_on_server and target is not None and not session.is_orphaned:
             self.commands.send(target, session, None)
 
     def close(self, session: Session) -> None:
--- a/packages/core/src/fennelcove/core/session_lifecycle.py
+++ b/packages/core/src/fennelcove/core/session_lifecycle.py
@@ -93,7 +93,7 @@
         with self.context.lock:
             return self.close_reasons.get(session_id)
 
-    def remember_close_reason(self, session: Session) -> None:
+    def record_close_reason(self, session: Session) -> None:
         """Keep the reason for a while, so that clients can still ask for it."""
         if session.close_reason:
             self.close_reasons[session.id] = session.close_reason
--- a/packages/core/src/fennelcove/core/session_migrations.py
+++ b/packages/core/src/fennelcove/core/session_migrations.py
@@ -53,7 +53,7 @@
         self.context = context
         self.sender = sender
         self.draining = draining
-        self.turns = MigrationQueue(max_concurrent, draining.grace_us)
+        self.queue = MigrationQueue(max_concurrent, draining.grace_us)
         self.policy = policy
         self.lifecycle = lifecycle
         self.commands = commands
@@ -64,13 +64,13 @@
         self.notifier = notifier
         self.migrations: dict[str, SessionMigration] = {}
         self._handlers: Mapping[MigrationAction, Callable[[Session, SessionMigration], None]] = {
-            MigrationAction.ENQUEUE: self._queue,
+            MigrationAction.ENQUEUE: self._enqueue,
             MigrationAction.SELECT_SERVER: self._request_target,
-            MigrationAction.SWITCH_SERVER: self._switch,
-            MigrationAction.REPORT_ATTEMPT_FAILED: self._report_failed,
-            MigrationAction.REPORT_SERVER_LOST: self._report_lost,
+            MigrationAction.SWITCH_SERVER: self._switch_server,
+            MigrationAction.REPORT_ATTEMPT_FAILED: self._report_attempt_failed,
+            MigrationAction.REPORT_SERVER_LOST: self._report_server_lost,
             MigrationAction.RETRY_LATER: self._schedule_retry,
-            MigrationAction.KEEP_SERVER: self._give_up,
+            MigrationAction.KEEP_SERVER: self._abandon,
             MigrationAction.END_SESSION: self._close_session,
         }
 
@@ -86,7 +86,7 @@
         """The server of a session is lost: move it where that is safe, or close it."""
         if session.state is not SessionState.ESTABLISHED:
             return
-        if _may_rescue(session, self.policy):
+        if _may_reestablish(session, self.policy):
             self._apply(session, MigrationEvent.SERVER_LOST)
         else:
             self.lifecycle.apply(session, SessionEvent.SERVER_LOST)
@@ -96,26 +96,26 @@
         state = self.migrations.pop(session.id, None)
         if state is not None:
             if state.state is MigrationState.ESTABLISHING and not state.is_server_lost:
-                self.turns.on_turn_finished()
+                self.queue.on_turn_finished()
             state.apply(MigrationEvent.SESSION_ENDED)
 
     def run_due(self) -> None:
         """Start migrations whose turn has come, and end those whose time is over; called periodically."""
         with self.context.lock:
-            started, expired = self.turns.take_ready(self.context.now_us())
+            started, expired = self.queue.take_ready(self.context.now_us())
             for due in started:
                 session = self.lifecycle.sessions.get(due.session_id)
                 if session is not None:
                     self._apply(session, MigrationEvent.TURN_GRANTED)
                 else:
-                    self.turns.on_turn_finished()
+                    self.queue.on_turn_finished()
             for due in expired:
                 session = self.lifecycle.sessions.get(due.session_id)
                 if session is not None:
                     self._apply(session, MigrationEvent.GRACE_EXPIRED)
 
     def _apply(self, session: Session, event: MigrationEvent) -> None:
-        is_disabled = not self.turns.max_concurrent
+        is_disabled = not self.queue.max_concurrent
         if is_disabled:
             if event is MigrationEvent.SERVER_LOST:
                 self.lifecycle.apply(session, SessionEvent.SERVER_LOST)
@@ -137,13 +137,13 @@
             result = AttemptResult(Outcome.NOT_SENT, None, 0)
             self.context.timers.after(0, lambda: self.on_attempt_completed(step, result))
 
-    def on_attempt_refused(self, session: Session, policy_id: str) -> None:
+    def on_attempt_rejected(self, session: Session, policy_id: str) -> None:
         """The policy finds no server for now."""
         self.lifecycle.by_policy_id.pop(policy_id, None)
         session.pending_target = None
         state = self.migrations.get(session.id)
         if state is not None and not state.is_server_lost:
-            self.turns.on_turn_finished()
+            self.queue.on_turn_finished()
         self._apply(session, MigrationEvent.NO_SERVER_FOUND)
 
     def on_attempt_completed(self, step: SendAttempt, result: AttemptResult) -> None:
@@ -155,7 +155,7 @@
             now_us = self.context.now_us()
             self.retry_storms.on_attempt_completed(session, step.server, result.outcome, now_us)
             self.slots.release(session, step.attempt, result.outcome)
-            self.slots.start_waiting()
+            self.slots.assign_free_slots()
             target = pending if pending is not None and pending.attempt == step.attempt else None
             state = self.migrations.get(session.id)
             is_attempting = state is not None and state.state is MigrationState.ESTABLISHING
@@ -178,8 +178,8 @@
 
     # Actions of the transition table.
 
-    def _queue(self, session: Session, state: SessionMigration) -> None:
-        self.turns.add(state, self.context.now_us())
+    def _enqueue(self, session: Session, state: SessionMigration) -> None:
+        self.queue.add(state, self.context.now_us())
         self.context.timers.after(0, self.run_due)
 
     def _request_target(self, session: Session, state: SessionMigration) -> None:
@@ -192,14 +192,14 @@
         request = MigrationRequested(current.policy_id, policy_id, timeout_us)
         self.policy.handle(request, self.context.now_us())
 
-    def _switch(self, session: Session, state: SessionMigration) -> None:
+    def _switch_server(self, session: Session, state: SessionMigration) -> None:
         old = session.required_current_target()
         result = session.required_result()
         now_us = self.context.now_us()
         if not session.is_orphaned:
-            self.turns.on_turn_finished()
+            self.queue.on_turn_finished()
         self.server_registry.on_session_closed(session)
-        new = session.play_at_pending_target()
+        new = session.activate_pending_target()
         started = SessionStarted(new.policy_id, new.policy_attempt, result.duration_us)
         self.policy.handle(started, now_us)
         session.established_us = now_us
@@ -227,11 +227,11 @@
             waited_ms=waited_us / 1000,
         )
 
-    def _report_failed(self, session: Session, state: SessionMigration) -> None:
+    def _report_attempt_failed(self, session: Session, state: SessionMigration) -> None:
         result = session.required_result()
         self.lifecycle.report_attempt(session.take_pending_target(), result, is_finished=False)
 
-    def _report_lost(self, session: Session, state: SessionMigration) -> None:
+    def _report_server_lost(self, session: Session, state: SessionMigration) -> None:
         if (
             session.state is not SessionState.ESTABLISHED
             or session.current_target is None
@@ -245,20 +245,20 @@
         self.lifecycle.report_attempt(session.current_target, lost, is_finished=True)
 
     def _schedule_retry(self, session: Session, state: SessionMigration) -> None:
-        self.turns.retry_later(state, self.context.now_us())
+        self.queue.retry_later(state, self.context.now_us())
         self.context.timers.after(migration.RETRY_DELAY_US, self.run_due)
 
-    def _give_up(self, session: Session, state: SessionMigration) -> None:
+    def _abandon(self, session: Session, state: SessionMigration) -> None:
         self.context.increment("moves_given_up")
         self.context.log_event("migration_abandoned", subscription=session.id, box=session.server)
 
     def _close_session(self, session: Session, state: SessionMigration) -> None:
-        what = "was lost" if state.is_server_lost else "has left"
-        session.close_reason = f"its box {what}, and no other may take it"
+        cause = "was lost" if state.is_server_lost else "has left"
+        session.close_reason = f"its box {cause}, and no other may take it"
         self.lifecycle.apply(session, SessionEvent.SERVER_LOST)
 
 
-def _may_rescue(session: Session, policy: PlacementPolicy) -> bool:
+def _may_reestablish(session: Session, policy: PlacementPolicy) -> bool:
     """Whether another server may take over a session whose server is lost."""
     effect = policy.settings.service_classes[session.service_class].effect
     return (
--- a/packages/core/src/fennelcove/core/session_requests.py
+++ b/packages/core/src/fennelcove/core/session_requests.py
@@ -88,7 +88,7 @@
         Raises:
             KeyError: a service class or title that the settings do not name.
         """
-        terms = self._terms_of(request)
+        terms = self._resolve_terms(request)
         now_us = self.context.now_us()
         with self.context.lock:
             rejection = self.admission.try_admit_request(request, now_us)
@@ -100,7 +100,7 @@
             self._place(session, _policy_request(session, request, terms), now_us)
             return RequestOutcome(session, session.take_step())
 
-    def _terms_of(self, request: SessionRequest) -> SessionTerms:
+    def _resolve_terms(self, request: SessionRequest) -> SessionTerms:
         service_class = self.catalogue.service_classes[request.service_class]
         title_number, title = self.catalogue.titles[request.title]
         timeout_us = session_lifecycle.effective_timeout_us(
@@ -151,7 +151,7 @@
                     self.lifecycle.by_policy_id.pop(target.policy_id, None)
                     self.commands.send(target, session, None)
             self.policy.sessions.pop(session.id, None)
-            self.slots.drop(session)
+            self.slots.discard(session)
             if self.lifecycle.sessions.get(session.id) is session:
                 self.actions.close(session)
             session.state = SessionState.CLOSED
--- a/packages/core/src/fennelcove/core/shared_quota_coordinator.py
+++ b/packages/core/src/fennelcove/core/shared_quota_coordinator.py
@@ -45,8 +45,8 @@
         self._lock = lock
         now_us = clock.now_us()
         self._quotas = {
-            resource: Quota(resource, whole, instance.fronts, instance.index, incarnation, now_us)
-            for resource, whole in total_rates.items()
+            resource: Quota(resource, total_rate, instance.fronts, instance.index, incarnation, now_us)
+            for resource, total_rate in total_rates.items()
         }
         self.send: Callable[[int, QuotaRequest | QuotaTransfer], None] = lambda _front, _message: None
 
--- a/packages/core/src/fennelcove/core/slot_requests.py
+++ b/packages/core/src/fennelcove/core/slot_requests.py
@@ -105,7 +105,7 @@
     def __init__(self) -> None:
         self._names: OrderedDict[int, str] = OrderedDict()
 
-    def remember(self, tenant: int, name: str) -> None:
+    def add(self, tenant: int, name: str) -> None:
         """Store a tenant's name."""
         self._names[tenant] = name
         if len(self._names) > MAX_TENANT_NAMES:
@@ -134,7 +134,7 @@
         """Return a set-up as the wait queue takes it."""
         tenant = self.tenant_of(session)
         if session.request is not None:
-            self.tenant_names.remember(tenant, session.request.tenant if tenant else "others")
+            self.tenant_names.add(tenant, session.request.tenant if tenant else "others")
         workload = expected_workload(session, request, self._catalogue, self._policy)
         waiter = Waiter(
             session.id,
--- a/packages/core/src/fennelcove/core/slot_scheduler.py
+++ b/packages/core/src/fennelcove/core/slot_scheduler.py
@@ -55,9 +55,9 @@
 
     The odd ones go to different fronts at different servers. The quotas of unreachable fronts stay theirs.
     """
-    turn = (instance.index + server_key(server)) % instance.fronts
-    has_odd_slot = turn < slots % instance.fronts
-    return slots // instance.fronts + has_odd_slot
+    rank = (instance.index + server_key(server)) % instance.fronts
+    has_extra_slot = rank < slots % instance.fronts
+    return slots // instance.fronts + has_extra_slot
 
 
 class SlotScheduler:
@@ -90,10 +90,13 @@
         self.broadcast: Callable[[UsageReport], None] = lambda _report: None
         self._gossip = UsageGossip(incarnation=context.wall_us() // 1000)
         weights = {tenant_key(tenant.name): tenant.weight for tenant in settings.weights}
-        terms = TenantWeights(weights, settings.strangers)
+        tenant_weights = TenantWeights(weights, settings.strangers)
         max_wait_us = round(settings.wait_ms * 1000)
         self._queue = WaitQueue(
-            lambda server, now_us: self.quota_of(server, now_us), terms, max_wait_us, settings.waiting
+            lambda server, now_us: self.quota_of(server, now_us),
+            tenant_weights,
+            max_wait_us,
+            settings.waiting,
         )
         self._requests: dict[str, SlotRequest] = {}  # by session
         self._in_use: dict[AttemptKey, SlotInUse] = {}
@@ -127,13 +130,13 @@
         if slot_request is None or not slot_request.is_placing:
             return False
         now_us, waiter = self._context.now_us(), slot_request.waiter
-        busy = tuple(
+        busy_servers = tuple(
             server for server in waiter.servers if not self._queue.may_acquire(waiter, server, now_us)
         )
         waiter.apply(WaiterEvent.NO_SERVER)
-        if not busy:
+        if not busy_servers:
             return False
-        retry = replace(waiter, servers=busy)
+        retry = replace(waiter, servers=busy_servers)
         retry.apply(WaiterEvent.REQUEUED)
         if self._queue.request_slot(retry, now_us).action is not WaiterAction.WAIT:
             return False
--- a/packages/core/src/fennelcove/core/snapshot_manager.py
+++ b/packages/core/src/fennelcove/core/snapshot_manager.py
@@ -131,7 +131,7 @@
         """Restore the servers that an endpoint list names; each is restored once."""
         unclaimed, self._unclaimed = self._unclaimed, {}
         now_us, wall_us = self._context.now_us(), self._context.wall_us()
-        records = [self._judge(key, record, now_us, wall_us) for key, record in unclaimed.items()]
+        records = [self._evaluate(key, record, now_us, wall_us) for key, record in unclaimed.items()]
         restarted = sum(record.verdict is RecordVerdict.NEW_LIFE for record in records)
         listed = sum(record.verdict is not RecordVerdict.NOT_LISTED for record in records)
         assessment = self._assess(listed, restarted)
@@ -151,7 +151,7 @@
         if counts:
             self._context.log_event("server_records_restored", **counts)
 
-    def _judge(self, key: bytes, record: bytes, now_us: int, wall_us: int) -> ServerRecord:
+    def _evaluate(self, key: bytes, record: bytes, now_us: int, wall_us: int) -> ServerRecord:
         address = snapshot_records.address_of(key)
         server = self._policy.servers.get(address)
         started_us = None if server is None else wall_us - (now_us - server.started_us)
@@ -187,16 +187,16 @@
         """Return what was lost and how old the snapshot is, by what was heard until now."""
         front, incarnations = self._front, self.known_incarnations()
         stored = front.lives if front is not None else []
-        heard = [
-            (now, before)
-            for now, before in zip(incarnations.by_front, stored, strict=False)
-            if now and before
+        known_pairs = [
+            (current, previous)
+            for current, previous in zip(incarnations.by_front, stored, strict=False)
+            if current and previous
         ]
         evidence = Evidence(
             servers,
             restarted_servers,
-            len(heard),
-            sum(now > before for now, before in heard),
+            len(known_pairs),
+            sum(current > previous for current, previous in known_pairs),
             front.life if front is not None else 0,
             incarnations.latest_before,
             front.written_us if front is not None else 0,
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -51,13 +51,13 @@
 
 def wait_for(condition: Callable[[], Any], what: str) -> Any:
     """Wait until the condition holds; the limit only ends a test that would never end."""
-    event = threading.Event()
+    pause = threading.Event()
     for _ in range(round(LONGEST_S / 0.005)):
         found = condition()
         if found:
             return found
-        event.wait(0.005)
-    raise AssertionError(f"never came: {what}")
+        pause.wait(0.005)
+    raise AssertionError(f"not within {LONGEST_S:.0f} s: {what}")
 
 
 class WholePath(unittest.TestCase):
@@ -84,57 +84,57 @@
         self.addCleanup(self.lists.stop)
         self.settings = self.changed(**changes)
         self.programs: list[FrontDaemon] = []
-        self.addCleanup(self.end)
+        self.addCleanup(self.stop_fronts)
         if start:
             self.front = self.new_front()
 
     def changed(self, **changes: Any) -> FrontSettings:
-        front = parse(SETTINGS, FrontSettings, "test")
-        lists = msgspec.structs.replace(front.lists, address=self.lists.address)
+        settings = parse(SETTINGS, FrontSettings, "test")
+        lists = msgspec.structs.replace(settings.lists, address=self.lists.address)
         for group in ("limits", "rules"):
             if group in changes:
-                changes[group] = msgspec.structs.replace(getattr(front, group), **changes[group])
-        return msgspec.structs.replace(front, lists=lists, **changes)
+                changes[group] = msgspec.structs.replace(getattr(settings, group), **changes[group])
+        return msgspec.structs.replace(settings, lists=lists, **changes)
 
     def new_front(self) -> FrontDaemon:
-        program = FrontDaemon(self.settings, log.silent)
-        self.programs.append(program)
-        program.start()
-        wait_for(lambda: program.core.endpoint_tracker.version is not None, "a list")
-        return program
+        front = FrontDaemon(self.settings, log.silent)
+        self.programs.append(front)
+        front.start()
+        wait_for(lambda: front.core.endpoint_tracker.version is not None, "a list")
+        return front
 
-    def end(self) -> None:
-        for program in self.programs:
-            program.stop()
+    def stop_fronts(self) -> None:
+        for front in self.programs:
+            front.stop()
 
     def player(self) -> Player:
-        made = Player(self.front.door.address, self.clock)
-        self.addCleanup(made.close)
-        return made
+        player = Player(self.front.door.address, self.clock)
+        self.addCleanup(player.close)
+        return player
 
     def ask(self, room: str = "free", player: Player | None = None, headers: Any = (), **body: Any) -> Heard:
         """One set-up, answered."""
-        raw = msgspec.json.encode({"room_type": room, "title": "t1", **body})
+        content = msgspec.json.encode({"room_type": room, "title": "t1", **body})
         fields = [("Content-Type", "application/json"), *headers]
-        return (player or self.player()).ask("POST", "/v1/subscriptions", fields, raw, LONGEST_S)
+        return (player or self.player()).ask("POST", "/v1/subscriptions", fields, content, LONGEST_S)
 
     def together(self, count: int, **body: Any) -> list[Heard]:
         """So many set-ups at once, all answered."""
-        found: list[Heard] = []
-        threads = [threading.Thread(target=lambda: found.append(self.ask(**body))) for _ in range(count)]
+        responses: list[Heard] = []
+        threads = [threading.Thread(target=lambda: responses.append(self.ask(**body))) for _ in range(count)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        return found
+        return responses
 
     def most_out(self) -> int:
         """The most joins that were out at once, as boxes saw them."""
-        out = most = 0
+        in_flight = maximum = 0
         for record in list(self.recorder.records):
-            out += (record["what"] == "set_up") - (record["what"] == "set_up_over")
-            most = max(most, out)
-        return most
+            in_flight += (record["what"] == "set_up") - (record["what"] == "set_up_over")
+            maximum = max(maximum, in_flight)
+        return maximum
 
     def get(self, path: str, headers: Any = (), method: str = "GET") -> Heard:
         return self.player().ask(method, path, list(headers), b"", LONGEST_S)
@@ -150,14 +150,14 @@
         ]
 
     def wait_seen(self, what: str, count: int = 1, **fields: Any) -> list[Record]:
-        wait_for(lambda: len(self.seen(what, **fields)) >= count, f"{count} of {what} {fields}")
+        wait_for(lambda: len(self.seen(what, **fields)) >= count, f"{count} records of {what} {fields}")
         return self.seen(what, **fields)
 
-    def only(self, box: int) -> None:
+    def only(self, index: int) -> None:
         """Leave the front one box to choose."""
         self.lists.publish(
             *[
-                Known(known.address, "zone", "k", i, 1.0, "active" if i == box else "leaving")
+                Known(known.address, "zone", "k", i, 1.0, "active" if i == index else "leaving")
                 for i, known in enumerate(self.known)
             ]
         )
@@ -167,16 +167,16 @@
 
 def read_answers(sock: Any, count: int) -> list[tuple[int, bytes]]:
     """Status and body of so many answers, read off a bare socket."""
-    answers = Gatherer(Reader(False, CodecLimits()))
-    found: list[tuple[int, bytes]] = []
+    gatherer = Gatherer(Reader(False, CodecLimits()))
+    responses: list[tuple[int, bytes]] = []
     sock.settimeout(LONGEST_S)
-    while len(found) < count:
-        while len(found) < count and (whole := answers.next()) is not None:
-            assert isinstance(whole.head, ResponseHead)
-            found.append((whole.head.status, whole.body))
-        if len(found) < count:
+    while len(responses) < count:
+        while len(responses) < count and (message := gatherer.next()) is not None:
+            assert isinstance(message.head, ResponseHead)
+            responses.append((message.head.status, message.body))
+        if len(responses) < count:
             data = sock.recv(65_536)
             if not data:
                 break
-            answers.reader.feed(data)
-    return found
+            gatherer.reader.feed(data)
+    return responses
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -16,90 +16,90 @@
 WINDOW = fleet_load.WINDOW_US
 
 
-def said(number: int, asked: int, served: int, life: int = 1) -> LoadSummary:
-    return LoadSummary(life, number, ((asked, served, asked - served),))
+def load_summary(sequence: int, requested: int, served: int, incarnation: int = 1) -> LoadSummary:
+    return LoadSummary(incarnation, sequence, ((requested, served, requested - served),))
 
 
-class BurdenTest(unittest.TestCase):
+class FleetLoadTest(unittest.TestCase):
     @settings(max_examples=100, deadline=None)
     @given(st.integers(0, 1 << 30))
-    def test_summaries_merge_alike_in_any_order_and_number(self, seed: int) -> None:
-        chance = Random(seed)
+    def test_summaries_merge_the_same_in_any_order_and_repeated(self, seed: int) -> None:
+        rng = Random(seed)
         sent = [
-            (front, said(number, chance.randrange(50), chance.randrange(20), chance.choice((1, 2))))
+            (front, load_summary(sequence, rng.randrange(50), rng.randrange(20), rng.choice((1, 2))))
             for front in range(1, 5)
-            for number in range(1, 6)
+            for sequence in range(1, 6)
         ]
         results = []
         for _ in range(3):
-            order = sent + chance.sample(sent, 8)
-            chance.shuffle(order)
-            held = FleetLoadEstimator(1, 0)
-            for front, summary in order:
-                held.on_summary(front, summary, 0)
-            results.append({front: held.peer_summaries[front][0] for front in held.peer_summaries})
+            received = sent + rng.sample(sent, 8)
+            rng.shuffle(received)
+            estimator = FleetLoadEstimator(1, 0)
+            for front, summary in received:
+                estimator.on_summary(front, summary, 0)
+            results.append({front: estimator.peer_summaries[front][0] for front in estimator.peer_summaries})
         assert results[0] == results[1]
         assert results[0] == results[2]
 
-    def test_fronts_that_are_not_heard_are_taken_for_ones_own_likes(self) -> None:
-        held = FleetLoadEstimator(2, 0)
+    def test_fronts_without_a_summary_count_with_this_fronts_own_load(self) -> None:
+        estimator = FleetLoadEstimator(2, 0)
         for _ in range(10):
-            held.record_requested(1)
-        held.advance(WINDOW)
-        assert held.totals(4, WINDOW).class_loads == ((0, 0, 0), (40, 0, 0))
-        held.on_summary(1, LoadSummary(1, 1, ((6, 6, 0), (0, 0, 0))), WINDOW)
-        assert held.totals(4, WINDOW).class_loads == ((6, 6, 0), (30, 0, 0))
-        assert held.totals(4, WINDOW + 2 * fleet_load.STALE_US).reporting_peers == 0
-
-    def test_one_that_tells_a_hundred_times_more_is_taken_at_a_bound(self) -> None:
-        held = FleetLoadEstimator(1, 0)
+            estimator.record_requested(1)
+        estimator.advance(WINDOW)
+        assert estimator.totals(4, WINDOW).class_loads == ((0, 0, 0), (40, 0, 0))
+        estimator.on_summary(1, LoadSummary(1, 1, ((6, 6, 0), (0, 0, 0))), WINDOW)
+        assert estimator.totals(4, WINDOW).class_loads == ((6, 6, 0), (30, 0, 0))
+        assert estimator.totals(4, WINDOW + 2 * fleet_load.STALE_US).reporting_peers == 0
+
+    def test_outlier_summary_is_capped(self) -> None:
+        estimator = FleetLoadEstimator(1, 0)
         for _ in range(10):
-            held.record_requested(0)
-        held.advance(WINDOW)
-        for front, asked in ((1, 10), (2, 12), (3, 1000)):
-            held.on_summary(front, said(1, asked, 0), WINDOW)
-        assert held.totals(4, WINDOW).requested <= 10 + 10 + 12 + fleet_load.MAX_MEDIAN_MULTIPLE * 11
+            estimator.record_requested(0)
+        estimator.advance(WINDOW)
+        for front, requested in ((1, 10), (2, 12), (3, 1000)):
+            estimator.on_summary(front, load_summary(1, requested, 0), WINDOW)
+        assert estimator.totals(4, WINDOW).requested <= 10 + 10 + 12 + fleet_load.MAX_MEDIAN_MULTIPLE * 11
 
-    def test_a_summary_survives_its_bytes_and_cut_ones_are_refused(self) -> None:
+    def test_summary_codec_round_trips_and_rejects_truncated_messages(self) -> None:
         summary = LoadSummary(1 << 40, 9, ((1, 2, 3), (40_000, 5, 6)))
-        raw = messages.encode_load_summary(summary)
-        assert messages.decode_load_summary(raw) == summary
-        assert messages.decode(0, raw) is None
-        for cut in range(len(raw)):
-            assert messages.decode_load_summary(raw[:cut]) != summary
+        payload = messages.encode_load_summary(summary)
+        assert messages.decode_load_summary(payload) == summary
+        assert messages.decode(0, payload) is None
+        for length in range(len(payload)):
+            assert messages.decode_load_summary(payload[:length]) != summary
 
 
-def figures(asked: int, served: int) -> FleetTotals:
-    return FleetTotals(((asked, served, asked - served),), 0)
+def fleet_totals(requested: int, served: int) -> FleetTotals:
+    return FleetTotals(((requested, served, requested - served),), 0)
 
 
-class LadderTest(unittest.TestCase):
-    def test_every_step_has_an_answer_for_everyone_and_passes_whose_time_has_come(self) -> None:
+class SheddingPolicyTest(unittest.TestCase):
+    def test_every_level_has_an_action_per_ticket_status_and_admits_due_tickets(self) -> None:
         for level in SheddingLevel:
-            for who in TicketStatus:
-                assert (level, who) in shedding.ACTIONS
+            for status in TicketStatus:
+                assert (level, status) in shedding.ACTIONS
             assert shedding.ACTIONS[level, TicketStatus.DUE] is SheddingAction.ADMIT
 
-    def test_it_is_climbed_at_once_and_left_again_step_by_step(self) -> None:
-        for worst in (figures(100, 70), figures(100, 45), figures(100, 10)):
-            ladder = SheddingPolicy()
-            ladder.on_window_closed(worst)
-            top = ladder.level
-            assert top is shedding.TARGET_LEVELS[shedding.load_signal(worst)]
-            windows = 0
-            while ladder.level is not SheddingLevel.NONE:
-                ladder.on_window_closed(figures(100, 99))
-                windows += 1
-            assert windows == top * shedding.CALM_WINDOWS_PER_STEP_DOWN
-
-    def test_figures_that_waver_do_not_make_it_swing(self) -> None:
-        ladder, chance = SheddingPolicy(), Random(4)
+    def test_level_rises_at_once_and_falls_step_by_step(self) -> None:
+        for totals in (fleet_totals(100, 70), fleet_totals(100, 45), fleet_totals(100, 10)):
+            policy = SheddingPolicy()
+            policy.on_window_closed(totals)
+            highest = policy.level
+            assert highest is shedding.TARGET_LEVELS[shedding.load_signal(totals)]
+            window_count = 0
+            while policy.level is not SheddingLevel.NONE:
+                policy.on_window_closed(fleet_totals(100, 99))
+                window_count += 1
+            assert window_count == highest * shedding.CALM_WINDOWS_PER_STEP_DOWN
+
+    def test_fluctuating_load_does_not_make_the_level_oscillate(self) -> None:
+        policy, rng = SheddingPolicy(), Random(4)
         for _ in range(400):
-            ladder.on_window_closed(figures(100, chance.choice((55, 65, 80))))
-        assert ladder.change_count < 12
+            policy.on_window_closed(fleet_totals(100, rng.choice((55, 65, 80))))
+        assert policy.change_count < 12
 
-    def test_few_requests_say_nothing(self) -> None:
-        assert shedding.load_signal(figures(shedding.MIN_REQUESTS - 1, 0)) is LoadSignal.NORMAL
+    def test_few_requests_give_no_load_signal(self) -> None:
+        assert shedding.load_signal(fleet_totals(shedding.MIN_REQUESTS - 1, 0)) is LoadSignal.NORMAL
 
 
 if __name__ == "__main__":
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -28,18 +28,18 @@
 NAME = KeyName("client", "key")
 
 
-class TableTest(unittest.TestCase):
-    def test_it_is_total_and_a_set_up_runs_from_free_alone(self) -> None:
-        assert set(TRANSITIONS) == {(stage, cue) for stage in KeyState for cue in KeyEvent}
+class IdempotencyTableTest(unittest.TestCase):
+    def test_table_is_total_and_only_an_unused_key_runs_a_set_up(self) -> None:
+        assert set(TRANSITIONS) == {(state, event) for state in KeyState for event in KeyEvent}
         running = [
-            stage
-            for stage in KeyState
-            if TRANSITIONS.apply(stage, KeyEvent.REQUESTED).actions == (KeyAction.RUN,)
+            state
+            for state in KeyState
+            if TRANSITIONS.apply(state, KeyEvent.REQUESTED).actions == (KeyAction.RUN,)
         ]
         assert running == [KeyState.UNUSED]
-        for stage in (KeyState.CLOSED, KeyState.INDETERMINATE):
-            assert {TRANSITIONS.apply(stage, cue).state for cue in KeyEvent} == {
-                stage
+        for final in (KeyState.CLOSED, KeyState.INDETERMINATE):
+            assert {TRANSITIONS.apply(final, event).state for event in KeyEvent} == {
+                final
             }, "there is no way back"
         assert (
             TRANSITIONS.apply(KeyState.IN_PROGRESS, KeyEvent.RESTARTED_NOT_REPEATABLE).state
@@ -48,138 +48,142 @@
 
     @given(st.lists(st.sampled_from(list(KeyEvent)), max_size=40), st.booleans())
     @settings(max_examples=200)
-    def test_what_may_have_run_never_runs_again(self, cues: list[KeyEvent], safe: bool) -> None:
-        repeats, runs, doubtful = IdempotencyTable(), 0, False
-        for i, cue in enumerate(cues):
-            if cue is KeyEvent.REQUESTED:
-                found = repeats.request(NAME, "t/r", safe, i)
+    def test_set_up_that_may_have_run_never_runs_again(
+        self, events: list[KeyEvent], repeatable: bool
+    ) -> None:
+        table, run_count, may_have_run = IdempotencyTable(), 0, False
+        for i, event in enumerate(events):
+            if event is KeyEvent.REQUESTED:
+                found = table.request(NAME, "t/r", repeatable, i)
                 assert found is not None
                 if found[0] is KeyAction.RUN:
-                    assert not doubtful
-                    runs += 1
-                    repeats.attach_session(NAME, f"s{runs}")
+                    assert not may_have_run
+                    run_count += 1
+                    table.attach_session(NAME, f"s{run_count}")
                 continue
-            before = repeats.keys[NAME].state if NAME in repeats.keys else KeyState.UNUSED
-            repeats.apply(NAME, cue, i)
-            doubtful |= before is KeyState.IN_PROGRESS and cue in (
+            before = table.keys[NAME].state if NAME in table.keys else KeyState.UNUSED
+            table.apply(NAME, event, i)
+            may_have_run |= before is KeyState.IN_PROGRESS and event in (
                 KeyEvent.OUTCOME_UNKNOWN,
                 KeyEvent.ESTABLISHED,
                 KeyEvent.RESTARTED_NOT_REPEATABLE,
             )
 
-    def test_keys_are_forgotten_in_time_and_in_number_and_what_runs_is_not(self) -> None:
-        repeats = IdempotencyTable()
-        repeats.request(("c", "runs"), "t/r", True, 0)
+    def test_keys_expire_by_age_and_number_but_running_ones_do_not(self) -> None:
+        table = IdempotencyTable()
+        table.request(("c", "runs"), "t/r", True, 0)
         for i in range(200):
-            repeats.request(("c", f"k{i}"), "t/r", True, i)
-            repeats.apply(("c", f"k{i}"), KeyEvent.OUTCOME_UNKNOWN, i)
+            table.request(("c", f"k{i}"), "t/r", True, i)
+            table.apply(("c", f"k{i}"), KeyEvent.OUTCOME_UNKNOWN, i)
         for i in range(200):
-            repeats.request(("d", f"k{i}"), "t/r", True, RETENTION_US + 1000 + i)
-        assert ("c", "runs") in repeats.keys
-        assert sum(name[0] == "c" for name in repeats.keys) < 60
-
-    def test_a_key_for_something_else(self) -> None:
-        repeats = IdempotencyTable()
-        repeats.request(NAME, "t/r", True, 0)
-        assert repeats.request(NAME, "other/r", True, 0) is None
-        repeats.apply(NAME, KeyEvent.FAILED_SAFELY, 0)
-        assert repeats.request(NAME, "other/r", True, 0) is not None
-
-    def test_bytes_that_are_no_key(self) -> None:
-        repeats = IdempotencyTable()
+            table.request(("d", f"k{i}"), "t/r", True, RETENTION_US + 1000 + i)
+        assert ("c", "runs") in table.keys
+        assert sum(name[0] == "c" for name in table.keys) < 60
+
+    def test_key_of_another_request_is_rejected_until_it_failed_safely(self) -> None:
+        table = IdempotencyTable()
+        table.request(NAME, "t/r", True, 0)
+        assert table.request(NAME, "other/r", True, 0) is None
+        table.apply(NAME, KeyEvent.FAILED_SAFELY, 0)
+        assert table.request(NAME, "other/r", True, 0) is not None
+
+    def test_malformed_stored_keys_are_not_restored(self) -> None:
+        table = IdempotencyTable()
         for raw in (b"", b"x", b"\x95\x63\xa1a\xa1b\x00\xc3"):
-            assert not repeats.restore(NAME, raw, 0)
-        assert repeats.keys == {}
+            assert not table.restore(NAME, raw, 0)
+        assert table.keys == {}
 
 
-class RepeatsPathTest(WholePath):
+class IdempotencyFrontTest(WholePath):
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.begin(store=StoreSettings(folder=str(Path(folder.name) / "store")))
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.begin(store=StoreSettings(folder=str(Path(directory.name) / "store")))
 
-    def keyed(self, key: str = "k1", room: str = "free", **more: Any) -> Any:
-        return self.ask(room, key=key, cmcd={"sid": "v"}, **more)
+    def request_with_key(self, key: str = "k1", room: str = "free", **fields: Any) -> Any:
+        return self.ask(room, key=key, cmcd={"sid": "v"}, **fields)
 
-    def test_the_same_one_again_gets_what_plays_and_later_that_it_is_spent(self) -> None:
-        first, again = self.keyed(), self.keyed(retry=True)
-        assert (first.status, again.status) == (201, 201)
-        assert first.body["id"] == again.body["id"]
+    def test_repeated_request_gets_the_session_and_after_its_end_a_410(self) -> None:
+        first, repeated = self.request_with_key(), self.request_with_key(retry=True)
+        assert (first.status, repeated.status) == (201, 201)
+        assert first.body["id"] == repeated.body["id"]
         assert len(self.seen("set_up")) == 1
         self.get(f"/v1/subscriptions/{first.body['id']}", method="DELETE")
-        spent = self.keyed()
-        assert (spent.status, spent.body["type"]) == (410, "urn:fennelcove:problem:spent")
-        assert self.keyed("k2").status == 201
-        assert self.keyed("k2", "keyed").status == 422
-
-    def test_ten_tries_at_once_are_one_set_up_each_answered_once(self) -> None:
-        for box in self.boxes:
-            box.faults.slow_ms = 200.0
+        closed = self.request_with_key()
+        assert (closed.status, closed.body["type"]) == (410, "urn:fennelcove:problem:spent")
+        assert self.request_with_key("k2").status == 201
+        assert self.request_with_key("k2", "keyed").status == 422
+
+    def test_ten_concurrent_requests_with_one_key_are_one_set_up(self) -> None:
+        for server in self.boxes:
+            server.faults.slow_ms = 200.0
         import threading
 
-        found: list[Any] = []
-        threads = [threading.Thread(target=lambda: found.append(self.keyed())) for _ in range(10)]
+        responses: list[Any] = []
+        threads = [
+            threading.Thread(target=lambda: responses.append(self.request_with_key())) for _ in range(10)
+        ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        statuses = sorted(heard.status for heard in found)
-        assert (len(found), statuses[0]) == (10, 201)
+        statuses = sorted(response.status for response in responses)
+        assert (len(responses), statuses[0]) == (10, 201)
         assert set(statuses) <= {201, 503}
         assert len(self.seen("set_up")) == 1
         assert self.front.core.admission_controller.sessions == 1
 
-    def test_a_viewer_that_never_heard_finds_it_through_the_other_door(self) -> None:
-        for box in self.boxes:
-            box.faults.slow_ms = 150.0
+    def test_session_whose_websocket_response_was_lost_is_found_over_http(self) -> None:
+        for server in self.boxes:
+            server.faults.slow_ms = 150.0
         first = SocketPlayer(self.front.door.address, self.clock, random.Random(1))
-        ask = {"room_type": "free", "title": "t1", "key": "k9", "cmcd": {"sid": "v"}}
-        first.tell("set-up", ask=ask)
+        request = {"room_type": "free", "title": "t1", "key": "k9", "cmcd": {"sid": "v"}}
+        first.tell("set-up", ask=request)
         self.wait_seen("set_up_over")
         wait_for(lambda: self.front.core.notifier.ownerships.by_session, "its start")
         first.hang_up()
         wait_for(lambda: not self.front.sockets.sessions, "the connection's end")
-        again = self.keyed("k9")
-        assert again.status == 201
+        repeated = self.request_with_key("k9")
+        assert repeated.status == 201
         assert len(self.seen("set_up")) == 1
 
-    def test_a_refused_one_may_be_asked_again(self) -> None:
-        taken = [self.ask("few").body["id"] for _ in range(2)]
-        assert self.keyed(room="few").status == 503
-        self.get(f"/v1/subscriptions/{taken[0]}", method="DELETE")
-        assert self.keyed(room="few").status == 201
+    def test_rejected_request_may_be_repeated(self) -> None:
+        established = [self.ask("few").body["id"] for _ in range(2)]
+        assert self.request_with_key(room="few").status == 503
+        self.get(f"/v1/subscriptions/{established[0]}", method="DELETE")
+        assert self.request_with_key(room="few").status == 201
 
-    def test_one_that_may_have_run_is_never_repeated_though_the_front_is_killed(self) -> None:
-        for box in self.boxes:
-            box.faults.hang = True
+    def test_set_up_that_may_have_run_is_not_repeated_after_the_front_is_killed(self) -> None:
+        for server in self.boxes:
+            server.faults.hang = True
         with self.assertRaises(Unanswered):
             raw = b'{"room_type":"once","title":"t1","key":"k1","cmcd":{"sid":"v"}}'
             self.player().ask("POST", "/v1/subscriptions", [("Content-Type", "application/json")], raw, 0.5)
         self.wait_seen("set_up")
-        keeper = self.front.keeper
-        assert keeper is not None
-        keeper.enqueue(self.front.core.snapshots.collect_changes())
+        writer = self.front.keeper
+        assert writer is not None
+        writer.enqueue(self.front.core.snapshots.collect_changes())
         wait_for(
-            lambda: not keeper.queue.pending and any(b"k1" in key for key in list(keeper.store.values)),
+            lambda: not writer.queue.pending and any(b"k1" in key for key in list(writer.store.values)),
             "the key kept",
         )
-        values = dict(keeper.store.values)
-        for box in self.boxes:
-            box.faults.hang = False
+        values = dict(writer.store.values)
+        for server in self.boxes:
+            server.faults.hang = False
         self.front.stop()
         self.settings = self.changed()
         self.front = self.new_front()
         self.front.core.snapshots.restore(values)  # as the killed life left it, not as the stopped one did
-        heard = self.keyed("k1", "once")
-        assert heard.status in (502, 504)
+        response = self.request_with_key("k1", "once")
+        assert response.status in (502, 504)
         assert len(self.seen("set_up")) == 1
 
-    def test_what_plays_is_found_by_its_key_after_a_restart(self) -> None:
-        id = self.keyed().body["id"]
+    def test_session_is_found_by_its_key_after_a_restart(self) -> None:
+        id = self.request_with_key().body["id"]
         self.front.stop()
         self.front = self.new_front()
-        again = self.keyed()
-        assert (again.status, again.body["id"]) == (201, id)
+        repeated = self.request_with_key()
+        assert (repeated.status, repeated.body["id"]) == (201, id)
         assert len(self.seen("set_up")) == 1
 
 
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -30,53 +30,57 @@
 
 from tests.rig import WholePath, wait_for
 
-POOL, LONG = SeatPool("t1", "few"), 1000
-
-
-class SeatsTest(unittest.TestCase):
-    def test_the_table_is_total_and_a_seat_is_counted_and_freed_once(self) -> None:
-        assert set(TRANSITIONS) == {(stage, cue) for stage in SeatState for cue in SeatEvent}
-        for stage, cue in TRANSITIONS:
-            transition = TRANSITIONS.apply(stage, cue)
-            after, (act,) = transition.state, transition.actions
-            assert (act is SeatAction.COUNT) == (stage is SeatState.UNHELD and after is SeatState.HELD), cue
-            assert (act is SeatAction.FREE) == (stage is SeatState.HELD and after is SeatState.RELEASED), cue
-
-    def test_ten_thousand_mixed_steps_agree_with_an_independent_count(self) -> None:
-        chance, seats, steps, now = random.Random(4), SeatLeases(), list[SeatTransition](), 0
-        playing: dict[str, int] = {}  # the independent account: until when
+POOL, DURATION_US = SeatPool("t1", "few"), 1000
+
+
+class SeatLeasesTest(unittest.TestCase):
+    def test_table_is_total_and_each_seat_is_counted_and_freed_once(self) -> None:
+        assert set(TRANSITIONS) == {(state, event) for state in SeatState for event in SeatEvent}
+        for before, event in TRANSITIONS:
+            transition = TRANSITIONS.apply(before, event)
+            after, (action,) = transition.state, transition.actions
+            assert (action is SeatAction.COUNT) == (
+                before is SeatState.UNHELD and after is SeatState.HELD
+            ), event
+            assert (action is SeatAction.FREE) == (
+                before is SeatState.HELD and after is SeatState.RELEASED
+            ), event
+
+    def test_ten_thousand_random_operations_agree_with_a_reference_model(self) -> None:
+        rng, leases, transitions, now = random.Random(4), SeatLeases(), list[SeatTransition](), 0
+        expiry: dict[str, int] = {}  # the independent account: until when
         for i in range(10_000):
-            now += chance.randrange(20)
-            what, id = (
-                chance.choice(["take", "take", "renew", "again", "release", "tick"]),
-                f"s{chance.randrange(300)}",
+            now += rng.randrange(20)
+            operation, id = (
+                rng.choice(["take", "take", "renew", "again", "release", "tick"]),
+                f"s{rng.randrange(300)}",
             )
-            if what == "take":
-                steps.append(seats.acquire(id, POOL, LONG, now))
-                playing.setdefault(id, now + LONG)
-            elif what in ("renew", "again"):
-                step = seats.renew(id, f"k{i}" if what == "renew" else "same", now)
-                steps.append(step)
-                assert (step.action is SeatAction.REFUSE) == (id not in playing)
-                if step.action is SeatAction.EXTEND:
-                    playing[id] = max(playing[id], now + LONG)
-            elif what == "release":
-                found = seats.release(id, now)
-                assert (found is None) == (id not in playing)
-                steps += [found] if found is not None else []
-                playing.pop(id, None)
+            if operation == "take":
+                transitions.append(leases.acquire(id, POOL, DURATION_US, now))
+                expiry.setdefault(id, now + DURATION_US)
+            elif operation in ("renew", "again"):
+                transition = leases.renew(id, f"k{i}" if operation == "renew" else "same", now)
+                transitions.append(transition)
+                assert (transition.action is SeatAction.REFUSE) == (id not in expiry)
+                if transition.action is SeatAction.EXTEND:
+                    expiry[id] = max(expiry[id], now + DURATION_US)
+            elif operation == "release":
+                released = leases.release(id, now)
+                assert (released is None) == (id not in expiry)
+                transitions += [released] if released is not None else []
+                expiry.pop(id, None)
             else:
-                while gone := seats.pop_expired(now):
-                    steps += gone
-                for id in [id for id, until in playing.items() if until <= now]:
-                    del playing[id]
-            if what != "tick":
-                for id in [id for id, until in playing.items() if until <= now and id not in seats.seats]:
-                    del playing[id]
-            assert set(seats.seats) == set(playing)
-            assert seats.counts[POOL] == len(playing)
-        assert replay_counts(steps) == +Counter({POOL: len(playing)})
-        assert len(seats.deadlines) < 20000
+                while expired := leases.pop_expired(now):
+                    transitions += expired
+                for id in [id for id, until in expiry.items() if until <= now]:
+                    del expiry[id]
+            if operation != "tick":
+                for id in [id for id, until in expiry.items() if until <= now and id not in leases.seats]:
+                    del expiry[id]
+            assert set(leases.seats) == set(expiry)
+            assert leases.counts[POOL] == len(expiry)
+        assert replay_counts(transitions) == +Counter({POOL: len(expiry)})
+        assert len(leases.deadlines) < 20000
 
     @given(
         st.lists(
@@ -85,82 +89,82 @@
         )
     )
     @settings(max_examples=150, deadline=None)
-    def test_a_restart_keeps_each_seat_and_its_time(self, script: list[tuple[str, int]]) -> None:
-        seats, now = SeatLeases(), 0
-        for what, number in script:
+    def test_restart_preserves_each_seat_and_its_expiry(self, operations: list[tuple[str, int]]) -> None:
+        leases, now = SeatLeases(), 0
+        for operation, number in operations:
             now, id = now + 10, f"s{number}"
-            if what == "take":
-                seats.acquire(id, POOL, LONG, now)
-            elif what == "renew":
-                seats.renew(id, "k", now)
-            elif what == "release":
-                seats.release(id, now)
+            if operation == "take":
+                leases.acquire(id, POOL, DURATION_US, now)
+            elif operation == "renew":
+                leases.renew(id, "k", now)
+            elif operation == "release":
+                leases.release(id, now)
             else:
-                again = SeatLeases()
-                for name, raw in seats.encode_entries():
-                    assert again.restore(name, raw, LONG, now)
-                    assert not again.restore(name, raw, LONG, now), "told twice"
-                assert again.counts == seats.counts
-                for name, seat in seats.seats.items():
-                    assert (again.seats[name].expires_wall_us, again.seats[name].renewal_keys) == (
-                        seat.expires_wall_us,
-                        seat.renewal_keys,
+                restored = SeatLeases()
+                for name, record in leases.encode_entries():
+                    assert restored.restore(name, record, DURATION_US, now)
+                    assert not restored.restore(name, record, DURATION_US, now), "told twice"
+                assert restored.counts == leases.counts
+                for name, lease in leases.seats.items():
+                    assert (restored.seats[name].expires_wall_us, restored.seats[name].renewal_keys) == (
+                        lease.expires_wall_us,
+                        lease.renewal_keys,
                     )
-                seats = again
-
-    def test_one_key_renews_once_and_asking_often_saves_nothing_up(self) -> None:
-        seats = SeatLeases()
-        seats.acquire("a", POOL, LONG, 0)
-        assert seats.renew("a", "k", 500).action is SeatAction.EXTEND
-        assert seats.renew("a", "k", 900).action is SeatAction.KEEP
-        assert seats.seats["a"].expires_wall_us == 1500
+                leases = restored
+
+    def test_key_renews_once_and_renewals_do_not_accumulate(self) -> None:
+        leases = SeatLeases()
+        leases.acquire("a", POOL, DURATION_US, 0)
+        assert leases.renew("a", "k", 500).action is SeatAction.EXTEND
+        assert leases.renew("a", "k", 900).action is SeatAction.KEEP
+        assert leases.seats["a"].expires_wall_us == 1500
         for _ in range(50):
-            seats.renew("a", "", 1000)
-        assert seats.seats["a"].expires_wall_us == 2000
-
-    def test_a_clock_that_went_back_gives_no_longer_seat(self) -> None:
-        seats = SeatLeases()
-        seats.acquire("a", POOL, LONG, 10**9)
-        again = SeatLeases()
-        again.restore("a", seats.encode_entries()[0][1], LONG, 5)
-        assert again.seats["a"].expires_wall_us == 5 + LONG
-        assert not again.restore("b", b"none", LONG, 5)
-
-    def test_ten_thousand_ends_in_one_tick_come_in_bounded_parts(self) -> None:
-        seats = SeatLeases()
+            leases.renew("a", "", 1000)
+        assert leases.seats["a"].expires_wall_us == 2000
+
+    def test_clock_set_back_does_not_extend_a_lease(self) -> None:
+        leases = SeatLeases()
+        leases.acquire("a", POOL, DURATION_US, 10**9)
+        restored = SeatLeases()
+        restored.restore("a", leases.encode_entries()[0][1], DURATION_US, 5)
+        assert restored.seats["a"].expires_wall_us == 5 + DURATION_US
+        assert not restored.restore("b", b"none", DURATION_US, 5)
+
+    def test_ten_thousand_simultaneous_expiries_are_returned_in_bounded_batches(self) -> None:
+        leases = SeatLeases()
         for i in range(10_000):
-            seats.acquire(f"s{i}", POOL, LONG, 0)
-        parts = []
-        while gone := seats.pop_expired(LONG):
-            parts.append(len(gone))
-        assert (sum(parts), max(parts), seats.counts[POOL]) == (10000, MAX_EXPIRED_PER_CALL, 0)
+            leases.acquire(f"s{i}", POOL, DURATION_US, 0)
+        batch_sizes = []
+        while expired := leases.pop_expired(DURATION_US):
+            batch_sizes.append(len(expired))
+        assert (sum(batch_sizes), max(batch_sizes), leases.counts[POOL]) == (10000, MAX_EXPIRED_PER_CALL, 0)
         assert decisions.replay_counts([]) == Counter()
 
 
-class SeatsPathTest(WholePath):
+class SeatLeasesFrontTest(WholePath):
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
         self.begin(start=False)
-        self.store = StoreSettings(folder=str(Path(folder.name) / "store"))
-        self.settings = self.lasting(700.0)
+        self.store = StoreSettings(folder=str(Path(directory.name) / "store"))
+        self.settings = self.settings_with_seat_duration(700.0)
         self.front = self.new_front()
 
-    def lasting(self, seat_ms: float) -> Any:
+    def settings_with_seat_duration(self, seat_ms: float) -> Any:
         base = self.changed(store=self.store)
-        rooms = [
-            msgspec.structs.replace(room, seat_ms=seat_ms) if room.name == "few" else room
-            for room in base.room_types
+        service_classes = [
+            msgspec.structs.replace(item, seat_ms=seat_ms) if item.name == "few" else item
+            for item in base.room_types
         ]
-        return msgspec.structs.replace(base, room_types=rooms)
+        return msgspec.structs.replace(base, room_types=service_classes)
 
-    def seats(self) -> int:
+    def seat_count(self) -> int:
         return self.front.core.seat_leases.leases.counts[POOL]
 
     def post(self, path: str, body: bytes = b"{}") -> Any:
         return self.player().ask("POST", path, [("Content-Type", "application/json")], body, 5.0)
 
-    def test_one_not_renewed_is_given_back_and_the_next_viewer_has_it(self) -> None:
+    def test_seat_that_is_not_renewed_expires_and_is_available_again(self) -> None:
         ids = [self.ask("few").body["id"] for _ in range(2)]
         assert self.ask("few").status == 503
         socket = SocketPlayer(self.front.door.address, self.clock, random.Random(1))
@@ -176,48 +180,48 @@
         wait_for(renewed, "the end of the other")
         assert self.get(f"/v1/subscriptions/{ids[1]}").status == 410
         assert self.post(f"/v1/subscriptions/{ids[1]}/seat").status == 410
-        assert (self.ask("few").status, self.seats()) == (201, 2)
+        assert (self.ask("few").status, self.seat_count()) == (201, 2)
 
-    def test_a_renewal_with_its_key_is_told_for_how_long(self) -> None:
-        heard = self.ask("few")
-        assert heard.body["seat_for_ms"] <= 700
-        path = f"/v1/subscriptions/{heard.body['id']}/seat"
+    def test_renewal_returns_the_remaining_time(self) -> None:
+        response = self.ask("few")
+        assert response.body["seat_for_ms"] <= 700
+        path = f"/v1/subscriptions/{response.body['id']}/seat"
         first = self.post(path, b'{"key":"k"}')
-        again = self.post(path, b'{"key":"k"}')
-        assert (first.status, again.status) == (200, 200)
-        assert again.body["seat_for_ms"] <= first.body["seat_for_ms"]
+        repeated = self.post(path, b'{"key":"k"}')
+        assert (first.status, repeated.status) == (200, 200)
+        assert repeated.body["seat_for_ms"] <= first.body["seat_for_ms"]
         free = self.ask("free").body
         assert "seat_for_ms" not in free
         assert self.post(f"/v1/subscriptions/{free['id']}/seat").status == 409
 
-    def test_a_front_that_restarts_holding_seats_counts_them_as_before(self) -> None:
+    def test_restarted_front_restores_its_seats(self) -> None:
         self.front.stop()
-        self.settings = self.lasting(60_000.0)
+        self.settings = self.settings_with_seat_duration(60_000.0)
         self.front = self.new_front()
         ids = [self.ask("few").body["id"] for _ in range(2)]
         before = {id: self.front.core.seat_leases.leases.seats[id].expires_wall_us for id in ids}
         self.front.stop()
         self.front = self.new_front()
-        wait_for(lambda: self.seats() == 2, "both seats")
-        after = {id: seat.expires_wall_us for id, seat in self.front.core.seat_leases.leases.seats.items()}
+        wait_for(lambda: self.seat_count() == 2, "both seats")
+        after = {id: lease.expires_wall_us for id, lease in self.front.core.seat_leases.leases.seats.items()}
         assert after == before
         assert self.ask("few").status == 503
 
-    def test_passes_name_titles(self) -> None:
+    def test_access_token_may_be_limited_to_titles(self) -> None:
         assert AccessToken("v", 0, 1).titles == ()
         from fennelcove.decisions.clients.access_tokens import PresentedToken, TokenStatus
         from fennelcove.hints import cmcd
         from fennelcove.ingress.routes import asked_for
         from fennelcove.wire.sessions import SetUp
 
-        held = AccessToken("v", 0, 1, 8, ("other",))
-        found = asked_for(
+        token = AccessToken("v", 0, 1, 8, ("other",))
+        rejection = asked_for(
             self.front.core,
             SetUp(room_type="free", title="t1"),
             cmcd.read({}, {}, None),
-            PresentedToken(TokenStatus.VALID, held),
+            PresentedToken(TokenStatus.VALID, token),
         )
-        assert found == ("not-entitled", "it names other")
+        assert rejection == ("not-entitled", "it names other")
 
 
 if __name__ == "__main__":
