--- a/packages/core/src/fennelcove/core/__init__.py
+++ b/packages/core/src/fennelcove/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core of one front: events of clients and servers in, commands out, under one lock."""
+"""The core of a front: turns events from clients and servers into commands, under one lock."""
--- a/packages/core/src/fennelcove/core/admission.py
+++ b/packages/core/src/fennelcove/core/admission.py
@@ -1,4 +1,4 @@
-"""Admission control of one front: which connections, requests and sessions it accepts."""
+"""Admission control of a front: which connections, requests and sessions it accepts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from fennelcove.placement import PlacementPolicy
 
 AdmissionRule = Callable[[SessionRequest, int], SessionResponse | None]
-"""Rejects a request at a time in microseconds, or passes it on with None."""
+"""Takes a request and the time in microseconds; returns a rejection, or None to accept."""
 
 REJECTION_REASONS = {
     AdmissionDecision.FULL: "this front holds all that it can",
@@ -27,7 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionStatus:
-    """Admission state of a front; the field names are those of its JSON."""
+    """The admission state of a front; the field names are keys of its JSON.
+
+    Attributes:
+        front: The front's name.
+        phase: The state of its admission control.
+        held: The number of sessions.
+        waiting: The number of pending requests.
+    """
 
     front: str
     phase: str
@@ -36,7 +43,7 @@
 
 
 class Admission:
-    """Applies the bounds of the settings and, for requests, the admission rules in their order."""
+    """Applies the configured limits and, to requests, the admission rules in their order."""
 
     def __init__(
         self, context: CoreContext, front_name: str, controller: AdmissionController, policy: PlacementPolicy
@@ -56,7 +63,7 @@
         self._rules.insert(0, rule)
 
     def try_admit(self, kind: AdmissionRequest) -> SessionResponse | None:
-        """Admit and count an entry; the rejection to answer with where it is not admitted."""
+        """Admit and count a connection, request or session; return the rejection if it is not admitted."""
         with self.context.lock:
             decision = self.controller.admit(kind)
             if decision is AdmissionDecision.LET_IN:
@@ -66,7 +73,7 @@
             return SessionResponse(ResponseKind.REJECTED, reason, self.retry_after_us())
 
     def try_admit_request(self, request: SessionRequest, now_us: int) -> SessionResponse | None:
-        """Admit and count a request with the session that it asks for; the caller holds the core's lock."""
+        """Admit and count a request and its session; the caller holds the core's lock."""
         rejection = self.try_admit(AdmissionRequest.REQUEST)
         if rejection is not None:
             return rejection
@@ -89,18 +96,18 @@
         return None
 
     def retry_after_us(self) -> int:
-        """After how long a rejected client should try again; spread at random."""
+        """Return a randomised time after which a rejected client should retry."""
         with self.context.lock:
             draw = self.context.rng.random()
             return self.controller.retry_after_us(draw, self.policy.settings.retry_after_us)
 
     def stop(self) -> None:
-        """Admit nothing from now on: the front shuts down."""
+        """Reject everything from now on, as the front shuts down."""
         with self.context.lock:
             self.controller.apply(AdmissionEvent.STOP)
 
     def change_state(self, event: AdmissionEvent) -> AdmissionStatus:
-        """Drain this front, or open it again, at an operator's command."""
+        """Drain this front or readmit clients, by an operator's command; return the new status."""
         with self.context.lock:
             state = self.controller.apply(event).name.lower()
             self.context.log_event("admission_state_changed", turn=event.name.lower(), phase=state)
@@ -109,25 +116,25 @@
             )
 
     def reserve_buffer(self, more_bytes: int) -> bool:
-        """Count bytes that were read and not processed yet; False where they exceed the bound."""
+        """Count bytes that are read but not processed yet; return False if they exceed the limit."""
         with self.context.lock:
             return self.controller.reserve_buffer(more_bytes)
 
     def effective_timeout_us(self, limit_us: int) -> int:
-        """How long an idle or slow connection may stay open under the present load."""
+        """Return how long an idle or slow connection may stay open under the current load."""
         with self.context.lock:
             return self.controller.connection_timeout_us(limit_us)
 
     def on_connection_closed(self) -> None:
-        """Uncount a connection that was admitted."""
+        """Stop counting a connection that was admitted."""
         with self.context.lock:
             self.controller.on_connection_closed()
 
     def on_request_answered(self, session: Session) -> None:
-        """Uncount an admitted request: its response is ready to be written."""
+        """Stop counting an admitted request, whose response is ready to be written."""
         with self.context.lock:
             self.controller.on_request_answered(self.context.now_us() - session.received_us)
 
     def on_session_closed(self, session: Session) -> None:
-        """Uncount a session."""
+        """Stop counting a session."""
         self.controller.on_session_closed()
--- a/packages/core/src/fennelcove/core/assembly.py
+++ b/packages/core/src/fennelcove/core/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the parts of one core and connects them."""
+"""Creates the components of a core and connects them."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
 
 
 class CoreAssembly:
-    """The parts of one front's core, each handed those that it needs.
+    """The components of a front's core, each constructed with its dependencies.
 
     Attributes:
-        token_keys: keys of the clients' access tokens, the newest first.
-        requires_token: whether clients need an access token.
-        shadow_policy: the policy with the shadow policy beside it; None where none is configured.
+        token_keys: Keys that verify clients' access tokens, the newest first.
+        requires_token: Whether clients need an access token.
+        shadow_policy: The placement policy combined with a shadow policy; None if none is configured.
     """
 
     def __init__(
@@ -258,7 +258,7 @@
         )
 
     def _close_listeners(self) -> tuple[CloseListener, ...]:
-        """Who is notified of a closed session, in this order."""
+        """Return the listeners for closed sessions, in the order in which they are called."""
         return (
             self.admission.on_session_closed,
             self.notifier.on_session_closed,
@@ -277,7 +277,7 @@
         self.expiry.remove(session.id)
 
     def _bind(self) -> None:
-        """Close the circles: these parts call others that need them."""
+        """Set the dependencies that are circular and so cannot be passed to the constructors."""
         self.lifecycle.bind(self.actions.handlers)
         self.server_registry.bind_loss_handler(self.migrations)
         self.effects.bind(
--- a/packages/core/src/fennelcove/core/attempt_results.py
+++ b/packages/core/src/fennelcove/core/attempt_results.py
@@ -1,4 +1,4 @@
-"""Processes the results of a session's attempts until its client has a response."""
+"""Processes the results of set-up attempts until the client has its response."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 AWAITING_RESULT = (SessionState.ATTEMPTING, SessionState.ABANDONED)
 
 ServedListener = Callable[[str, int], None]
-"""Receives the server that served an attempt and when that was sent, in microseconds."""
+"""Called with the server that served an attempt and the time the attempt was sent, in microseconds."""
 
 
 class AttemptResults:
-    """Moves a session on by the result of its attempt, or by the end of the wait for it."""
+    """Advances a session by the result of its attempt, or when nobody waits for that result any more."""
 
     def __init__(
         self,
@@ -36,14 +36,14 @@
         self._served_listener: ServedListener | None = None
 
     def set_served_listener(self, listener: ServedListener) -> None:
-        """Notify this listener of each attempt that a server has served."""
+        """Set the listener for attempts that servers have served."""
         self._served_listener = listener
 
     def on_attempt_completed(self, session: Session, attempt: int, result: AttemptResult) -> NextStep | None:
-        """The pending attempt has ended.
+        """Handle the end of the pending attempt.
 
         Returns:
-            What to do next; None where nobody waits for a response, or the attempt is not the pending one.
+            The next step; None if nobody waits for a response or the attempt is not the pending one.
         """
         with self.context.lock:
             target = session.pending_target
@@ -66,8 +66,8 @@
     def _event_of(self, session: Session, outcome: Outcome, now_us: int) -> SessionEvent:
         if outcome is not Outcome.SERVED:
             return SessionEvent.ATTEMPT_FAILED
-        # At the very instant of the deadline the timeout counts: the client surely still receives that
-        # response.
+        # A result exactly at the deadline counts as late: the rejection is sure to reach the client, as it
+        # still waits.
         return (
             SessionEvent.ATTEMPT_SERVED if now_us < session.deadline_us else SessionEvent.ATTEMPT_SERVED_LATE
         )
@@ -78,12 +78,12 @@
             self._served_listener(server, session.attempt_sent_us)
 
     def on_client_gone(self, session: Session) -> None:
-        """The client closed its connection before the response, or the response could not be written."""
+        """Handle a client that disconnected before its response, or whose response could not be written."""
         with self.context.lock:
             self.lifecycle.apply(session, SessionEvent.CLIENT_DISCONNECTED)
 
     def on_shutdown(self, session: Session) -> NextStep | None:
-        """This front shuts down and waits no longer for the pending attempt; the response, if any."""
+        """Stop waiting for the pending attempt at shutdown; return the response, if there is one."""
         with self.context.lock:
             self.lifecycle.apply(session, SessionEvent.FRONT_STOPPED)
             return session.take_step_if_ready()
--- a/packages/core/src/fennelcove/core/client_notifier.py
+++ b/packages/core/src/fennelcove/core/client_notifier.py
@@ -1,4 +1,4 @@
-"""Notifies client connections of what happens to their sessions; the core's lock guards it."""
+"""Notifies client connections of events of their sessions; the core's lock guards it."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RungNotification:
-    """The session's rung, or its highest one, has changed."""
+    """The session's rung or its highest allowed rung has changed."""
 
     view: SessionView
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationNotification:
-    """Another server plays the session."""
+    """The session has migrated to another server."""
 
     view: SessionView
 
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverNotification:
-    """Another connection owns the session now."""
+    """Another connection has become the session's owner."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ContentNotification:
-    """An author changed what the session plays, or withdrew a change."""
+    """An author's change to the session's content was made or withdrawn."""
 
     id: str
     change_id: str
@@ -70,10 +70,10 @@
 
 
 class Mailbox(Protocol):
-    """One client connection."""
+    """The notification queue of a client connection."""
 
     def put(self, notification: Notification, sequence: int) -> None:
-        """Queue a notification with its number within the session; never blocks."""
+        """Queue a notification with its sequence number within the session; never blocks."""
 
     def __hash__(self) -> int:
         """Hash by identity."""
@@ -81,11 +81,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimResult:
-    """The session that a connection claimed, or why it may not own it.
+    """The result of a connection's claim to a session.
 
     Attributes:
-        sequence: the number of the session's last notification.
-        missed_count: how many notifications the connection has not seen; None where that is unknown.
+        view: The session; None if the claim was denied.
+        sequence: The sequence number of the session's last notification.
+        missed_count: How many notifications the client has not seen; None if that is unknown.
+        reason: Why the claim was denied.
     """
 
     view: SessionView | None
@@ -95,11 +97,12 @@
 
 
 class ClientNotifier:
-    """Knows which connection owns which session.
+    """Tracks which connection owns which session, and sends it the session's notifications.
 
     Attributes:
-        max_sessions: how many sessions one connection may own.
-        requires_token: whether only the client that requested a session may claim it.
+        max_sessions: How many sessions a connection may own.
+        requires_token: Whether only the client that requested a session may claim it.
+        mailboxes: The mailboxes of all open connections.
     """
 
     def __init__(
@@ -122,12 +125,16 @@
         self.mailboxes: set[Mailbox] = set()
 
     def register(self, mailbox: Mailbox) -> None:
-        """A connection opened."""
+        """Add the mailbox of a new connection."""
         with self.context.lock:
             self.mailboxes.add(mailbox)
 
     def unregister(self, mailbox: Mailbox) -> list[str]:
-        """A connection closed; the ids of its sessions, which anybody may claim until they expire."""
+        """Remove the mailbox of a closed connection.
+
+        Returns:
+            The ids of its sessions, which other connections may claim until they expire.
+        """
         with self.context.lock:
             self.mailboxes.discard(mailbox)
             unowned_ids = self.ownerships.on_disconnected(mailbox)
@@ -139,10 +146,10 @@
         """Make a connection the owner of an established session; its former owner is notified.
 
         Args:
-            mailbox: the connection.
-            session_id: the session.
-            client: the client that the connection's token names.
-            seen_sequence: the last notification of that session which the client has seen.
+            mailbox: The connection's mailbox.
+            session_id: The session's id.
+            client: The client that the connection's token names.
+            seen_sequence: The sequence number of the last notification that the client has seen.
         """
         with self.context.lock:
             session = self.lifecycle.find_established(session_id)
@@ -163,7 +170,7 @@
             return ClaimResult(view, ownership.update_count, ownership.missed_updates(seen_sequence))
 
     def release(self, mailbox: Mailbox, session_id: str) -> bool:
-        """Close a session that the connection owns, without a notification; False where it owns none."""
+        """Close a session of a connection without notifying it; return False if it is not the owner."""
         with self.context.lock:
             if not self.owns(mailbox, session_id):
                 return False
@@ -171,32 +178,32 @@
             return self.lifecycle.release(session_id, "released by its viewer")
 
     def on_activity(self, mailbox: Mailbox) -> None:
-        """A connection is alive: its sessions do not expire."""
+        """Reset the expiry of a connection's sessions, as the connection is alive."""
         with self.context.lock:
             now_us = self.context.now_us()
             for session_id in self.ownerships.by_owner.get(mailbox, ()):
                 self.expiry.on_activity(session_id, now_us)
 
     def owns(self, mailbox: Mailbox, session_id: str) -> bool:
-        """Whether a connection owns a session."""
+        """Return whether a connection owns a session."""
         return session_id in self.ownerships.by_owner.get(mailbox, ())
 
-    # Events of the core.
+    # Events from the core.
 
     def on_rung_changed(self, session: Session) -> None:
-        """A session's rung, or its highest one, has changed."""
+        """Notify a session's owner that its rung or highest allowed rung has changed."""
         owner, sequence = self.ownerships.on_update(session.id)
         if owner is not None:
             owner.put(RungNotification(self.views.view_of(session)), sequence)
 
     def on_migrated(self, session: Session) -> None:
-        """Another server plays a session."""
+        """Notify a session's owner that it has migrated to another server."""
         owner, sequence = self.ownerships.on_update(session.id)
         if owner is not None:
             owner.put(MigrationNotification(self.views.view_of(session)), sequence)
 
     def on_session_closed(self, session: Session) -> None:
-        """A session was closed."""
+        """Notify a session's owner that it was closed."""
         ownership = self.ownerships.by_session.get(session.id)
         sequence = ownership.update_count + 1 if ownership is not None else 0
         owner = self.ownerships.on_session_closed(session.id)
@@ -204,7 +211,7 @@
             owner.put(EndNotification(session.id, session.close_reason or "released"), sequence)
 
     def on_content_changed(self, change: Change, state: str) -> None:
-        """An author's change was made, or withdrawn."""
+        """Notify the owners of the sessions that an author's change affects."""
         for session_id in list(self.ownerships.by_session):
             session = self.lifecycle.sessions.get(session_id)
             if session is None:
@@ -216,6 +223,6 @@
                 owner.put(ContentNotification(session_id, change.id, state), sequence)
 
     def on_storm_state_changed(self, state: str) -> None:
-        """The retry-storm state of the front has changed: notify every connection."""
+        """Notify every connection that the front's retry-storm state has changed."""
         for mailbox in self.mailboxes:
             mailbox.put(StormNotification(state), 0)
--- a/packages/core/src/fennelcove/core/client_reports.py
+++ b/packages/core/src/fennelcove/core/client_reports.py
@@ -1,4 +1,4 @@
-"""Processes what clients of established sessions report, and closes sessions of silent clients."""
+"""Processes the reports of established sessions' clients and closes sessions of silent clients."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ClientReports:
-    """Keeps sessions alive and adapts their highest rung to what clients report."""
+    """Handles client reports, which keep sessions alive and limit their rungs."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
     def on_report(
         self, session_id: str, hints: ClientHints, requested_top_rung: int | None = None
     ) -> SessionView | None:
-        """A client reported; its session now, or None where that is not established."""
+        """Handle a client report; return the session, or None if it is not established."""
         with self.context.lock:
             session = self.lifecycle.find_established(session_id)
             if session is None:
@@ -53,7 +53,7 @@
             return self.views.view_of(session)
 
     def _observe(self, session: Session, hints: ClientHints, now_us: int) -> None:
-        """A client that starves counts against its server first, and against its rung otherwise."""
+        """Attribute buffer starvation to the server if its clients agree on it, else to the client's link."""
         server = self._server_of(session)
         starving_share = load_signals.starving_delivered_fraction(hints, session.rates_kb[session.rung])
         if server is not None:
--- a/packages/core/src/fennelcove/core/command_queue.py
+++ b/packages/core/src/fennelcove/core/command_queue.py
@@ -1,4 +1,4 @@
-"""Queues the commands to servers; the core's lock guards it."""
+"""Queues commands to servers; the core's lock guards it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CommandDispatcher:
-    """Queues commands by server and hands them out one at a time."""
+    """Queues commands by server and returns them one at a time."""
 
     def __init__(
         self, context: CoreContext, max_commands: int, gateway: ServerGateway, draining: DrainingServers
@@ -23,30 +23,30 @@
         self.queue = CommandQueue(max_commands)
 
     def send(self, target: AttemptTarget, session: Session, rung: int | None) -> None:
-        """Set the rung of an attempt's server, or release the attempt there where the rung is None."""
+        """Set an attempt's rung at its server; a rung of None releases the attempt there."""
         self.send_to(target.server, session.id, target.attempt, rung)
 
     def send_to(self, server: str, session_id: str, attempt: int, rung: int | None) -> None:
-        """Like `send`, for an attempt whose session may be closed."""
+        """Do as `send` does, for an attempt whose session may be closed."""
         self.enqueue(Command(server, session_id, attempt, rung))
 
     def release_after(self, step: SendAttempt, outcome: Outcome) -> None:
-        """Release an attempt that nobody needs, where its server may hold it after this outcome."""
+        """Release an attempt that is not needed, if its outcome means that the server may serve it."""
         if attempt_exchange.may_need_release(outcome):
             self.send_to(step.server, step.session.id, step.attempt, None)
 
     def enqueue(self, command: Command) -> None:
-        """Queue a command, unless its server drains and its grace period is over."""
+        """Queue a command unless its server is draining past its grace period."""
         if self.draining.may_command(command.server):
             self.queue.add(command)
             self.gateway.on_command_queued()
 
     def next_command(self) -> tuple[Command | None, int | None]:
-        """The next command that may be sent.
+        """Return the next command that may be sent.
 
         Returns:
-            The command, or None and for how long to wait for one, in microseconds (None: until one is
-            queued).
+            The command and None, or None and the microseconds until one may be sent; that time is None while
+            no queued command waits for a retry.
         """
         with self.context.lock:
             now_us = self.context.now_us()
@@ -56,6 +56,6 @@
             return None, self.queue.wait_us(now_us)
 
     def on_command_completed(self, command: Command, *, is_successful: bool) -> None:
-        """A command was carried out, or has failed."""
+        """Handle the success or failure of a command."""
         with self.context.lock:
             self.queue.complete(command, is_successful, self.context.now_us())
--- a/packages/core/src/fennelcove/core/content_insertion.py
+++ b/packages/core/src/fennelcove/core/content_insertion.py
@@ -1,4 +1,4 @@
-"""Changes to titles by their authors, and each player's playlist; the core's lock is held in every call."""
+"""Authors' changes to titles, and each player's playlist; methods acquire the core's lock."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeReach:
-    """A change and its reach.
+    """A change and the number of players that it reaches.
 
     Attributes:
         entry: The change's entry in the ledger.
-        shown: How many players have it in their playlists.
-        ahead: How many have it still before them.
+        shown_count: The number of players that have it in their playlists.
+        ahead_count: The number of players that have not reached its position yet.
     """
 
     entry: LedgerEntry
@@ -59,7 +59,7 @@
 
 
 def configured_media(catalogue: Catalogue) -> dict[str, Media]:
-    """Return the media of the titles that have some, by title."""
+    """Return the configured media by title."""
     all_rungs = tuple(range(len(catalogue.ladder_kb)))
     found = {}
     for _, title in catalogue.titles.values():
@@ -107,7 +107,7 @@
     # Authors.
 
     def author_of_key(self, key: str) -> Author | None:
-        """Return whose key this is; every hash is compared, and each in constant time."""
+        """Return the author with this key, or None; all hashes are compared, each in constant time."""
         hashed = blake3.blake3(key.encode()).hexdigest()
         found = None
         for author in self._authors:
@@ -116,7 +116,7 @@
         return found
 
     def submit(self, change: Change) -> ChangeResult:
-        """Decide on a change; an accepted one is in force at once."""
+        """Validate a change; an accepted one takes effect at once."""
         with self._context.lock:
             result = self.ledger.submit(change, self._validation_context(change.target))
             self._context.increment(f"changes_{result.status.value}")
@@ -137,7 +137,7 @@
         """Restore the changes of an earlier incarnation.
 
         Args:
-            entries: The changes in their order; with each, True where it was made and False where withdrawn.
+            entries: The changes in their order, each with True if it was made and False if it was withdrawn.
         """
         with self._context.lock:
             for change, was_made in entries:
@@ -147,7 +147,7 @@
                     self.ledger.add(change)
 
     def list_changes(self, title: str | None = None) -> list[ChangeReach]:
-        """Return the changes, or those of one title, the oldest first, each with its reach."""
+        """Return all changes, or those of one title, with their reach; the oldest first."""
         with self._context.lock:
             return [
                 self._reach(entry)
@@ -156,7 +156,7 @@
             ]
 
     def _validation_context(self, target: ChangeTarget) -> ValidationContext:
-        """Collect what the ledger has to know of the sessions that a change is meant for."""
+        """Collect what the ledger needs to know of a change's target to validate the change."""
         session = self._lifecycle.sessions.get(target.session_id) if target.session_id else None
         is_playing = target.session_id is None or (session is not None and session.title == target.title)
         player = self.players.get(session.id) if session is not None else None
@@ -165,7 +165,7 @@
         return ValidationContext(self.media, floor, self._context.wall_us(), position, is_playing)
 
     def _highest_floor(self, service_class: str | None) -> int:
-        """Return the highest lowest rung of a service class, or of all classes."""
+        """Return the floor rung of a service class, or the highest one of all classes."""
         floors = [
             known.floor
             for known in self._catalogue.service_classes.values()
@@ -190,12 +190,12 @@
     # Playlists.
 
     def playlist(self, session_id: str, with_interstitials: bool = False) -> MediaListing | None:
-        """Return a player's playlist as of now; None where nothing plays or the title has no media.
+        """Return a player's current playlist; None if the session does not play or its title has no media.
 
         Args:
-            id: The session.
-            apart: Whether the player gets clips as interstitials; its first playlist settles that for as long
-                as it plays.
+            session_id: The session's id.
+            with_interstitials: Whether clips are inserted as interstitials; the first call decides this for
+                the whole session.
         """
         with self._context.lock:
             session = self._lifecycle.find_established(session_id)
@@ -225,7 +225,7 @@
     # Segments.
 
     def locate_segment(self, session_id: str, seq: int) -> Fetch | None:
-        """Return where a player fetches a segment of its playlist; None for one that it was not shown."""
+        """Return where a player fetches a segment; None for one that its playlist has not listed."""
         with self._context.lock:
             session, player = self._lifecycle.sessions.get(session_id), self.players.get(session_id)
             if session is None or player is None:
@@ -240,7 +240,7 @@
             return self._locator.segment(session, shown, tried)
 
     def interstitial_rendition(self, session_id: str, change: str) -> ClipRendition | None:
-        """Return an interstitial's clip and rung; None for one that was not announced to this player."""
+        """Return an interstitial's clip and rung; None if it was not announced to this player."""
         with self._context.lock:
             session, player = self._lifecycle.sessions.get(session_id), self.players.get(session_id)
             entry = self.ledger.entries.get(change)
@@ -258,7 +258,7 @@
             return ClipRendition(clip, rung)
 
     def locate_interstitial_segment(self, session_id: str, change: str, number: int) -> Fetch | None:
-        """Return where a player fetches a segment of an interstitial, once it has the clip's playlist."""
+        """Return where a player fetches a segment of an interstitial; None before it has its playlist."""
         with self._context.lock:
             session, player = self._lifecycle.sessions.get(session_id), self.players.get(session_id)
             entry = self.ledger.entries.get(change)
@@ -273,7 +273,7 @@
             return self._locator.segment(session, shown, tried)
 
     def locate_initialization(self, session_id: str, media: str, rung: int) -> Fetch | None:
-        """Return where a player fetches the initialisation segment of a rendition that it was shown."""
+        """Return where a player fetches a rendition's initialisation segment; None if it was not listed."""
         with self._context.lock:
             session, player = self._lifecycle.sessions.get(session_id), self.players.get(session_id)
             if session is None or player is None:
@@ -286,17 +286,17 @@
     # Sessions.
 
     def resume_playlist(self, session: Session, token: str) -> None:
-        """Resume the playlist of a session of an earlier incarnation, by the token that its server kept."""
+        """Resume the playlist of an earlier incarnation's session from the token that its server stored."""
         track = resume_tokens.decode(token)
         if track is not None and session.title in self.media:
             self.players[session.id] = Player(track)
 
     def on_session_closed(self, session: Session) -> None:
-        """Forget the player of a session that has ended."""
+        """Remove the player of a session that has ended."""
         self.players.pop(session.id, None)
 
     def _save_resume_token(self, session: Session, track: PlaylistTrack) -> None:
-        """Have the session's server store how far the playlist is."""
+        """Have the session's server store a token of the playlist's position."""
         if session.current_target is not None and not session.is_orphaned:
             target = session.current_target
             token = resume_tokens.encode(track)
--- a/packages/core/src/fennelcove/core/context.py
+++ b/packages/core/src/fennelcove/core/context.py
@@ -1,4 +1,4 @@
-"""What every part of the core shares: clock, timers, log, random numbers, lock, counters and catalogue."""
+"""State that all components of the core share: clock, timers, log, lock, counters, catalogue."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class CoreContext:
-    """The environment of one core.
+    """The environment of a core.
 
     Attributes:
-        lock: guards every part of the core.
-        counts: how often each counted event happened.
+        lock: Guards the state of all components.
+        counts: Event counters by name.
     """
 
     clock: Clock
@@ -29,15 +29,15 @@
     counts: dict[str, int] = field(default_factory=dict)
 
     def now_us(self) -> int:
-        """The time of the monotonic clock, in microseconds."""
+        """Return the time of the monotonic clock in microseconds."""
         return self.clock.now_us()
 
     def wall_us(self) -> int:
-        """The time of the wall clock, in microseconds since the epoch."""
+        """Return the time of the wall clock in microseconds since the epoch."""
         return self.clock.wall_us()
 
     def increment(self, name: str) -> None:
-        """Count an event for the operators' status."""
+        """Increment an event counter of the status."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
 
@@ -45,8 +45,9 @@
     """Service classes and titles by name, and the rates of the bitrate ladder.
 
     Attributes:
-        titles: each title with its number in the settings.
-        ladder_kb: the rate of each rung in kB a second, before the scale of a service class.
+        titles: Each title with its index in the settings, by name.
+        ladder_kb: The rate of each rung in kB per second, before it is scaled for a service class.
+        cell_count: The number of cells of the fleet.
     """
 
     def __init__(self, settings: FrontSettings) -> None:
@@ -60,6 +61,6 @@
         self.cell_count = settings.fleet.cells
 
     def rates_kb(self, service_class: str) -> tuple[float, ...]:
-        """The rate of each rung for a service class, in kB a second."""
+        """Return the rate of each rung for a service class, in kB per second."""
         scale = self.service_classes[service_class].scale
         return tuple(scale * kb for kb in self.ladder_kb)
--- a/packages/core/src/fennelcove/core/core.py
+++ b/packages/core/src/fennelcove/core/core.py
@@ -1,7 +1,7 @@
-"""The core of one front: receives events from clients and servers and answers with commands.
+"""The core of a front: handles events from clients and servers and issues commands.
 
-Every event passes through one lock; apart from it only a request blocks, while the placement policy probes
-servers. What follows from an event is decided by the policy and by the tables in `fennelcove.decisions`.
+One lock serialises all events. Of the event handlers only a session request blocks for longer, while the
+placement policy probes servers. The policy and the state tables in `fennelcove.decisions` make the decisions.
 """
 
 from __future__ import annotations
@@ -16,59 +16,59 @@
 
 
 class Core(CoreAssembly):
-    """The facade of one front's core: the events of a session, and its optional features."""
+    """The facade of a front's core: session events and optional features."""
 
     # Optional features.
 
     def use_slots(self, scheduler: SlotScheduler) -> None:
-        """Let attempts wait for slots of this scheduler."""
+        """Queue session requests with this scheduler until a slot is free."""
         self.slots.scheduler = scheduler
         self.status_reporter.add_section("fair", scheduler.status)
 
     def use_retry_budget(self, budget: RetryBudget) -> None:
-        """Send retries only as far as this budget allows."""
+        """Limit retries to this budget."""
         self.effects.set_retry_budget(budget)
 
-    # The course of one session.
+    # Session events.
 
     def request_session(self, request: SessionRequest) -> RequestOutcome:
-        """A client requests a session; see `SessionRequests.on_request`."""
+        """Handle a client's session request; see `SessionRequests.on_request`."""
         return self.requests.on_request(request)
 
     def on_attempt_completed(self, session: Session, attempt: int, result: AttemptResult) -> NextStep | None:
-        """An attempt has ended; see `AttemptResults.on_attempt_completed`."""
+        """Handle the end of an attempt; see `AttemptResults.on_attempt_completed`."""
         return self.attempts.on_attempt_completed(session, attempt, result)
 
     def on_client_gone(self, session: Session) -> None:
-        """The client does not wait for its response any more."""
+        """Handle a client that no longer waits for its response."""
         self.attempts.on_client_gone(session)
 
     def on_shutdown(self, session: Session) -> NextStep | None:
-        """This front shuts down while an attempt is pending; the response, if any."""
+        """Stop waiting for a pending attempt at shutdown; return the response, if there is one."""
         return self.attempts.on_shutdown(session)
 
     def on_response_ready(self, session: Session) -> None:
-        """The response to an admitted request is ready to be written."""
+        """Handle that the response to an admitted request is ready to be written."""
         self.admission.on_request_answered(session)
 
     def discard(self, session: Session) -> None:
-        """Remove every trace of a session that failed."""
+        """Remove all state of a session whose processing failed."""
         self.requests.discard(session)
 
     def on_client_report(
         self, session_id: str, hints: ClientHints, requested_top_rung: int | None = None
     ) -> SessionView | None:
-        """A client reported; its session now, or None where that is not established."""
+        """Handle a client report; return the session, or None if it is not established."""
         return self.client_reports.on_report(session_id, hints, requested_top_rung)
 
     def release(self, session_id: str, reason: str) -> bool:
-        """Close an established session; False where there is none of that id."""
+        """Close an established session; return False if there is none with that id."""
         return self.lifecycle.release(session_id, reason)
 
     def close_reason(self, session_id: str) -> str | None:
-        """Why a session was closed, where that is still known."""
+        """Return why a session was closed, or None if that is no longer known."""
         return self.lifecycle.close_reason(session_id)
 
     def status(self) -> FrontStatus:
-        """Figures for an operator."""
+        """Return the status that operators see."""
         return self.status_reporter.collect()
--- a/packages/core/src/fennelcove/core/draining_servers.py
+++ b/packages/core/src/fennelcove/core/draining_servers.py
@@ -1,4 +1,4 @@
-"""Which servers drain or have left, and since when; the core's lock guards it."""
+"""Tracks which servers drain or have left, and since when; the core's lock guards it."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainChange:
-    """What a new endpoint list means for the sessions of one server."""
+    """The migration event of a server's sessions that a new endpoint list causes."""
 
     address: str
     event: MigrationEvent
 
 
 class DrainingServers:
-    """Remembers servers that should receive no new work.
+    """The servers that should receive no new sessions.
 
     Attributes:
-        grace_us: for how long a draining server still receives commands.
+        grace_us: How long a draining server still receives commands.
     """
 
     def __init__(self, context: CoreContext, grace_us: int) -> None:
@@ -33,11 +33,11 @@
         self._departed: set[str] = set()
 
     def is_draining(self, server: str) -> bool:
-        """Whether a server drains or has left."""
+        """Return whether a server drains or has left."""
         return server in self._since_us
 
     def may_command(self, server: str) -> bool:
-        """Whether commands may still be sent to a server: not after its grace period."""
+        """Return whether commands may be sent to a server: not if it drains past its grace period."""
         since_us = self._since_us.get(server)
         return since_us is None or self.context.now_us() - since_us < self.grace_us
 
@@ -45,7 +45,7 @@
         """Record a new endpoint list, server by server.
 
         Yields:
-            One change as soon as it is recorded; changes of later servers are not recorded yet.
+            Each change as soon as it is recorded, while those of later servers are not recorded yet.
         """
         for address, server in servers.items():
             event = self._update_server(address, server.state, now_us)
--- a/packages/core/src/fennelcove/core/endpoint_discovery.py
+++ b/packages/core/src/fennelcove/core/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Applies updates of the endpoint list; the core's lock guards it."""
+"""Applies updates of the endpoint list; acquires the core's lock."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from fennelcove.placement import PlacementPolicy
 
 UpdateFilter = Callable[[ListUpdate], ListUpdate]
-"""Changes a list update before the policy receives it."""
+"""Modifies a list update before the policy receives it."""
 
 
 class EndpointDiscovery:
-    """Keeps the endpoint list in force and passes on each accepted update."""
+    """Tracks the endpoint list in force and distributes accepted updates."""
 
     def __init__(
         self,
@@ -41,22 +41,22 @@
         self._update_filter: UpdateFilter | None = None
 
     def set_update_filter(self, update_filter: UpdateFilter) -> None:
-        """Pass each accepted update through this filter."""
+        """Set the filter that accepted updates pass through."""
         self._update_filter = update_filter
 
     @property
     def version(self) -> int | None:
-        """The version of the list in force; None before the first."""
+        """The version of the list in force; None before the first list."""
         return self.tracker.version
 
     def age_ms(self) -> float | None:
-        """For how long the list has been in force; None before the first."""
+        """Return for how long the list has been in force; None before the first list."""
         if self.tracker.version is None:
             return None
         return (self.context.now_us() - self.accepted_us) / 1000
 
     def on_list(self, message: EndpointListUpdate) -> ListDecision:
-        """The list service sent a list, or changes to one."""
+        """Handle a list, or changes to it, from the list service."""
         with self.context.lock:
             is_first = self.tracker.version is None
             result = self.tracker.apply(message)
@@ -83,6 +83,6 @@
         self.context.log_event("endpoint_list_accepted", version=version, boxes=len(update.entries))
 
     def on_list_unavailable(self) -> None:
-        """A call to the list service, or its stream, failed."""
+        """Handle the failure of a call to the list service or of its stream."""
         with self.context.lock:
             self.policy.handle(ListUpdate(ListMode.FAILED, ()), self.context.now_us())
--- a/packages/core/src/fennelcove/core/front_incarnations.py
+++ b/packages/core/src/fennelcove/core/front_incarnations.py
@@ -1,4 +1,4 @@
-"""What the other fronts know of incarnations; a front's number grows each time it starts."""
+"""The known incarnations of fronts; a front's incarnation number increases with each start."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontIncarnations:
-    """Incarnations of fronts.
+    """The incarnations of all fronts.
 
     Attributes:
         own: This front's incarnation; 0 without peers.
-        latest_before: The latest incarnation under this front's index that was known before it; 0 for none.
-        by_front: The known incarnation of each front by index; 0 where nothing was heard of it.
+        latest_before: The latest earlier incarnation of this front that peers reported; 0 if there is none.
+        by_front: The known incarnation of each front by index; 0 if the front has not been heard from.
     """
 
     own: int = 0
--- a/packages/core/src/fennelcove/core/front_status.py
+++ b/packages/core/src/fennelcove/core/front_status.py
@@ -1,4 +1,4 @@
-"""The status of one front, for its operators."""
+"""The status of a front, for operators."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from fennelcove.decisions.operators.shadow_policy import ShadowedPolicy
 
 StatusSection = Callable[[], object]
-"""Makes one section of the status, ready for JSON."""
+"""Returns a section of the status, ready to be encoded as JSON."""
 
 
 @dataclass(frozen=True, slots=True)
 class FrontStatus:
-    """Figures of one front.
+    """The status of a front.
 
     Attributes:
-        boot_id: the id of this incarnation.
-        counts: how often each counted event happened.
-        shadow_decisions: how the shadow policy would have decided; None without one.
-        sections: figures of the optional features in use, by name.
+        boot_id: The id of this incarnation.
+        counts: Event counters by name.
+        shadow_decisions: Counts of the shadow policy's decisions; None without a shadow policy.
+        sections: The sections of optional features, by name.
     """
 
     front: str
@@ -46,7 +46,7 @@
     sections: dict[str, object]
 
     def to_json_fields(self) -> dict[str, object]:
-        """The status under the names, and in the order, of its JSON."""
+        """Return the status with the field names and the field order of its JSON."""
         return {
             "front": self.front,
             "boot": self.boot_id,
@@ -67,7 +67,7 @@
 
 
 class StatusReporter:
-    """Collects the status from the parts of the core and from optional features."""
+    """Collects the status from the core's components and from optional features."""
 
     def __init__(
         self,
@@ -95,11 +95,11 @@
         self._sections: dict[str, StatusSection] = {}
 
     def add_section(self, name: str, section: StatusSection) -> None:
-        """Add a section under this name, after those added before."""
+        """Append a section with this name."""
         self._sections[name] = section
 
     def collect(self) -> FrontStatus:
-        """The status now."""
+        """Return the current status."""
         with self.context.lock:
             shadow_policy = self.shadow_policy
             return FrontStatus(
--- a/packages/core/src/fennelcove/core/health_check_coordinator.py
+++ b/packages/core/src/fennelcove/core/health_check_coordinator.py
@@ -1,4 +1,4 @@
-"""Checks the health of servers together with the other fronts; takes the core's lock."""
+"""Health checks of servers, shared with the other fronts; acquires the core's lock."""
 
 from __future__ import annotations
 
@@ -18,13 +18,19 @@
 )
 from fennelcove.interface import Outcome, ProbeCompleted
 
-CHECK_INTERVAL_US = 100_000  # interval of calls of `look`
+CHECK_INTERVAL_US = 100_000  # interval at which `run_checks` is called
 UNANSWERED = (Outcome.NO_ANSWER, Outcome.NO_CONNECTION, Outcome.CONNECTION_LOST)
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckStatus:
-    """The `watchers` section of the status; the field names are keys of the status JSON."""
+    """The `watchers` section of the status; the field names are keys of the status JSON.
+
+    Attributes:
+        gone: The servers that the fronts agree are down.
+        probes: The number of probes started.
+        kept_away: How often a server was rejected for an attempt because it is down.
+    """
 
     gone: list[str]
     probes: int
@@ -34,8 +40,9 @@
 class HealthCheckCoordinator:
     """One front's health checks.
 
-    The owner assigns `post` (sends a report to the other fronts) and `ask` (starts a probe of a server; False
-    where it cannot). It calls `look` every `LOOK_US`, and `probed` once for each probe that was started.
+    The owner assigns `broadcast` (sends a report to the other fronts) and `start_probe` (starts a probe of a
+    server; returns False if it cannot). It calls `run_checks` every `CHECK_INTERVAL_US`, and
+    `on_probe_completed` once for each probe that was started.
     """
 
     def __init__(
@@ -58,16 +65,16 @@
         self._lock = lock
         self._log = log
         self._servers: dict[int, str] = {}  # the listed servers by key
-        self._down: set[str] = set()  # servers that the fronts agreed were gone, at the last look
+        self._down: set[str] = set()  # servers that the fronts agreed were down, at the last check
         self._probe_count = 0
         self._rejection_count = 0
         self.broadcast: Callable[[HealthReport], None] = lambda _report: None
         self.start_probe: Callable[[str], bool] = lambda _server: False
 
     def run_checks(self) -> None:
-        """Start the probes that are due; returns without waiting for them.
+        """Start the probes that are due and return without waiting for them.
 
-        A probe that cannot be started is left out: the other fronts that check the server make up for it.
+        A probe that cannot be started is skipped, as other fronts check the same server.
         """
         with self._lock:
             now_us = self._clock.now_us()
@@ -80,7 +87,7 @@
             self._probe_count += is_started
 
     def _update_down(self, live_fronts: list[int], now_us: int) -> None:
-        """Update which servers the fronts agree are gone, and log the changes."""
+        """Update the servers that the fronts agree are down, and log the changes."""
         down = {
             server for server in self._servers.values() if self._checks.is_down(server, live_fronts, now_us)
         }
@@ -113,7 +120,7 @@
                 self._checks.on_report(sender, server, is_unhealthy, report.sequence, now_us)
 
     def on_attempt_ended(self, server: str, outcome: Outcome) -> None:
-        """Count the end of an attempt of this front at a server."""
+        """Handle the end of an attempt of this front at a server."""
         with self._lock:
             now_us = self._clock.now_us()
             if outcome is Outcome.SERVED:
@@ -123,7 +130,7 @@
             self.broadcast(report)
 
     def may_use_server(self, id: str, server: str) -> bool:
-        """Return whether an attempt may go to a server, as `PlacementPolicy.free` asks."""
+        """Return whether the policy may send an attempt to a server."""
         with self._lock:
             is_down = self._checks.is_down(server, self._live_fronts(), self._clock.now_us())
             self._rejection_count += is_down
--- a/packages/core/src/fennelcove/core/idempotency_store.py
+++ b/packages/core/src/fennelcove/core/idempotency_store.py
@@ -1,4 +1,4 @@
-"""Recognises repeated requests by their idempotency keys; the core's lock guards it."""
+"""Recognises repeated requests by their idempotency keys; acquires the core's lock."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from fennelcove.interface import Effect
 from fennelcove.placement import PlacementPolicy
 
-KEY_PREFIX = b"repeat/"  # of stored idempotency keys
+KEY_PREFIX = b"repeat/"  # of idempotency keys in the store
 RETRY_AFTER_US = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class KnownResponse:
-    """The response to a repeated request, with the session that the first one established."""
+    """The response to a repeated request, with the session that the first request established, if any."""
 
     session: Session | None
     response: SessionResponse
 
 
 class IdempotencyStore:
-    """The idempotency keys of one front."""
+    """The idempotency keys of a front."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self.table = IdempotencyTable()
 
     def find_response(self, request: SessionRequest) -> KnownResponse | None:
-        """The response to a request whose key is known; None where the request is to be run."""
+        """Return the response to a request whose key is known; None if the request is to be run."""
         if not request.idempotency_key:
             return None
         with self.context.lock:
@@ -67,7 +67,7 @@
         if action is KeyAction.SHOW and session is not None:
             return KnownResponse(session, SessionResponse(ResponseKind.PLAYING, ""))
         if action is KeyAction.SHOW and not self.recovery.is_settled:
-            # Its server may still report the session to this incarnation.
+            # The session's server may not have reported it to this incarnation yet.
             return _rejection(ResponseKind.REJECTED, "this front has just started", RETRY_AFTER_US)
         return _rejection(ResponseKind.KEY_SPENT, "the set-up under this key has played and ended")
 
@@ -80,7 +80,7 @@
     def on_response(
         self, request: SessionRequest, session: Session | None, response: SessionResponse | None
     ) -> None:
-        """A request has ended, with its response or, where nobody waits for one, with None."""
+        """Handle the end of a request; the response is None if nobody waits for it."""
         if not request.idempotency_key:
             return
         with self.context.lock:
@@ -99,23 +99,23 @@
         return KeyEvent.OUTCOME_UNKNOWN
 
     def _is_repeatable(self, request: SessionRequest) -> bool:
-        """Whether a set-up of the request's service class may run twice."""
+        """Return whether a set-up of the request's service class may run twice."""
         service_class = self.policy.settings.service_classes[request.service_class]
         return service_class.effect is not Effect.SINGLE_SHOT
 
     def on_session_closed(self, session: Session) -> None:
-        """Mark the session's key, if it has one, as spent."""
+        """Mark the session's key, if it has one, as used up."""
         self.table.on_session_closed(session.id, self.context.wall_us())
 
     def persisted_entries(self) -> list[tuple[bytes, bytes]]:
-        """The idempotency keys, as keys and values for the store."""
+        """Return the idempotency keys as keys and values for the store."""
         return [
             (KEY_PREFIX + f"{client}\0{key}".encode(), value)
             for (client, key), value in self.table.encode_entries()
         ]
 
     def restore(self, values: Mapping[bytes, bytes]) -> int:
-        """Read stored keys; how many of them are still valid."""
+        """Restore stored keys; return how many of them are still valid."""
         wall_us = self.context.wall_us()
         restored_count = 0
         for name, value in values.items():
--- a/packages/core/src/fennelcove/core/learned_limit_messages.py
+++ b/packages/core/src/fennelcove/core/learned_limit_messages.py
@@ -1,4 +1,4 @@
-"""Encoding and dispatch of the messages by which fronts agree on concurrency limits."""
+"""Encodes and dispatches the messages by which fronts agree on concurrency limits."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """The effect of a received message.
 
     Attributes:
-        reply: The encoded answer to send to the sender, if there is one.
+        reply: The encoded reply to the sender, if there is one.
         has_more_capacity: Whether this front may have more attempts in flight than before.
     """
 
@@ -38,7 +38,7 @@
         self._replica = replica
 
     def encode_window(self, messages: Sequence[LimitReport], now_us: int) -> list[OutgoingMessage]:
-        """Encode a window's messages, then start notices for the fronts that have not confirmed one yet."""
+        """Encode a window's messages, and start notices for fronts that have not acknowledged one yet."""
         replica = self._replica
         outgoing = []
         for front in sorted({recipient for message in messages for recipient in message.recipients}):
@@ -52,7 +52,7 @@
         return outgoing
 
     def on_message(self, sender: int, payload: bytes, now_us: int) -> MessageOutcome | None:
-        """Apply a message of one of `limit_messages.KINDS`; None where it is malformed."""
+        """Apply a message of one of `limit_messages.KINDS`; return None if it is malformed."""
         kind = payload[0] if payload else 0
         if kind in (limit_messages.COUNTS_REPORT, limit_messages.LIMIT_VOTES):
             return self._on_observations(sender, payload, now_us)
@@ -65,7 +65,7 @@
         if decoded is None:
             return None
         incarnation, sequence, messages = decoded
-        # A list, not a generator: every message is applied, also after the first that changes something.
+        # A list, not a generator: `any` would otherwise skip the messages after the first change.
         changes = [
             self._replica.on_report(sender, incarnation, sequence, message, now_us) for message in messages
         ]
--- a/packages/core/src/fennelcove/core/learned_limit_snapshots.py
+++ b/packages/core/src/fennelcove/core/learned_limit_snapshots.py
@@ -1,4 +1,4 @@
-"""Persisted concurrency limits: what a front stores of each server's limit and restores after a restart."""
+"""Persists the servers' concurrency limits and restores them after a front's restart."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LimitSnapshots:
-    """Stored limits by server address; the caller holds the lock."""
+    """Restored limits by server address; the caller holds the lock."""
 
     def __init__(self, replica: Replica, clock: Clock) -> None:
         self._replica = replica
@@ -22,7 +22,7 @@
         self._unclaimed: dict[str, bytes] = {}  # restored records whose servers are not listed yet
 
     def restore(self, values: Mapping[bytes, bytes]) -> None:
-        """Take over the records of the previous incarnation; each waits until its server is listed."""
+        """Load the records of the previous incarnation; each is retained until its server is listed."""
         self._unclaimed = {
             key[len(persisted.KEY_PREFIX) :].decode("utf-8", "replace"): record
             for key, record in values.items()
@@ -30,7 +30,7 @@
         }
 
     def claim(self, address: str, kind: str, started_us: int, now_us: int) -> int | None:
-        """Remove a server's record and return its limit; None where there is none that still applies."""
+        """Remove a server's record and return its limit; None if no record still applies."""
         record = self._unclaimed.pop(address, None)
         if record is None:
             return None
@@ -41,7 +41,7 @@
     def records(self, server_keys: Mapping[str, int]) -> list[tuple[bytes, bytes]]:
         """Return the store records of listed servers.
 
-        Times are rounded, so that a record changes at most once a minute while its limit stays.
+        Times are rounded so that a record changes at most once a minute while its limit is unchanged.
         """
         now_us, wall_us = self._clock.now_us(), self._clock.wall_us()
         records = []
--- a/packages/core/src/fennelcove/core/learned_limit_status.py
+++ b/packages/core/src/fennelcove/core/learned_limit_status.py
@@ -14,7 +14,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLimitStatus:
-    """One server's concurrency limit; the field names are keys of the status JSON."""
+    """One server's concurrency limit; the field names are keys of the status JSON.
+
+    Attributes:
+        whole: The limit for all fronts together.
+        stands: The state of the fronts' agreement on the limit.
+        phase: The state of the adaptive limit; None if this front does not evaluate the server.
+        gradient: The last latency gradient; None if this front does not evaluate the server.
+        here: How many attempts this front may have in flight.
+        out: How many attempts it has in flight.
+        waiting: The number of requests that wait for a slot.
+        borrowed: The number of loans of quota from other fronts.
+        lent: The number of loans of quota to other fronts.
+        links: The number of connections to keep open.
+        holds_ms: The median service time of each workload shape.
+    """
 
     whole: int
     stands: str
@@ -31,7 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitStatus:
-    """All listed servers' limits; the field names are keys of the status JSON."""
+    """The limits of the listed servers; the field names are keys of the status JSON.
+
+    Attributes:
+        uncleared: The number of fronts that have not acknowledged this front's incarnation.
+        boxes: The limit of each server by address.
+    """
 
     uncleared: int
     boxes: dict[str, ServerLimitStatus]
@@ -40,7 +59,7 @@
 def limit_status(
     replica: Replica, server_keys: Mapping[str, int], service_classes: tuple[str, ...], now_us: int
 ) -> LimitStatus:
-    """Collect the figures of the first servers by address, at most `MAX_SERVERS_SHOWN`."""
+    """Collect the limits of the first `MAX_SERVERS_SHOWN` servers by address."""
     shown = sorted(server_keys.items())[:MAX_SERVERS_SHOWN]
     servers = {
         address: _server_status(replica.servers[server_key], replica, service_classes, now_us)
--- a/packages/core/src/fennelcove/core/learned_limits.py
+++ b/packages/core/src/fennelcove/core/learned_limits.py
@@ -1,7 +1,7 @@
-"""Concurrency limits of servers, learned together with the other fronts.
+"""Adaptive concurrency limits of servers, learned jointly with the other fronts.
 
-The replica of `fennelcove.concurrency_limits` decides; this module gives it the listed servers, the
-attempts of this front and the other fronts' messages, under the core's lock.
+The replica of `fennelcove.concurrency_limits` decides; this module passes it the listed servers, this
+front's attempts and the other fronts' messages, under the core's lock.
 """
 
 from __future__ import annotations
@@ -24,8 +24,10 @@
 from fennelcove.core.requests import EventLogger
 from fennelcove.settings.schema import Instance, RoomTypeSettings, SlotSettings
 
-QUOTA_EXCHANGE_INTERVAL_US = quota_loans.REQUEST_INTERVAL_US  # interval of requests for quota and of returns
-LIST_REFRESH_US = 20_000  # least interval between two reads of the server list
+QUOTA_EXCHANGE_INTERVAL_US = (
+    quota_loans.REQUEST_INTERVAL_US
+)  # interval at which quota is requested and returned
+LIST_REFRESH_US = 20_000  # minimum interval between two reads of the server list
 LOGGED_ACTIONS = (
     LimitAction.RISE,
     LimitAction.FALL,
@@ -37,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A server as the endpoint list has it now.
+    """A server on the current endpoint list.
 
     Attributes:
         address: Its address.
         kind: Its hardware kind.
-        born_us: When it started, by this front's monotonic clock; 0 for long ago.
-        cold: Whether it is in slow start.
+        started_us: When it started, by this front's monotonic clock; 0 for long ago.
+        is_warming_up: Whether it is in slow start.
     """
 
     address: str
@@ -55,10 +57,10 @@
 class LearnedLimits:
     """One front's part in the fleet's concurrency limits.
 
-    The owner assigns the callbacks `servers` (lists the servers), `post` (sends an encoded message to a
-    front), `changed` (this front may have more attempts in flight) and `soon` (schedules `trade` before its
-    time). It calls `window` every `latency_histogram.WINDOW_US` and `trade` every `TRADE_US`, both without
-    the lock.
+    The owner assigns the callbacks `list_servers`, `send` (sends an encoded message to a front),
+    `on_capacity_increased` (this front may have more attempts in flight) and `schedule_quota_exchange`
+    (schedules an early `exchange_quota`). It calls `close_window` every `latency_histogram.WINDOW_US` and
+    `exchange_quota` every `QUOTA_EXCHANGE_INTERVAL_US`, both without the lock.
     """
 
     def __init__(
@@ -93,7 +95,7 @@
         self._snapshots = LimitSnapshots(self.replica, clock)
         self._listed_us = -LIST_REFRESH_US
         self._warming_up: frozenset[str] = frozenset()
-        self._queued: dict[str, int] = {}  # requests waiting at each server, where there is a queue
+        self._queued: dict[str, int] = {}  # requests waiting at each server, if they are queued
         self._rejected: dict[str, int] = {}  # attempts without a slot in this window, by server
         self._logged_counts: dict[LimitAction, int] = {}
         self.list_servers: Callable[[], Iterable[ListedServer]] = lambda: ()
@@ -101,7 +103,7 @@
         self.on_capacity_increased: Callable[[], None] = lambda: None
         self.schedule_quota_exchange: Callable[[], object] = lambda: None
 
-    # Attempts of this front; the lock may be held or not.
+    # Attempts of this front; callers may hold the lock, which is reentrant.
 
     def workload_shape(self, service_class: str, rung: int, server: str) -> int:
         """Return the workload shape of an attempt at a server."""
@@ -109,9 +111,9 @@
         return shape_of(number, rung, self._rung_count, server not in self._warming_up)
 
     def has_free_slot(self, server: str) -> bool:
-        """Return whether an attempt may start there now, however long it lasts.
+        """Return whether an attempt of any duration may start at a server now.
 
-        A refusal counts as demand, so that this front requests quota from the others.
+        A rejection counts as demand, so that this front requests quota from the others.
         """
         with self._lock:
             server_key = self._server_key(server)
@@ -127,7 +129,7 @@
         return False
 
     def try_acquire(self, server: str, shape: int, allow_us: int) -> bool:
-        """Acquire a slot for an attempt that lasts `allow_us` at most; return False where none is free."""
+        """Acquire a slot for an attempt that lasts `allow_us` at most; return False if none is free."""
         with self._lock:
             server_key = self.server_keys.get(server)
             if server_key is None:
@@ -146,9 +148,9 @@
         Args:
             server: The server's address.
             shape: The attempt's workload shape.
-            held_us: For how long it held its slot.
-            answered: False where the server did not answer in time; None where the end shows nothing of its
-                latency.
+            held_us: How long it occupied its slot.
+            answered: False if the server did not answer in time; None if the result says nothing about the
+                server's latency.
         """
         with self._lock:
             server_key = self.server_keys.get(server)
@@ -156,9 +158,9 @@
                 self.replica.on_attempt_ended(server_key, shape, held_us, answered)
 
     def max_in_flight(self, server: str, allow_us: int) -> int:
-        """Return how many attempts this front may have in flight at a server, those in flight included.
+        """Return how many attempts this front may have in flight at a server, including current ones.
 
-        The next may last `allow_us`. A server that is not listed takes none.
+        The next attempt may last `allow_us`. The limit of an unlisted server is 0.
         """
         with self._lock:
             server_key = self._server_key(server)
@@ -173,7 +175,7 @@
         self._publish_demand(server)
 
     def target_connection_count(self, server: str) -> int:
-        """Return how many connections to keep to a server, idle ones included."""
+        """Return how many connections to keep open to a server, including idle ones."""
         with self._lock:
             server_key = self.server_keys.get(server)
             return (
@@ -181,20 +183,20 @@
             )
 
     def median_hold_us(self, server: str, shape: int) -> int | None:
-        """Return the median time that such an attempt holds its slot; None where it is not known."""
+        """Return the median time that attempts of a shape occupy their slots; None if it is not known."""
         with self._lock:
             median_us = self.replica.median_service_us(self.server_keys.get(server, -1), shape)
             return None if median_us is None else round(median_us)
 
     def _server_key(self, server: str) -> int | None:
-        """Return a server's key, also where it was listed after the last window; None for an unlisted one."""
+        """Return a server's key, rereading the server list if need be; None for an unlisted server."""
         now_us = self.clock.now_us()
         if server not in self.server_keys and now_us - self._listed_us >= LIST_REFRESH_US:
             self._refresh_servers(now_us)
         return self.server_keys.get(server)
 
     def _publish_demand(self, server: str) -> None:
-        """Set the demand: requests in the queue, or those refused in this window where there is no queue."""
+        """Report demand: the queued requests, or those rejected in this window if there is no queue."""
         with self._lock:
             server_key = self.server_keys.get(server)
             if server_key is None:
@@ -205,7 +207,7 @@
         if has_grown:
             self.schedule_quota_exchange()
 
-    # Timers; without the lock.
+    # Periodic calls; callers do not hold the lock.
 
     def close_window(self) -> None:
         """Close an observation window: adjust the limits and send the result to the other fronts."""
@@ -228,14 +230,14 @@
             self.on_capacity_increased()
 
     def exchange_quota(self) -> None:
-        """Request quota that is short, and return what is not needed."""
+        """Request quota that is short and return quota that is not needed."""
         with self._lock:
             outgoing = self.replica.exchange_slots(self._rng.random(), self.clock.now_us())
         for front, server_key, message in outgoing:
             self.send(front, limit_messages.encode_slot_message(server_key, message))
 
     def _refresh_servers(self, now_us: int) -> None:
-        """Bring the replica's servers in line with the endpoint list."""
+        """Update the replica's servers to match the endpoint list."""
         server_keys: dict[str, int] = {}
         warming_up = []
         for server in self.list_servers():
@@ -254,7 +256,7 @@
         self._queued = {server: count for server, count in self._queued.items() if server in server_keys}
 
     def _log_actions(self) -> None:
-        """Log how often limits were adjusted since the last window, at servers that this front evaluates."""
+        """Log how often limits were adjusted since the last window, for servers that this front evaluates."""
         counts: dict[LimitAction, int] = {}
         for server in self.replica.servers.values():
             if server.adaptive_limit is not None:
@@ -266,7 +268,7 @@
                 self._log("concurrency_limits_adjusted", act=action.name.lower(), boxes=increase)
         self._logged_counts = counts
 
-    # Messages of other fronts; without the lock.
+    # Messages from other fronts; callers do not hold the lock.
 
     def on_message(self, sender: int, payload: bytes) -> bool:
         """Handle a message of one of `limit_messages.KINDS`; return whether it was well formed."""
@@ -283,7 +285,7 @@
     # Persistence and status.
 
     def restore(self, values: Mapping[bytes, bytes]) -> None:
-        """Take over what the previous incarnation stored; each limit waits until its server is listed."""
+        """Load the limits of the previous incarnation; each is retained until its server is listed."""
         with self._lock:
             self._snapshots.restore(values)
 
--- a/packages/core/src/fennelcove/core/load_shedding_coordinator.py
+++ b/packages/core/src/fennelcove/core/load_shedding_coordinator.py
@@ -1,4 +1,4 @@
-"""Sheds load by the figures of the whole fleet; takes the core's lock."""
+"""Load shedding by the load of the whole fleet; acquires the core's lock."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SheddingClass:
-    """A service class as load shedding sees it."""
+    """The properties of a service class that load shedding uses."""
 
     number: int
     priority_weight: float
@@ -28,7 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSheddingStatus:
-    """The `overload` section of the status; the field names are keys of the status JSON."""
+    """The `overload` section of the status; the field names are keys of the status JSON.
+
+    Attributes:
+        level: The shedding level.
+        changes: How often the level has changed.
+        asked: The number of requests, over all fronts.
+        unmet: The fraction of these that were not served.
+        heard: The number of peers with a recent summary.
+    """
 
     level: str
     changes: int
@@ -38,10 +46,10 @@
 
 
 class LoadSheddingCoordinator:
-    """One front's load, the summaries of the others, and the level of shedding.
+    """One front's load, the summaries of the other fronts, and the shedding level.
 
-    It takes over the decisions of the retry-storm guard. The owner assigns `post` (sends a summary to the
-    other fronts) and calls `window` every `fleet_load.WINDOW_US`.
+    It replaces the decisions of the retry-storm guard. The owner assigns `broadcast` (sends a summary to the
+    other fronts) and calls `close_window` every `fleet_load.WINDOW_US`.
     """
 
     def __init__(
@@ -95,7 +103,8 @@
     def _action_by_priority(
         self, title: str, service_class: SheddingClass, queue: WaitingQueue, now_us: int
     ) -> SheddingAction:
-        # The title's pace grows as long as the placement policy rejects nobody, so no class is shed for good.
+        # The title's admission rate grows while the placement policy rejects nothing, so that no class is
+        # shed for ever.
         wait_us = self._allocation.retry_after_us(
             title, service_class.priority_weight, queue.rate_per_s, None, now_us, self._rng.random()
         )
@@ -110,7 +119,7 @@
             self._load.record_rejected(number)
 
     def close_window(self) -> None:
-        """Close a window: set the level by the fleet's figures and send this front's to the others."""
+        """Close a window: set the level by the fleet's load and send this front's load to the others."""
         with self._lock:
             now_us = self._clock.now_us()
             if not self._load.advance(now_us):
--- a/packages/core/src/fennelcove/core/membership_coordinator.py
+++ b/packages/core/src/fennelcove/core/membership_coordinator.py
@@ -1,4 +1,4 @@
-"""Which fronts are alive: sends and receives heartbeats, under the core's lock."""
+"""Membership of the fronts: sends and receives heartbeats; acquires the core's lock."""
 
 from __future__ import annotations
 
@@ -18,7 +18,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipStatus:
-    """The `company` section of the status; the field names are keys of the status JSON."""
+    """The `company` section of the status; the field names are keys of the status JSON.
+
+    Attributes:
+        living: The number of fronts that this one considers alive, including itself.
+        fronts: The number of configured fronts.
+        leased: Whether this front has its lease.
+        gone: The indexes of the fronts that a majority reports as departed.
+        share: The share of common resources that this front may use.
+        standings: The state of each peer by its index.
+    """
 
     living: int
     fronts: int
@@ -29,9 +38,10 @@
 
 
 class MembershipCoordinator:
-    """One front among others.
+    """One front's view of which fronts are alive.
 
-    The owner assigns `post` (sends a heartbeat to each front) and calls `beat` at the settings' interval.
+    The owner assigns `broadcast` (sends each front its heartbeat) and calls `send_heartbeats` at the
+    configured interval.
     """
 
     def __init__(
@@ -58,17 +68,17 @@
         self._had_lease = False
 
     def is_own_turn(self, turn: int) -> bool:
-        """Return whether a turn of a server in slow start is this front's, as `PlacementPolicy.mine` asks."""
+        """Return whether a turn at a server in slow start belongs to this front, for the placement policy."""
         with self._lock:
             return self.membership.owns_turn(turn, self._clock.now_us())
 
     def effective_front_count(self) -> float:
-        """Return the number of fronts among which this one's share counts."""
+        """Return the reciprocal of this front's allowed share of any common resource."""
         with self._lock:
             return 1 / self.membership.allowed_share(self._clock.now_us())
 
     def send_heartbeats(self) -> None:
-        """Send a heartbeat to each front; returns without waiting for them."""
+        """Send a heartbeat to each front without waiting for answers."""
         with self._lock:
             heartbeats = self.membership.next_heartbeats(self._clock.now_us())
             self._log_changes()
@@ -81,7 +91,7 @@
             self._log_changes()
 
     def announce_leave(self) -> None:
-        """Announce that this front ends, so that the others need not wait for a timeout."""
+        """Announce that this front leaves, so that the others need not wait for a timeout."""
         with self._lock:
             self.membership.is_leaving = True
         self.send_heartbeats()
--- a/packages/core/src/fennelcove/core/player_playlists.py
+++ b/packages/core/src/fennelcove/core/player_playlists.py
@@ -1,4 +1,4 @@
-"""Players' playlists: which segments they have by now, and which interstitials they announce."""
+"""Players' playlists: the segments that they list and the interstitials that they announce."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from fennelcove.manifests.hls import Interstitial
 from fennelcove.timeline.model import ListedSegment, Media
 
-NO_SEQUENCE = -1  # of a segment that is not part of the player's own playlist
+NO_SEQUENCE = -1  # the sequence number of a segment that is not in the player's own playlist
 
 
 class InterstitialSegment(NamedTuple):
-    """A segment of an interstitial: the change that inserts it, and the segment's number."""
+    """A segment of an interstitial: the id of the change that inserts it, and the segment's number."""
 
     change: str
     number: int
@@ -25,13 +25,13 @@
 
 @dataclass(slots=True, eq=False)
 class Player:
-    """One session's playlist, and the servers tried for its latest segments."""
+    """A session's playlist, and the servers tried for its latest segments."""
 
     track: PlaylistTrack
     tried: dict[int | InterstitialSegment, list[str]] = field(default_factory=dict)
 
     def servers_tried(self, segment: int | InterstitialSegment) -> list[str]:
-        """Return the list of servers tried for a segment; the lists of old segments are dropped."""
+        """Return the list of servers tried for a segment; the lists of old segments are evicted."""
         tried = self.tried.setdefault(segment, [])
         while len(self.tried) > playlist_cursor.RETAINED_SEGMENTS:
             del self.tried[next(iter(self.tried))]
@@ -39,7 +39,7 @@
 
 
 class PlaylistBuilder:
-    """Extends players' playlists by the ledger of changes; the caller holds the lock."""
+    """Extends players' playlists according to the ledger of changes; the caller holds the lock."""
 
     def __init__(
         self, media: Mapping[str, Media], ledger: ChangeLedger, is_playable: Callable[[str], bool]
@@ -48,17 +48,18 @@
 
         Args:
             media: The configured media by title.
-            ledger: The changes.
-            is_playable: Returns whether a clip can be shown now.
+            ledger: The ledger of changes.
+            is_playable: Returns whether a clip can be played now.
         """
         self._media = media
         self._ledger = ledger
         self._is_playable = is_playable
 
     def extend(self, session: Session, track: PlaylistTrack, wall_us: int) -> int:
-        """Add the segments due by now; return how many were added.
+        """Add the segments that are due; return how many were added.
 
-        After a restart it extends twice: by the changes of the resume token's time, then by those of now.
+        After a restart the playlist is extended twice: by the changes as of the resume token, then by the
+        current ones.
         """
         added = 0
         for _ in range(2):
@@ -89,7 +90,7 @@
         )
 
     def interstitials(self, track: PlaylistTrack, shown: list[ListedSegment]) -> dict[str, Interstitial]:
-        """Return a playlist's interstitials by change; a withdrawn one stays where it has begun."""
+        """Return a playlist's interstitials by change; a withdrawn one is retained if it has begun."""
         announced = (change for item in shown for change in item.interstitial_ids)
         found = {}
         for change in (*announced, *track.cursor.interstitial_ids):
@@ -111,7 +112,7 @@
 
 
 def interstitial_segment(clip: Media, number: int, rung: int, change: str) -> ListedSegment:
-    """Return a segment of an interstitial as the routing of segments takes it."""
+    """Return a segment of an interstitial in the form that segment routing takes."""
     return ListedSegment(
         NO_SEQUENCE,
         clip.name,
--- a/packages/core/src/fennelcove/core/policy_effects.py
+++ b/packages/core/src/fennelcove/core/policy_effects.py
@@ -1,4 +1,4 @@
-"""Carries out what the placement policy decides; the core's lock is held by whoever calls the policy."""
+"""Executes the decisions of the placement policy; callers of the policy hold the core's lock."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from fennelcove.placement import PlacementPolicy
 
 NOT_SENT_US = -1
-"""When an attempt was sent that was blocked."""
+"""`Session.attempt_sent_us` of a blocked attempt."""
 
 RetryBudget = Callable[[], bool]
-"""Takes one retry from the budget; False where it is spent."""
+"""Takes one retry from the budget; returns False if the budget is exhausted."""
 
 
 @dataclass(frozen=True, slots=True)
 class EffectTargets:
-    """What the effects act on; made after the policy, which all of it needs."""
+    """The components that the effects act on; created after the policy, which they depend on."""
 
     policy: PlacementPolicy
     lifecycle: SessionLifecycle
@@ -48,7 +48,7 @@
 
 
 class PolicyEffects:
-    """Implements `fennelcove.interface.Effects`. Bind the targets before the policy's first event."""
+    """Implements `fennelcove.interface.Effects`. The targets must be bound before any event."""
 
     def __init__(self, context: CoreContext) -> None:
         self.context = context
@@ -56,15 +56,15 @@
         self._retry_budget: RetryBudget | None = None
 
     def bind(self, targets: EffectTargets) -> None:
-        """Let the effects act on these parts."""
+        """Set the components that the effects act on."""
         self._targets = targets
 
     def set_retry_budget(self, budget: RetryBudget) -> None:
-        """Let retries be sent only as far as this budget allows."""
+        """Limit retries to this budget."""
         self._retry_budget = budget
 
     def start_attempt(self, id: str, server: str, allow_us: int) -> None:
-        """Send an attempt of a session to a server, to be ended after a time in microseconds."""
+        """Send an attempt of a session to a server, with a timeout of `allow_us`."""
         targets = self._targets
         session = targets.lifecycle.by_policy_id[id]
         policy_attempt = len(targets.policy.sessions[id].attempts) - 1
@@ -83,7 +83,7 @@
         targets.lifecycle.apply(session, SessionEvent.ATTEMPT_STARTED)
 
     def _may_send(self, session: Session, target: AttemptTarget) -> bool:
-        """Whether budget, server limit and slots let the attempt go out; each is taken in this order."""
+        """Acquire retry budget, server limit and slot in this order; return False if one is exhausted."""
         is_retry = session.attempt_count > 1
         if is_retry and self._retry_budget is not None and not self._retry_budget():
             return False
@@ -92,7 +92,7 @@
         return self._targets.slots.acquire(session, target.server, target.attempt)
 
     def set_rung(self, id: str, rung: int) -> None:
-        """Play a session at this rung, or its pending attempt where the id is that of a migration."""
+        """Set the rung of a session, or that of its pending attempt if the id is a migration's."""
         session = self._targets.lifecycle.by_policy_id[id]
         if session.current_target is None or session.current_target.policy_id != id:
             session.pending_rung = rung
@@ -107,7 +107,7 @@
             self._targets.commands.send(session.current_target, session, rung)
 
     def reject(self, id: str, wait_us: int) -> None:
-        """Reject a session that no server may take; its client may retry after a time in microseconds."""
+        """Reject a session for which there is no server; its client may retry after `wait_us`."""
         targets = self._targets
         session = targets.lifecycle.by_policy_id[id]
         if session.current_target is not None:
@@ -120,7 +120,7 @@
         targets.lifecycle.apply(session, SessionEvent.SETUP_REJECTED)
 
     def fail(self, id: str) -> None:
-        """Fail a session whose attempt may have run and must not be repeated."""
+        """Fail a session whose attempt may have taken effect and must not be repeated."""
         session = self._targets.lifecycle.by_policy_id[id]
         if session.current_target is not None:
             self._targets.migrations.on_attempt_rejected(session, id)
@@ -131,11 +131,11 @@
         self._targets.lifecycle.apply(session, SessionEvent.SETUP_FAILED)
 
     def migrate(self, id: str) -> None:
-        """Log that the policy would move a session."""
+        """Log that the policy suggests migrating a session."""
         self.context.log_event("migration_suggested", subscription=id)
 
     def probe(self, server: str) -> None:
-        """Probe a server's load."""
+        """Request a server's load."""
         self._targets.probes.probe(server)
 
     def send_peer_message(self, front: int, message: PeerMessage) -> None:
@@ -143,7 +143,7 @@
         self._targets.probes.send_peer_message(front, message)
 
     def set_timer(self, name: int, delay_us: int) -> None:
-        """Send the policy a timer event after a delay in microseconds."""
+        """Send the policy a timer event after a delay."""
         self.context.timers.after(delay_us, lambda: self._on_timer(name))
 
     def _on_timer(self, name: int) -> None:
--- a/packages/core/src/fennelcove/core/probe_coordinator.py
+++ b/packages/core/src/fennelcove/core/probe_coordinator.py
@@ -1,4 +1,4 @@
-"""Asks servers and fronts for their load, and lets set-ups wait for the answers; takes the core's lock."""
+"""Probes servers and fronts for their load while set-ups wait; acquires the core's lock."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class ProbeSender(Protocol):
-    """Asks servers for their load."""
+    """Sends probes to servers."""
 
     def ask(self, server: str) -> bool:
-        """Start a probe of a server without waiting for it; return False where that is impossible."""
+        """Start a probe of a server without waiting for it; return False if it cannot be started."""
 
 
 class PeerMessenger(Protocol):
     """Sends messages to other fronts."""
 
     def tell(self, front: int, message: PeerMessage) -> None:
-        """Send a message, or lose it, without waiting."""
+        """Send a message without waiting; it may be lost."""
 
 
 class ProbeCoordinator:
     """One front's requests for load, and the set-ups that wait for the answers.
 
-    The owner assigns `probes` and `fronts` where they are configured, and `may_probe`, which acquires the
-    quota of a probe.
+    The owner assigns `probe_sender` and `peer_messenger` if they are configured, and `may_probe`, which
+    acquires quota for a probe.
     """
 
     def __init__(self, context: CoreContext, policy: PlacementPolicy) -> None:
@@ -42,7 +42,7 @@
         self.may_probe: Callable[[], bool] = lambda: True
 
     def wait_for_decision(self, session: Session) -> None:
-        """Wait while the policy holds a set-up for answers; past its time it decides by what it knows."""
+        """Wait while the policy waits for answers; at its deadline it decides by what it has received."""
         policy_session = self._policy.sessions.get(session.id)
         while session.next_step is None and policy_session is not None:
             now_us = self._context.now_us()
@@ -53,19 +53,19 @@
             self._decided.wait(left_us / 1e6)
 
     def wake_waiting(self) -> None:
-        """Wake the set-ups that wait, as the policy may have decided on one."""
+        """Wake the waiting set-ups, as the policy may have decided on one of them."""
         self._decided.notify_all()
 
     def probe(self, server: str) -> None:
-        """Ask a server for its load."""
+        """Request a server's load."""
         self._context.increment("probes")
         if self.probe_sender is None or not self.may_probe() or not self.probe_sender.ask(server):
-            # Reported later, as the policy is in the middle of handling an event.
+            # Reported from a timer, as the policy is still handling the event that led here.
             failed = ProbeCompleted(server, Outcome.NOT_SENT, 0, None)
             self._context.timers.after(0, lambda: self.on_probe_completed(failed))
 
     def send_peer_message(self, front: int, message: PeerMessage) -> None:
-        """Send a message to another front, or lose it."""
+        """Send a message to another front; it may be lost."""
         self._context.increment("messages")
         if self.peer_messenger is not None:
             self.peer_messenger.tell(front, message)
--- a/packages/core/src/fennelcove/core/recovery_coordinator.py
+++ b/packages/core/src/fennelcove/core/recovery_coordinator.py
@@ -1,6 +1,6 @@
-"""Brings service back in order after a start: admission, the age of servers, and the stored endpoint list.
+"""Recovery after a front's start: admission, servers' start times, and the stored endpoint list.
 
-The core's lock is held around every call.
+The caller of every method holds the core's lock.
 """
 
 from __future__ import annotations
@@ -19,8 +19,10 @@
 from fennelcove.settings.schema import FrontSettings, RecoverySettings
 
 CAPACITY_CHECK_INTERVAL_US = 250_000
-START_TOLERANCE_US = 250_000  # by how much two reports of one server's start may differ
-POLL_INTERVAL_US = 1_000_000  # and up to as much again, so that not all fronts poll a server at once
+START_TOLERANCE_US = 250_000  # by how much reports of the same start of a server may differ
+POLL_INTERVAL_US = (
+    1_000_000  # a random time of up to as much is added, so that fronts don't poll a server at once
+)
 RATE_WINDOW_US = 1_000_000
 REJECTION_REASONS = {
     RecoveryState.DARK: "this front has no list of boxes yet",
@@ -32,33 +34,41 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetCapacity:
-    """Places for streams at active servers, and how many of them are at servers in slow start."""
+    """The streams that active servers can serve, and how many of these are at servers in slow start."""
 
     max_streams: int
     warming_up: int
 
     def is_mostly_warming_up(self) -> bool:
-        """Return whether more than half of the places are at servers in slow start."""
+        """Return whether more than half of the capacity is at servers in slow start."""
         return 2 * self.warming_up > self.max_streams
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryStatus:
-    """The `comeback` section of the status; the field names are keys of the status JSON."""
+    """The `comeback` section of the status; the field names are keys of the status JSON.
+
+    Attributes:
+        phase: The recovery state.
+        left_ms: The time left until the state times out.
+        boxes_due: The number of servers that have not reported their sessions.
+        kept_list: Whether the stored endpoint list is in use.
+        entered: The name of each state entered, and how many milliseconds ago that was.
+    """
 
     phase: str
     left_ms: float
     boxes_due: int
     kept_list: bool
-    entered: list[list[str | float]]  # each state's name, and for how many ms it was entered
+    entered: list[list[str | float]]
 
 
 class RecoveryCoordinator:
-    """Admission while a start is under way, what servers report of their age, and the stored list.
+    """Admission during recovery, the start times that servers report, and the stored endpoint list.
 
-    The owner assigns `fronts` (the number of fronts that share a server in slow start), `kept` (the stored
-    list), and the callbacks `listed` (an endpoint list is in force) and `opened` (every session is accounted
-    for). It calls `look` often, and `stand_in` where no list has come for a while.
+    The owner assigns `front_count` (the number of fronts that share a server in slow start), `stored_list`,
+    and the callbacks `on_list_applied` (an endpoint list is in force) and `on_sessions_accounted` (every
+    session is accounted for). It calls `advance` often, and `use_stored_list` if no list arrives for a while.
     """
 
     def __init__(
@@ -99,7 +109,7 @@
     # Admission.
 
     def check_request(self, request: SessionRequest, now_us: int) -> SessionResponse | None:
-        """Return the rejection to give a request at once, or None where it is admitted."""
+        """Return the rejection of a request, or None if it is admitted."""
         self.advance(now_us)
         service_class = self._service_classes[request.service_class]
         is_accounted = service_class.seats > 0 or service_class.effect == Effect.SINGLE_SHOT.value
@@ -114,7 +124,7 @@
         return SessionResponse(ResponseKind.REJECTED, REJECTION_REASONS[self.state.state], wait_us)
 
     def _rationed_wait_us(self, title: str, priority_weight: float, now_us: int) -> int | None:
-        """Return how long a request has to wait while servers warm up; None where it is admitted."""
+        """Return after how long to retry a request while servers warm up; None if it is admitted."""
         rate = self._slow_start_rate(title)
         if rate is None or not self._settings.by_benefit:
             return None
@@ -122,9 +132,9 @@
         return self._allocation.retry_after_us(title, priority_weight, rate, self._max_wait_us, now_us, draw)
 
     def _slow_start_rate(self, title: str) -> float | None:
-        """Return the set-ups a second that a title's replicas take of this front.
+        """Return the set-ups per second that a title's replicas accept from this front.
 
-        None where one of them is not in slow start.
+        None if one of them is not in slow start.
         """
         title_settings, total = self._titles[title], 0.0
         front_count = max(1.0, self.front_count())
@@ -141,10 +151,10 @@
         return total / front_count
 
     def advance(self, now_us: int) -> None:
-        """Advance the state by time and by how much capacity is warming up."""
+        """Advance the recovery state by time and by the share of capacity in slow start."""
         is_due = self.state.state is not RecoveryState.OPEN and self.state.remaining_us(now_us) == 0
         if now_us - self._capacity_checked_us < CAPACITY_CHECK_INTERVAL_US and not is_due:
-            return  # computed for each request, a fleet's capacity would cost more than the response
+            return  # computing a fleet's capacity for each request would cost more than the response
         self._capacity_checked_us, self._policy.now_us = now_us, now_us
         capacity = self._capacity()
         self.state.advance(capacity.is_mostly_warming_up(), now_us)
@@ -180,9 +190,9 @@
     # The endpoint list.
 
     def correct_list(self, update: ListUpdate) -> ListUpdate:
-        """Correct an endpoint list by what servers report of their start, the later of two times counting.
+        """Replace start times in an endpoint list by later ones that the servers themselves report.
 
-        A list restored from a copy shows servers as long started that have just restarted.
+        A list restored from a backup has outdated start times of servers that have since restarted.
         """
         if update.mode is ListMode.FULL:
             self.list_entries.clear()
@@ -200,7 +210,7 @@
         return replace(entry, started_us=reported_us) if reported_us > entry.started_us else entry
 
     def on_uptime_reported(self, address: str, up_ms: float | None) -> None:
-        """Handle a server's report of its uptime; None where it reports none."""
+        """Handle a server's report of its uptime; None if it reports none."""
         now_us = self._clock.now_us()
         if up_ms is not None:
             self._reported_starts[address] = max(1, now_us - round(up_ms * 1000))
@@ -213,7 +223,10 @@
             self._policy.handle(ListUpdate(ListMode.INCREMENTAL, (corrected,)), now_us)
 
     def _entry(self, address: str, now_us: int) -> ListEntry | None:
-        """Return a server's entry of the list in use; a stored one without a reported start begins now."""
+        """Return a server's entry in the list in use; None if it has none.
+
+        A server of the stored list that has not reported its start counts as started now.
+        """
         if not self._uses_stored_list or self.state.state is RecoveryState.ASKING:
             return self.list_entries.get(address)
         stored = next((entry for entry in self.stored_list if entry.address == address), None)
@@ -222,7 +235,7 @@
         return stored
 
     def use_stored_list(self) -> None:
-        """Use the stored list in place of one that does not come: its servers count once they answer."""
+        """Use the stored list while none arrives; its servers are used once they answer."""
         if not self.stored_list or self.list_entries or not self._settings.kept_list:
             return
         self._uses_stored_list = True
@@ -232,7 +245,7 @@
         )
 
     def _poll_absent_servers(self, now_us: int) -> None:
-        """Poll servers of the stored list that have not answered, as no list reports their return."""
+        """Poll the servers of the stored list that have not answered, as no list service reports them."""
         is_polling = self._uses_stored_list and self.state.state is not RecoveryState.ASKING
         if not is_polling or now_us < self._next_poll_us:
             return
@@ -243,7 +256,7 @@
         self._registry.request_session_reports(ListUpdate(ListMode.SAVED, absent), now_us)
 
     def _apply_stored_list(self) -> None:
-        """Put the answering servers of the stored list in force."""
+        """Put the servers of the stored list that have answered in force."""
         now_us = self._clock.now_us()
         answered = tuple(
             replace(entry, started_us=self._reported_starts.get(entry.address, now_us))
--- a/packages/core/src/fennelcove/core/requests.py
+++ b/packages/core/src/fennelcove/core/requests.py
@@ -1,6 +1,6 @@
-"""Requests, responses and sessions that pass between the core and the programs around it.
+"""Requests, responses and sessions as exchanged between the core and the network code.
 
-Times are whole microseconds.
+Times are integers in microseconds.
 """
 
 from __future__ import annotations
@@ -15,25 +15,31 @@
 
 
 class ResponseKind(Enum):
-    """How a request for a session is answered; the values are those of the client API."""
+    """How a session request is answered; the values are those of the client API."""
 
     PLAYING = "playing"
     REJECTED = "throttled"
     FAILED = "terminated"
-    KEY_SPENT = "spent"  # the session under this idempotency key was established and has been closed
-    KEY_REUSED = "reused"  # this idempotency key belongs to another request
+    KEY_SPENT = "spent"  # the session of this idempotency key was established and has been closed
+    KEY_REUSED = "reused"  # this idempotency key was used for a different request
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRequest:
-    """A client requests a session; title and service class are names that the settings know.
+    """A client's request for a session.
 
     Attributes:
-        client: the client's own id (CMCD `sid`); empty where it gives none.
-        is_retry: whether the client marks this as a retry.
-        queue_ticket: the queue ticket of an earlier rejection.
-        idempotency_key: the client's own key for this request; sent twice, the request runs once.
-        expected_watch_us: for how long the client will watch, by its own estimate.
+        title: The name of a configured title.
+        service_class: The name of a configured service class.
+        requested_top_rung: The highest rung that the client accepts; None for no limit.
+        client_timeout_us: How long the client waits for the response; None for the service class's default.
+        hints: The client's CMCD hints.
+        client: The client's own id (CMCD `sid`); empty if it sent none.
+        is_retry: Whether the client marks this request as a retry.
+        queue_ticket: The queue ticket from an earlier rejection.
+        idempotency_key: The client's key for this request; requests with the same key run only once.
+        tenant: The name of the client's tenant.
+        expected_watch_us: The client's estimate of how long it will watch.
     """
 
     title: str
@@ -51,7 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, the load hints in the server's response, and how long it took."""
+    """The result of an attempt.
+
+    Attributes:
+        outcome: How the attempt ended.
+        hints: The load hints in the server's response; None if it had none.
+        duration_us: How long the attempt took.
+    """
 
     outcome: Outcome
     hints: ServerHints | None
@@ -60,12 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTarget:
-    """Where one attempt goes.
+    """The target of an attempt.
 
     Attributes:
-        attempt: its number within the session, as the server sees it.
-        policy_id: the id under which the placement policy knows the session.
-        policy_attempt: its number as the placement policy counts.
+        server: The server's address.
+        attempt: The attempt's number within the session, as sent to the server.
+        policy_id: The placement policy's id of the session.
+        policy_attempt: The attempt's number within that id, as the placement policy counts.
     """
 
     server: str
@@ -75,25 +88,30 @@
 
 
 class SessionStateError(RuntimeError):
-    """A session lacks what its state requires; a fault of this program, to be reported with the log."""
+    """A session's fields do not match its state: a bug in fennelcove, to be reported with the log."""
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """One session of a client, from its request until it is closed.
+    """A client's session, from its request until it is closed.
 
     Attributes:
-        floor_rung: the lowest rung that its service class allows.
-        rates_kb: the rate of each rung, in kB a second.
-        received_us: when the request was received.
-        deadline_us: when the front stops trying to establish it.
-        top_rung: the highest rung that the client's own measure allows.
-        attempt_count: how many attempts were started.
-        current_target: where it plays.
-        pending_target: where an attempt is pending, the first one or that of a migration.
-        is_orphaned: whether its server is lost and a migration to another one is under way.
-        attempt_sent_us: when the pending attempt was sent; -1 where it was blocked.
-        next_step: what to do next; taken by whoever runs the session's request.
+        floor_rung: The lowest rung that its service class allows.
+        rates_kb: The rate of each rung in kB per second.
+        requested_top_rung: The highest rung that the client accepts.
+        received_us: When the request was received.
+        deadline_us: When the front stops trying to establish the session.
+        top_rung: The highest rung that the client's measured throughput and the server's hints allow.
+        rung: The rung at which the session plays.
+        attempt_count: The number of attempts started.
+        current_target: The attempt that the session plays on; None before it is established.
+        pending_target: The attempt in progress, for the set-up or for a migration; None if there is none.
+        pending_rung: The rung of the attempt in progress.
+        is_orphaned: Whether its server is lost and a migration to another server is in progress.
+        attempt_sent_us: When the pending attempt was sent; -1 if it was blocked.
+        request: The client's request; None for a session adopted from an earlier incarnation.
+        may_exist_on_server: Whether the server may have the session, so that it has to be released there.
+        next_step: What to do next; taken by the code that processes the session's request.
     """
 
     id: str
@@ -123,55 +141,55 @@
 
     @property
     def server(self) -> str:
-        """The server where it plays, or else the one of its pending attempt; empty for neither."""
+        """The server that plays the session, else that of the pending attempt, else empty."""
         target = self.current_target or self.pending_target
         return target.server if target is not None else ""
 
     def required_result(self) -> AttemptResult:
-        """The result of its last attempt.
+        """Return the result of the last attempt.
 
         Raises:
-            SessionStateError: no attempt has ended yet.
+            SessionStateError: No attempt has ended yet.
         """
         if self.last_result is None:
             raise SessionStateError(f"session {self.id} ({self.state.name}) has no attempt result")
         return self.last_result
 
     def required_current_target(self) -> AttemptTarget:
-        """Where it plays.
+        """Return the attempt that the session plays on.
 
         Raises:
-            SessionStateError: it is not established.
+            SessionStateError: The session is not established.
         """
         if self.current_target is None:
             raise SessionStateError(f"session {self.id} ({self.state.name}) is not played by any server")
         return self.current_target
 
     def required_pending_target(self) -> AttemptTarget:
-        """The target of the pending attempt.
+        """Return the target of the pending attempt.
 
         Raises:
-            SessionStateError: no attempt is pending.
+            SessionStateError: No attempt is pending.
         """
         if self.pending_target is None:
             raise SessionStateError(f"session {self.id} ({self.state.name}) has no pending attempt")
         return self.pending_target
 
     def take_pending_target(self) -> AttemptTarget:
-        """Take the target of the pending attempt, which has ended.
+        """Return the target of the pending attempt, which has ended, and clear it.
 
         Raises:
-            SessionStateError: no attempt is pending.
+            SessionStateError: No attempt is pending.
         """
         target = self.required_pending_target()
         self.pending_target = None
         return target
 
     def activate_pending_target(self) -> AttemptTarget:
-        """Play where the pending attempt was served, at the rung of that attempt.
+        """Make the pending attempt, which was served, the current one and return its target.
 
         Raises:
-            SessionStateError: no attempt is pending.
+            SessionStateError: No attempt is pending.
         """
         target = self.take_pending_target()
         self.current_target = target
@@ -179,10 +197,10 @@
         return target
 
     def take_step(self) -> NextStep:
-        """Take the next step, once.
+        """Return the next step and clear it.
 
         Raises:
-            SessionStateError: there is none.
+            SessionStateError: There is no next step.
         """
         step = self.take_step_if_ready()
         if step is None:
@@ -190,7 +208,7 @@
         return step
 
     def take_step_if_ready(self) -> NextStep | None:
-        """Take the next step, once; None where there is none."""
+        """Return the next step, or None if there is none, and clear it."""
         step, self.next_step = self.next_step, None
         return step
 
@@ -200,7 +218,7 @@
     """Send this attempt now and report its result.
 
     Attributes:
-        is_blocked: a limit forbids it: report it as not sent.
+        is_blocked: Whether a limit forbids the attempt, which is then reported as not sent.
     """
 
     session: Session
@@ -216,10 +234,12 @@
     """Answer the client now.
 
     Attributes:
-        retry_after_us: after how long the client may retry.
-        retry_until_us: until when its queue ticket is valid, counted from now.
-        queue_ticket: a signed ticket to retry with.
-        ticket_status: how the client's own ticket was judged, where tickets decide.
+        kind: How the request is answered.
+        reason: Why it was rejected or failed.
+        retry_after_us: After how long the client may retry.
+        retry_until_us: For how long from now the queue ticket is valid.
+        queue_ticket: A signed ticket to retry with.
+        ticket_status: The status of the ticket that the client sent, where tickets decide on admission.
     """
 
     kind: ResponseKind
@@ -231,7 +251,11 @@
 
 
 class Wakeup(Protocol):
-    """Wakes a request that waits for a slot; its descriptor is readable from then on."""
+    """Wakes a request that waits for a slot.
+
+    Attributes:
+        reader: A file descriptor that becomes readable when the request is to wake up.
+    """
 
     reader: int
 
@@ -244,7 +268,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitForSlot:
-    """Wait for the wake-up, at most until the deadline; nothing has been sent yet."""
+    """Wait for the wake-up, at most until the deadline; no attempt has been sent yet."""
 
     session: Session
     deadline_us: int
@@ -256,12 +280,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionView:
-    """What a client may know of its session.
+    """The part of a session's state that its client may see.
 
     Attributes:
-        rate_kb: the rate of its rung, in kB a second.
-        poll_interval_us: how often the client should poll to keep the session.
-        seat_remaining_us: for how long its seat lease lasts; None where that does not expire.
+        rate_kb: The rate of its rung in kB per second.
+        poll_interval_us: How often the client should poll so that the session does not expire.
+        seat_remaining_us: The time left on its seat lease; None if the seat does not expire.
     """
 
     id: str
@@ -276,7 +300,7 @@
 
 
 class EventLogger(Protocol):
-    """Writes one event, with its fields, to the log."""
+    """Writes structured events to the log."""
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Log an event."""
+        """Log an event with its fields."""
--- a/packages/core/src/fennelcove/core/retry_storm_guard.py
+++ b/packages/core/src/fennelcove/core/retry_storm_guard.py
@@ -1,6 +1,6 @@
-"""Damps retry storms: detects them, hands out waiting-room tickets, and bounds set-ups at each server.
+"""Damps retry storms: detects them, issues waiting-room tickets, and limits set-ups at each server.
 
-The core's lock is held around every call.
+The caller of every method holds the core's lock.
 """
 
 from __future__ import annotations
@@ -28,6 +28,7 @@
 
 MAC_BYTES = 16
 
+# Takes a request, its ticket's status, its title's queue and the time in microseconds.
 AdmissionRule = Callable[[SessionRequest, TicketStatus, WaitingQueue, int], QueueDecision]
 
 
@@ -38,7 +39,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StormStatus:
-    """The `storm` section of the status; the field names are keys of the status JSON."""
+    """The `storm` section of the status; the field names are keys of the status JSON.
+
+    Attributes:
+        phase: The state of the storm detector.
+        usual: The usual number of requests per window.
+        changes: How often the state has changed.
+        paces: The admission rate of each title with a backlog.
+        sign: The detector's last signal.
+    """
 
     phase: str
     usual: float
@@ -50,9 +59,10 @@
 class RetryStormGuard:
     """One front's storm detector, waiting room, and limits of set-ups at servers.
 
-    Load shedding of a whole fleet assigns `ruler` (decides in place of this front's own detector), `ended`
-    (takes whether an admitted request of a service class was served) and `sheds` (whether rejected requests
-    get tickets). `attempted` takes the outcome of each attempt at a server.
+    Fleet-wide load shedding assigns `admission_rule` (decides in place of this front's own detector),
+    `on_request_ended` (called with a service class and whether an admitted request of it was served) and
+    `is_shedding` (returns whether rejected requests get tickets). `on_server_attempt_ended` is called with
+    the outcome of each attempt at a server.
     """
 
     def __init__(
@@ -67,12 +77,12 @@
         """Create a guard.
 
         Args:
-            context: What all parts of the core share.
-            settings: The settings of storms.
-            own: The key of this incarnation.
+            context: The environment that all components of the core share.
+            settings: The settings of retry-storm damping.
+            incarnation_key: The secret key of this incarnation.
             catalogue: Service classes and titles.
-            front: The placement policy.
-            turned: Takes the name of each new state of the detector.
+            policy: The placement policy.
+            on_state_changed: Called with the name of each new state of the detector.
         """
         self._context = context
         self._settings = settings
@@ -85,21 +95,23 @@
         self._limits = AimdLimits()
         self._client_counts = CountMinSketch(_derived_mac(b"clients", incarnation_key), now_us)
         self._ticket_counts = CountMinSketch(_derived_mac(b"tokens", incarnation_key), now_us)
-        self._macs = [_derived_mac(b"places", incarnation_key)]  # the first signs tickets, all verify
+        self._macs = [
+            _derived_mac(b"places", incarnation_key)
+        ]  # the first one signs tickets, all of them verify
         self.admission_rule: AdmissionRule | None = None
         self.on_request_ended: Callable[[str, bool], None] = lambda _service_class, _was_served: None
         self.is_shedding: Callable[[], bool] = lambda: False
         self.on_server_attempt_ended: Callable[[str, Outcome], None] = lambda _server, _outcome: None
 
     def use_keys(self, keys: Sequence[bytes]) -> None:
-        """Use keys that outlive this process; the first signs tickets, all verify them."""
+        """Use keys that outlive this process; the first one signs tickets, all of them verify."""
         if keys:
             self._macs = [keyed_mac(key) for key in keys]
 
     # Admission.
 
     def check_request(self, request: SessionRequest, now_us: int) -> SessionResponse | None:
-        """Return the response to give a request at once, or None where the placement policy decides."""
+        """Return the rejection of a request, or None if it goes to the placement policy."""
         queue = self._advance(request.title, now_us)
         window = self.detector.window
         window.request_count += 1
@@ -120,7 +132,7 @@
         return replace(response, ticket_status=status.name.lower())
 
     def _advance(self, title: str, now_us: int) -> WaitingQueue:
-        """Move the detector on by time, log a new state, and return the title's queue."""
+        """Advance the detector by time, log a new state, and return the title's queue."""
         state, closed_window = self.detector.state, self.detector.window
         self.detector.advance(now_us)
         queue = self.waiting_room.queue_for(title, now_us)
@@ -168,16 +180,17 @@
         status = waiting_room.ticket_status(ticket, bool(request.queue_ticket), is_retry, requested, wall_us)
         is_usable = status in (TicketStatus.DUE, TicketStatus.LATE)
         if is_usable and self._ticket_counts.add(request.queue_ticket or "", now_us) > 1:
-            return TicketStatus.INVENTED  # the ticket was used before, or passed on to others
+            return TicketStatus.INVENTED  # the ticket was used before, or shared with other clients
         return status
 
     # Responses.
 
     def _rejection_with_same_ticket(self, request: SessionRequest, ticket: QueueTicket) -> SessionResponse:
-        """Return the response to a request that comes before its ticket's time."""
+        """Return the response to a request that arrives before its ticket's window."""
         wall_us = self._context.wall_us()
-        # With the short time that was left as its wait, a client that came too early came again and again and
-        # used up its tries (10 of 38 observed); Retry-After cannot express such times either.
+        # At least the minimum wait: given only the remaining time, clients that were too early retried again
+        # and again until their retries were used up (10 of 38 observed). Retry-After cannot express such
+        # short times either.
         wait_us = max(waiting_room.MIN_WAIT_US, ticket.earliest_us - wall_us)
         latest_us = max(wait_us + waiting_room.MIN_WINDOW_US, ticket.latest_us - wall_us)
         reason = "your place is not due yet"
@@ -214,7 +227,7 @@
         return SessionResponse(ResponseKind.REJECTED, reason, wait_us, latest_us, token)
 
     def reject(self, session: Session, reason: str, wait_us: int) -> SessionResponse:
-        """Return the response to a request that the policy rejects; during a storm it has a ticket."""
+        """Return the response to a request that the policy rejects; during a storm it includes a ticket."""
         self.detector.window.rejected_count += 1
         now_us = self._context.now_us()
         queue = self.waiting_room.queue_for(session.title, now_us)
@@ -233,14 +246,14 @@
     # Attempts.
 
     def try_start_set_up(self, server: str) -> bool:
-        """Count a set-up at a server; return False where it has as many under way as it may."""
+        """Count a set-up at a server; return False if the server is at its limit of concurrent set-ups."""
         if not self._settings.box_limits or self._limits.try_acquire(server):
             return True
         self._context.increment("joins_held_back")
         return False
 
     def on_attempt_completed(self, session: Session, server: str, outcome: Outcome, now_us: int) -> None:
-        """Count the end of a set-up at a server."""
+        """Handle the end of a set-up at a server."""
         if session.attempt_sent_us >= 0:
             self._limits.release(server, outcome, session.attempt_sent_us, now_us)
         session.attempt_sent_us = -1
@@ -265,14 +278,14 @@
 
 
 def _derived_mac(purpose: bytes, key: bytes) -> Callable[[bytes], bytes]:
-    """Return a MAC under a key of its own for a purpose."""
+    """Return a MAC function whose key is derived from `key` for a purpose."""
     return keyed_mac(blake3.blake3(purpose, key=key).digest())
 
 
 def _rejected_status(request: SessionRequest, ticket: QueueTicket | None) -> TicketStatus:
     """Return the status of an admitted request that the policy rejects."""
     if ticket is not None:
-        return TicketStatus.DUE  # it was admitted, so its ticket's time had come
+        return TicketStatus.DUE  # it was admitted, so its ticket's window had begun
     if request.is_retry or request.queue_ticket:
         return TicketStatus.AGAIN
     return TicketStatus.FIRST
--- a/packages/core/src/fennelcove/core/rollout_coordinator.py
+++ b/packages/core/src/fennelcove/core/rollout_coordinator.py
@@ -1,8 +1,8 @@
 """Runs this front's part in the agreement on which fronts and servers may be out of service.
 
-All events go through one bounded queue that one thread works off: a promise has to be durable before it is
-sent, and a thread that waits for the disk must hold neither the core's lock nor its timers. Events that find
-the queue full are lost, as any message may be.
+One thread processes all events from a bounded queue: a promise must be durable before it is sent, and a
+thread that waits for the disk must not block the core's lock or timers. Events that arrive while the queue is
+full are dropped, which the agreement tolerates like the loss of any message.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 from fennelcove.rollouts.messages import PlaceKind, RolloutMessage
 
 MAX_QUEUED_EVENTS = 1024
-ANSWER_TIMEOUT_US = 4_500_000  # for an operator's command; the agreement gives it up before
+ANSWER_TIMEOUT_US = 4_500_000  # for an operator's command; the agreement abandons it earlier
 ANSWER_POLL_US = 20_000
 
-Event = Callable[[int], Outbox]  # takes the time, returns the messages to send
+Event = Callable[[int], Outbox]  # takes the time in microseconds, returns the messages to send
 
 
 @dataclass(frozen=True, slots=True)
 class ServerObservation:
-    """What this front observes of a server.
+    """This front's observation of a server.
 
     Attributes:
-        place: Where it is, for the disruption budgets.
-        serving: Whether it serves.
-        as_of_us: When that was observed.
+        location: Its location, for the disruption budgets.
+        is_serving: Whether it serves.
+        observed_us: When that was observed.
     """
 
     location: Location
@@ -53,13 +53,13 @@
 
 @dataclass(slots=True, eq=False)
 class Reply:
-    """The answer that an operator's request waits for."""
+    """A future for the answer to an operator's request."""
 
     answer: CommandOutcome = CommandOutcome.PENDING
     ready: threading.Event = field(default_factory=threading.Event)
 
     def set(self, answer: CommandOutcome) -> None:
-        """Set the answer and wake who waits."""
+        """Set the answer and wake the thread that waits for it."""
         self.answer = answer
         self.ready.set()
 
@@ -75,7 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueStatus:
-    """This coordinator's part of the status; the field names are keys of the status JSON."""
+    """This coordinator's part of the status; the field names are keys of the status JSON.
+
+    Attributes:
+        unsafe: Whether there is state that is not durable yet.
+        lost: The number of events dropped because the queue was full.
+    """
 
     unsafe: bool
     lost: int
@@ -84,9 +89,9 @@
 class RolloutCoordinator:
     """One front's part in the agreement.
 
-    The owner assigns the callbacks `post` (sends a message to a front), `leave` (ends this front, to restart
-    it with a version; False where that is impossible) and `take_server` (takes a server out of service; False
-    where that is impossible) before its thread calls `run`.
+    The owner assigns the callbacks `send` (sends a message to a front), `leave_service` (stops this front so
+    that it restarts with a version; returns False if it cannot) and `take_server_out` (takes a server out of
+    service; returns False if it cannot) before its thread calls `run`.
     """
 
     def __init__(
@@ -105,7 +110,7 @@
         self._heartbeat_interval_us = heartbeat_interval_us
         self._own_state = own_state
         self._observe_servers = observe_servers
-        self._persist = persist  # returns whether the memory is durable
+        self._persist = persist  # returns whether the state is durable
         self._rng = rng
         self._log = log
         self.send: Callable[[int, RolloutMessage], None] = lambda _front, _message: None
@@ -113,19 +118,19 @@
         self.take_server_out: Callable[[int], bool] = lambda _cell: False
         self._events: queue.Queue[Event] = queue.Queue(MAX_QUEUED_EVENTS)
         self._pending: list[PendingCommand] = []
-        self._unsaved: PersistedState | None = None  # not durable yet; nothing is sent until it is
+        self._unsaved: PersistedState | None = None  # not durable yet; no message is sent until it is
         self._lost_count = 0
         self._agreement_status: dict[str, object] = {}
         self._is_stopped = False
 
-    # Any thread.
+    # Methods for any thread.
 
     def on_message(self, sender: int, message: RolloutMessage) -> None:
         """Handle another front's message."""
         self._put(lambda now_us: self.agreement.on_message(sender, message, now_us))
 
     def submit_command(self, command: Command) -> CommandOutcome:
-        """Submit an operator's command about a plan; return when a majority accepts it or it is given up."""
+        """Submit an operator's command about a plan; return once a majority accepts it or it is abandoned."""
         reply = Reply()
 
         def submit(now_us: int) -> Outbox:
@@ -136,15 +141,15 @@
         return self._wait_for(reply, submit)
 
     def request_front_out(self, version: int) -> CommandOutcome:
-        """Request that this front goes out of service when it may, to restart with a version."""
+        """Request that this front goes out of service once permitted, to restart with a version."""
         return self._run_now(lambda now_us: self.agreement.request_front_drain(version, now_us))
 
     def request_server_out(self, cell: int) -> CommandOutcome:
-        """Request that a server goes out of service when it may."""
+        """Request that a server goes out of service once permitted."""
         return self._run_now(lambda now_us: self.agreement.request_server_drain(cell, now_us))
 
     def write_off(self, kind: PlaceKind, place: int) -> CommandOutcome:
-        """Declare that a front or server will not come back."""
+        """Declare a front or server permanently lost."""
 
         def declare(now_us: int) -> Outbox:
             self.agreement.write_off(kind, place, now_us)
@@ -153,7 +158,7 @@
         return self._run_now(declare)
 
     def declare_latest(self) -> CommandOutcome:
-        """Declare that no front knows more of any rollout plan than this one."""
+        """Declare that no front has a later record of the rollout plans than this one."""
 
         def declare(now_us: int) -> Outbox:
             self.agreement.accept_record_as_complete()
@@ -171,7 +176,7 @@
         self._is_stopped = True
 
     def _put(self, event: Event) -> bool:
-        """Queue an event; return False and count it as lost where the queue is full."""
+        """Queue an event; return False and count it as lost if the queue is full."""
         try:
             self._events.put_nowait(event)
         except queue.Full:
@@ -196,7 +201,7 @@
         reply.ready.wait(ANSWER_TIMEOUT_US / 1e6)
         return CommandOutcome.LOST if reply.answer is CommandOutcome.PENDING else reply.answer
 
-    # The coordinator's own thread.
+    # Methods for the coordinator's own thread.
 
     def run(self) -> None:
         """Process events and send heartbeats until `stop`."""
@@ -205,7 +210,7 @@
             wait_us = due_us - self.clock.now_us()
             if wait_us <= 0:
                 self._process(self._heartbeat)
-                # Missed heartbeats are not made up for: they would be sent all at once.
+                # Missed heartbeats are skipped: catching up would send them all at once.
                 due_us = max(due_us + self._heartbeat_interval_us, self.clock.now_us())
                 continue
             if self._pending:
@@ -217,7 +222,7 @@
                 self._check_command(command)
 
     def _check_command(self, command: PendingCommand) -> None:
-        """Answer an operator's command, or keep it pending where its result is not known."""
+        """Answer an operator's command, or leave it pending if its result is not known yet."""
         answer = self.agreement.command_outcome(command.number)
         if answer is CommandOutcome.PENDING and self.clock.now_us() < command.deadline_us:
             self._pending.append(command)
@@ -239,12 +244,12 @@
     def _process(self, event: Event) -> None:
         try:
             self._apply(event)
-        # One message's fault must not end the agreement with all others.
+        # An error in one event must not end the thread, and with it this front's part in the agreement.
         except Exception as error:  # noqa: BLE001 - top of a thread, logged
             self._log("rollout_event_failed", reason=repr(error))
 
     def _apply(self, event: Event) -> None:
-        """Process an event, make its promises durable, and only then send messages and act."""
+        """Process an event, persist its promises, and only then send messages and execute actions."""
         messages = event(self.clock.now_us())
         state = self.agreement.state_to_persist()
         if state is not None:
@@ -267,7 +272,7 @@
             self._take_out(action)
 
     def _take_out(self, action: Action) -> None:
-        """Take this front or a server out of service; give the permit back where that is impossible."""
+        """Take this front or a server out of service; release the permit if that is impossible."""
         is_out = (
             self.leave_service(action.version)
             if action.kind is PlaceKind.FRONT
--- a/packages/core/src/fennelcove/core/seat_leases.py
+++ b/packages/core/src/fennelcove/core/seat_leases.py
@@ -1,4 +1,4 @@
-"""Leases of seats that expire; the core's lock guards them."""
+"""Expiring leases of seats; the core's lock guards them."""
 
 from __future__ import annotations
 
@@ -9,11 +9,15 @@
 from fennelcove.core.session_lifecycle import SessionLifecycle
 from fennelcove.decisions.clients.seat_leases import SeatAction, SeatLeases
 
-KEY_PREFIX = b"seat/"  # of stored leases
+KEY_PREFIX = b"seat/"  # of leases in the store
 
 
 class SeatLeaseManager:
-    """Grants, renews and expires the seat leases of one front."""
+    """Grants, renews and expires a front's seat leases.
+
+    Attributes:
+        pending_restore: Stored leases of sessions that no server has reported yet, by session id.
+    """
 
     def __init__(self, context: CoreContext, catalogue: Catalogue, lifecycle: SessionLifecycle) -> None:
         self.context = context
@@ -23,11 +27,11 @@
         self.pending_restore: dict[str, bytes] = {}
 
     def duration_us(self, service_class: str) -> int:
-        """For how long a seat of a service class is leased; 0 for as long as its session lasts."""
+        """Return the lease duration of a service class's seats; 0 if they do not expire."""
         return round(self.catalogue.service_classes[service_class].seat_ms * 1000)
 
     def on_session_established(self, session: Session) -> None:
-        """Grant a lease, or restore that of the session's earlier incarnation."""
+        """Grant a session its lease, or restore the one stored by an earlier incarnation."""
         duration_us = self.duration_us(session.service_class)
         if not duration_us:
             return
@@ -38,12 +42,12 @@
         self.leases.acquire(session.id, (session.title, session.service_class), duration_us, wall_us)
 
     def remaining_us(self, session_id: str) -> int | None:
-        """For how long a session's lease lasts; None where it has none."""
+        """Return the time left on a session's lease; None if it has none."""
         lease = self.leases.seats.get(session_id)
         return None if lease is None else max(0, lease.expires_wall_us - self.context.wall_us())
 
     def renew(self, session_id: str, key: str) -> int | None:
-        """Renew a session's lease; for how long it lasts now, or None where it has none."""
+        """Renew a session's lease; return the time left on it, or None if the session has none."""
         with self.context.lock:
             decision = self.leases.renew(session_id, key, self.context.wall_us())
             self.context.increment(f"seats_{decision.action.name.lower()}")
@@ -61,13 +65,13 @@
                 self.lifecycle.release(expired.session_id, "its seat was not renewed")
 
     def persisted_entries(self) -> list[tuple[bytes, bytes]]:
-        """The leases, as keys and values for the store."""
+        """Return the leases as keys and values for the store."""
         leased = [(KEY_PREFIX + id.encode(), value) for id, value in self.leases.encode_entries()]
         pending = [(KEY_PREFIX + id.encode(), value) for id, value in self.pending_restore.items()]
         return leased + pending
 
     def restore(self, values: Mapping[bytes, bytes]) -> None:
-        """Read stored leases; each takes effect when a server reports its session."""
+        """Load stored leases; each takes effect when a server reports its session."""
         self.pending_restore = {
             name.removeprefix(KEY_PREFIX).decode("utf-8", "replace"): value
             for name, value in values.items()
@@ -75,5 +79,5 @@
         }
 
     def on_recovered(self) -> None:
-        """Every server has reported its sessions: drop the leases of sessions that none reported."""
+        """Drop the stored leases of unreported sessions, as every server has reported its sessions."""
         self.pending_restore.clear()
--- a/packages/core/src/fennelcove/core/segment_sources.py
+++ b/packages/core/src/fennelcove/core/segment_sources.py
@@ -1,4 +1,4 @@
-"""Where a player's segments and initialisation segments are fetched."""
+"""Chooses the servers from which players fetch segments and initialisation segments."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from fennelcove.timeline.model import ListedSegment, Media
 
 MAX_SERVERS_TRIED = 8
-NO_CAPACITY = float("inf")  # the utility factor of a server that cannot take the stream
+NO_CAPACITY = float("inf")  # the utilization factor of a server without capacity for the stream
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Where a segment or initialisation segment is fetched.
+    """The source of a segment or initialisation segment.
 
     Attributes:
-        source: The kind of source; where `url` is empty, the reason why there is none.
-        url: The URL to fetch.
+        source: The kind of source; if `url` is empty, why there is none.
+        url: The URL to fetch; empty if there is no source.
     """
 
     source: SegmentSource
@@ -41,7 +41,7 @@
 
 
 class SegmentLocator:
-    """Chooses the server of each segment by what the placement policy knows; the caller holds the lock."""
+    """Chooses each segment's server by the placement policy's state; the caller holds the lock."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
         self._slate = slate
 
     def is_playable(self, clip: str) -> bool:
-        """Return whether a clip can be shown now, if need be by the slate in its place."""
+        """Return whether a clip can be played now, or the slate in its place."""
         return self._slate is not None or bool(self._usable_replicas(clip))
 
     def segment(self, session: Session, shown: ListedSegment, tried: list[str]) -> Fetch:
-        """Choose the source of a segment and add its server to `tried`, those tried for it before."""
+        """Choose a segment's source and add its server to `tried`, the servers tried for it before."""
         route = self._route(session, shown, tried)
         self._context.increment(f"segments_{route.source.name.lower()}")
         if not route.server:
@@ -97,7 +97,7 @@
         return _SegmentPath(shown.media, shown.rung, shown.segment_number)
 
     def _lower_rung(self, shown: ListedSegment, floor: int) -> int:
-        """Return the media's next lower rung, not below `floor`; the same rung where there is none."""
+        """Return the media's next lower rung, not below `floor`; the same rung if there is none."""
         lower = [rung for rung in self._media[shown.media].rungs if floor <= rung < shown.rung]
         return max(lower, default=shown.rung)
 
@@ -117,7 +117,7 @@
         return SegmentCandidates(current_server, is_current_usable, at_rung, at_lower_rung, slate_server)
 
     def _current_server(self, session: Session) -> str | None:
-        """Return the server that plays the session; None while it migrates or where the server has left."""
+        """Return the server that plays the session; None if it is lost or has left."""
         if session.current_target is None or session.is_orphaned:
             return None
         server = self._policy.servers.get(session.current_target.server)
@@ -148,7 +148,7 @@
         ]
 
     def _ordered(self, replicas: list[Server], rate_kb: float) -> list[str]:
-        """Return the servers with capacity for a stream, one drawn by the policy first."""
+        """Return the servers with capacity for a stream; the first one is drawn at random by the policy."""
         policy = self._policy
         policy.update_residuals(replicas)
         scored = [(server, *policy.utilization_factors(server, rate_kb)) for server in replicas]
--- a/packages/core/src/fennelcove/core/server_record.py
+++ b/packages/core/src/fennelcove/core/server_record.py
@@ -1,4 +1,4 @@
-"""What the core knows of one server."""
+"""The core's record of a server."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 @dataclass(slots=True, eq=False)
 class ServerRecord:
-    """A server at which sessions play, or may play.
+    """A server that plays sessions, or may play some.
 
     Attributes:
-        generation: tells events of its present stream from those of earlier ones.
-        idle_count: how often it became idle; tells the timer of one idle period from others.
-        is_blamed: whether its clients report that it delivers less than their rates.
+        generation: Distinguishes events of the current stream from those of earlier streams.
+        stream_opened_us: When the current stream was opened.
+        idle_count: How often it became idle; distinguishes the timers of idle periods.
+        is_blamed: Whether its clients report that it delivers less than the rates of their sessions.
     """
 
     address: str
@@ -29,5 +30,5 @@
     is_blamed: bool = False
 
     def any_session(self) -> Session | None:
-        """A session that plays here; reports about the server reach the policy by it."""
+        """Return any session that plays here, or None; reports on the server need one to reach the policy."""
         return next(iter(self.sessions.values()), None)
--- a/packages/core/src/fennelcove/core/server_registry.py
+++ b/packages/core/src/fennelcove/core/server_registry.py
@@ -1,4 +1,4 @@
-"""The servers at which sessions play: their event streams, and what they report of their sessions."""
+"""The servers that play sessions: their event streams and their reports on sessions."""
 
 from __future__ import annotations
 
@@ -25,22 +25,23 @@
 
 
 class ServerLossHandler(Protocol):
-    """Decides what becomes of a session whose server is lost."""
+    """Handles sessions whose server is lost."""
 
     def on_server_lost(self, session: Session) -> None:
-        """The server that plays this session is lost, or plays it no more."""
+        """Handle that the session's server is lost or no longer plays the session."""
 
 
 class ServerRegistry:
-    """Keeps a record of each server in use. Bind the loss handler before the first event.
+    """Keeps a record of each server in use. The loss handler must be bound before any event.
 
     The core's lock guards it.
 
     Attributes:
-        recovery: the recovery of this front's sessions after its start.
-        greeted_servers: the servers that have reported their sessions to this incarnation.
-        on_uptime: receives a server's address and its uptime in milliseconds, where it reports that.
-        greeted_attempts: session ids and attempts in the greeting that is being processed.
+        recovery: The recovery of this front's sessions after its start.
+        records: The servers in use, by address.
+        synced_servers: The servers that have reported their sessions to this incarnation.
+        on_uptime: Called with a server's address and its uptime in milliseconds, None if it reports none.
+        reported_attempts: Session ids and attempts in the session report that is being processed.
     """
 
     def __init__(
@@ -66,24 +67,24 @@
         self._loss_handler: ServerLossHandler
 
     def bind_loss_handler(self, handler: ServerLossHandler) -> None:
-        """Report lost sessions to this handler."""
+        """Set the handler of lost sessions."""
         self._loss_handler = handler
 
     def active_count(self) -> int:
-        """How many servers play sessions of this front."""
+        """Return how many servers play sessions of this front."""
         return sum(1 for server in self.records.values() if server.sessions)
 
-    # Events of this front.
+    # Events from this front.
 
     def on_session_established(self, session: Session) -> None:
-        """A session plays at its server from now on."""
+        """Add a session to its server, which now plays it."""
         server = self.records.setdefault(session.server, ServerRecord(session.server))
         server.sessions[session.id] = session
         if len(server.sessions) == 1:
             self.streams.apply(server, StreamEvent.SESSIONS_HELD)
 
     def on_session_closed(self, session: Session) -> None:
-        """A session plays at its server no more, if it ever did."""
+        """Remove a session from its server, if the server plays it."""
         server = self.records.get(session.server)
         if server is None or server.sessions.pop(session.id, None) is None:
             return
@@ -92,7 +93,7 @@
             self.streams.apply(server, StreamEvent.NO_SESSIONS_HELD)
 
     def request_session_reports(self, update: ListUpdate, now_us: int) -> None:
-        """Open the streams of all servers of a list: each reports what it still holds for this front."""
+        """Open the streams of all listed servers, so that each reports the sessions it has for this front."""
         addresses = {entry.address for entry in update.entries if entry.state is not ServerState.LEFT}
         self.recovery.on_endpoints_listed(addresses, now_us)
         for address in sorted(addresses):
@@ -100,7 +101,7 @@
             self.streams.apply(server, StreamEvent.SESSIONS_HELD)
 
     def wait_until_recovered(self) -> None:
-        """Block until every server has reported its sessions, or the time for that is over."""
+        """Block until every server has reported its sessions or the recovery times out."""
         while True:
             with self.context.lock:
                 left_us = self.recovery.remaining_us(self.context.now_us())
@@ -111,12 +112,12 @@
                     continue
             self.recovery_finished.wait(min(RECOVERY_POLL_S, left_us / 1e6))
 
-    # Events of servers; a generation names the stream that they came on.
+    # Events from servers; the generation identifies the stream that they arrived on.
 
     def on_hello(
         self, address: str, generation: int, boot: str, reported: Sequence[Held], up_ms: float | None = None
     ) -> None:
-        """A server opens its stream: its boot id, the attempts that it holds here, and its uptime."""
+        """Handle the first message of a server's stream: its boot id, attempts of this front, and uptime."""
         with self.context.lock:
             server = self._record_of_stream(address, generation)
             if server is None:
@@ -135,7 +136,7 @@
     def on_load_report(
         self, address: str, generation: int, hints: ServerHints, delivered_share: float | None
     ) -> None:
-        """A server reports its load, and what share of its sessions' rates it delivers."""
+        """Handle a server's report of its load and of the delivered share of its sessions' rates."""
         with self.context.lock:
             server = self._record_of_stream(address, generation)
             session = server.any_session() if server is not None else None
@@ -146,7 +147,7 @@
                 self.reports.forward(session, ReportKind.DELIVERED, delivered_share)
 
     def on_session_ended(self, address: str, generation: int, session_id: str, attempt: int) -> None:
-        """A server reports that it plays a session no more."""
+        """Handle a server's report that it no longer plays a session."""
         with self.context.lock:
             if self._record_of_stream(address, generation) is None:
                 return
@@ -158,7 +159,7 @@
             self.lifecycle.apply(session, SessionEvent.RELEASED)
 
     def on_stream_closed(self, address: str, generation: int, *, is_refused: bool) -> None:
-        """A stream broke or fell silent, or the server refused to open it."""
+        """Handle a stream that broke or timed out, or that the server refused to open."""
         with self.context.lock:
             server = self._record_of_stream(address, generation)
             if server is None:
@@ -180,10 +181,10 @@
         if self.recovery.is_settled:
             self.recovery_finished.set()
 
-    # Losses, reported by the streams.
+    # Losses detected by the streams.
 
     def on_all_lost(self, server: ServerRecord) -> None:
-        """A server is lost with all its sessions."""
+        """Handle the loss of a server with all its sessions."""
         if server.sessions:
             self.context.log_event("server_lost", box=server.address, subscriptions=len(server.sessions))
         else:
@@ -192,11 +193,11 @@
             self._loss_handler.on_server_lost(session)
 
     def on_unreported_lost(self, server: ServerRecord) -> None:
-        """A server has restarted: it lost the sessions that it does not report."""
+        """Handle the restart of a server, which has lost the sessions that it does not report."""
         for session in list(server.sessions.values()):
             target = session.current_target
             is_unknown = target is None or (session.id, target.attempt) not in self.reported_attempts
-            # A session that was established while the greeting was under way is not in it, and not lost.
+            # One established after the stream was opened may be missing from the report without being lost.
             if is_unknown and session.established_us < server.stream_opened_us:
                 session.close_reason = "its box knows it no more"
                 self._loss_handler.on_server_lost(session)
--- a/packages/core/src/fennelcove/core/server_reports.py
+++ b/packages/core/src/fennelcove/core/server_reports.py
@@ -1,4 +1,4 @@
-"""Passes what servers and clients report about a server's load on to the policy."""
+"""Forwards servers' and clients' reports on a server's load to the policy."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from fennelcove.interface import ReportKind, SessionReport
 from fennelcove.placement import PlacementPolicy
 
-FULL_DELIVERY = 1.0  # share of the rates that a server delivers which keeps up
+FULL_DELIVERY = 1.0  # the delivered share of its sessions' rates of a server that keeps up
 
 
 class ServerReports:
-    """Reports load and delivery of servers to the policy; the core's lock guards it."""
+    """Reports load and delivery of servers to the policy; the caller holds the core's lock."""
 
     def __init__(self, context: CoreContext, policy: PlacementPolicy) -> None:
         self.context = context
         self.policy = policy
 
     def forward_hints(self, session: Session, hints: ServerHints) -> None:
-        """Report the load in a server's hints, by a session that plays there."""
+        """Report the load in a server's hints, through a session that it plays."""
         report = load_signals.load_report(hints)
         if report is None:
             return
@@ -31,14 +31,14 @@
             self.forward(session, ReportKind.UPLINK, report.uplink)
 
     def forward(self, session: Session, kind: ReportKind, level: float) -> None:
-        """Report one figure about a session's server."""
+        """Report one figure on a session's server."""
         target = session.current_target
         if target is not None and not session.is_orphaned:
             report = SessionReport(target.policy_id, target.server, kind, level)
             self.policy.handle(report, self.context.now_us())
 
     def evaluate_delivery(self, server: ServerRecord, now_us: int) -> None:
-        """Report short delivery where the server's clients agree on it, and the end of it."""
+        """Report insufficient delivery once the server's clients agree on it, and its end."""
         session = server.any_session()
         if session is None:
             return
--- a/packages/core/src/fennelcove/core/server_streams.py
+++ b/packages/core/src/fennelcove/core/server_streams.py
@@ -1,4 +1,4 @@
-"""Runs the state machine of each server's event stream; the core's lock guards it."""
+"""Runs the state machine of each server's event stream; the caller holds the core's lock."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class StreamLossHandler(Protocol):
-    """Receives what a stream shows to be lost."""
+    """Handles losses that an event stream reveals."""
 
     def on_all_lost(self, server: ServerRecord) -> None:
-        """A server is lost with all its sessions."""
+        """Handle the loss of a server with all its sessions."""
 
     def on_unreported_lost(self, server: ServerRecord) -> None:
-        """A server has restarted: it lost the sessions that it does not report."""
+        """Handle the restart of a server, which has lost the sessions that it does not report."""
 
 
 class ServerStreams:
-    """Opens, reopens and closes the event streams of the servers on record."""
+    """Opens, reopens and closes the event streams of the known servers."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._run(server, server.stream.apply(event, self.context.now_us()))
 
     def on_hello(self, server: ServerRecord, boot: str) -> None:
-        """A server has opened its stream under this boot id."""
+        """Handle the first message of a server's stream, with the server's boot id."""
         self._run(server, server.stream.on_hello(boot, self.context.now_us()))
 
     def _run(self, server: ServerRecord, actions: Iterable[StreamAction]) -> None:
--- a/packages/core/src/fennelcove/core/session_actions.py
+++ b/packages/core/src/fennelcove/core/session_actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the session transition table; the core's lock guards it."""
+"""Executes the actions of the session transition table; the caller holds the core's lock."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from fennelcove.placement import PlacementPolicy
 
 CloseListener = Callable[[Session], None]
-"""Receives a session that has been closed."""
+"""Called with a session that has been closed."""
 
 
 class SessionActions:
-    """The action handlers of one front's sessions.
+    """The action handlers of a front's sessions.
 
     Attributes:
-        handlers: what carries out each action.
-        close_listeners: receive each closed session, in this order.
+        handlers: The handler of each action.
+        close_listeners: Called with each closed session, in this order.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         }
 
     def _on_attempt_ready(self, session: Session) -> None:
-        """The attempt is the session's next step already; whoever runs the request takes it."""
+        """Do nothing: the attempt already is the session's next step."""
 
     def _respond_established(self, session: Session) -> None:
         session.next_step = SessionResponse(ResponseKind.PLAYING, "")
@@ -85,7 +85,7 @@
     def _respond_shutting_down(self, session: Session) -> None:
         policy_session = self.policy.sessions.get(session.id)
         if policy_session is not None and self.policy.may_reject(policy_session):
-            # The same time to retry after as the policy would give.
+            # The retry interval that the policy would give.
             retry_after_us = self.policy.settings.retry_after_us or 0
             session.next_step = SessionResponse(
                 ResponseKind.REJECTED, "this front is stopping", retry_after_us
@@ -119,7 +119,7 @@
             self.set_top_rung(session, top_rung)
 
     def set_top_rung(self, session: Session, top_rung: int) -> None:
-        """Change the highest rung of an established session; notifies client and policy."""
+        """Change the highest rung of an established session; notify the client and the policy."""
         session.top_rung = top_rung
         self.notifier.on_rung_changed(session)
         if session.current_target is not None and not session.is_orphaned:
@@ -152,6 +152,6 @@
             self.commands.send(target, session, None)
 
     def close(self, session: Session) -> None:
-        """Remove every trace of a session, part by part."""
+        """Remove all state of a session by calling the close listeners."""
         for on_session_closed in self.close_listeners:
             on_session_closed(session)
--- a/packages/core/src/fennelcove/core/session_adoption.py
+++ b/packages/core/src/fennelcove/core/session_adoption.py
@@ -1,4 +1,4 @@
-"""Takes over, or releases, the sessions that servers still hold for this front; the core's lock guards it."""
+"""Adopts or releases sessions that servers still play for this front; the caller holds the core's lock."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class SessionAdoption:
-    """Reconciles what a server reports with the sessions of this front.
+    """Reconciles the sessions that a server reports with those of this front.
 
-    Sessions of an earlier incarnation play on under this one.
+    Sessions of an earlier incarnation of the front continue under the current one.
     """
 
     def __init__(
@@ -50,10 +50,10 @@
         self.content = content
 
     def reconcile(self, address: str, reported: Held) -> Session | None:
-        """A server reports an attempt that it holds.
+        """Handle a server's report of an attempt that it serves.
 
         Returns:
-            The session that plays there from now on; None where none does, or it was known already.
+            The adopted session; None if the attempt was released or already known.
         """
         session = self.lifecycle.sessions.get(reported.subscription)
         known = _known_session(session, reported) if session is not None else None
@@ -90,7 +90,7 @@
         self.commands.send_to(address, reported.subscription, reported.join, None)
 
     def _adopt(self, address: str, reported: Held) -> Session | None:
-        """Take over a session of an earlier incarnation; the policy receives it as a handover."""
+        """Adopt a session of an earlier incarnation; the policy receives it as a handover."""
         is_listed = address in self.policy.servers
         if (
             not is_listed
@@ -137,7 +137,7 @@
 
 
 def _known_session(session: Session, reported: Held) -> reconciliation.KnownSession | None:
-    """What this front knows of the session that a server reports."""
+    """Return what this front knows of a session that a server reports."""
     pending = session.pending_target
     is_pending = pending is not None and pending.attempt == reported.join
     target = pending if is_pending else session.current_target or pending
--- a/packages/core/src/fennelcove/core/session_ids.py
+++ b/packages/core/src/fennelcove/core/session_ids.py
@@ -1,4 +1,4 @@
-"""Session ids that cannot be guessed, and the id of one incarnation of a process."""
+"""Unguessable session ids, and the id of a front's incarnation."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class SessionIds:
-    """Issues ids: a count, authenticated under the key of this incarnation.
+    """Issues session ids: a counter, authenticated under the key of this incarnation.
 
-    Whoever has an id may see and release its session. The key comes from the operating system, not from the
-    seed of the settings: two incarnations of one front must not give servers the same ids.
+    An id authorises its bearer to see and release the session. The key is taken from the operating system's
+    random numbers, not from the configured seed: two incarnations of a front must not issue the same ids.
 
     Attributes:
-        boot_id: the id of this incarnation.
+        boot_id: The id of this incarnation.
     """
 
     def __init__(self, key: bytes | None = None) -> None:
@@ -22,7 +22,7 @@
         self.issued_count = 0
 
     def next_id(self) -> str:
-        """A new id: the count and 24 hexadecimal characters."""
+        """Return a new id: the counter, followed by 24 hexadecimal digits of its MAC."""
         self.issued_count += 1
         return self._format_id(self.issued_count)
 
@@ -31,7 +31,7 @@
         return f"{count:x}-{digest}"
 
     def is_issued_here(self, session_id: str) -> bool:
-        """Whether the id was issued in this incarnation."""
+        """Return whether the id was issued by this incarnation."""
         head = session_id.partition("-")[0]
         try:
             count = int(head, 16)
--- a/packages/core/src/fennelcove/core/session_lifecycle.py
+++ b/packages/core/src/fennelcove/core/session_lifecycle.py
@@ -1,4 +1,4 @@
-"""The sessions of one front and their state transitions; the core's lock guards them."""
+"""The sessions of a front and their state transitions, guarded by the core's lock."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 MAX_CLOSE_REASONS = 10_000
 
 ActionHandlers = Mapping[SessionAction, Callable[[Session], None]]
-"""What carries out each action of the transition table."""
+"""The handler of each action of the transition table."""
 
 
 class SessionLifecycle:
-    """Finds sessions by id and applies events to them. Bind the action handlers before the first event.
+    """Finds sessions by id and applies events to them. The action handlers must be bound before any event.
 
     Attributes:
-        sessions: sessions by their id.
-        by_policy_id: sessions by the id under which the policy knows them; a migration has one of its own.
-        close_reasons: why the sessions closed last were closed, by session id.
+        sessions: Sessions by their id.
+        by_policy_id: Sessions by the policy's id; a migration has an id of its own.
+        close_reasons: Why recent sessions were closed, by session id; limited to `MAX_CLOSE_REASONS`.
     """
 
     def __init__(self, context: CoreContext, policy: PlacementPolicy) -> None:
@@ -37,7 +37,7 @@
         self._handlers: ActionHandlers = {}
 
     def bind(self, handlers: ActionHandlers) -> None:
-        """Let these handlers carry out the actions of the transition table."""
+        """Set the handlers of the transition table's actions."""
         self._handlers = handlers
 
     def add(self, session: Session) -> None:
@@ -46,19 +46,19 @@
         self.by_policy_id[session.id] = session
 
     def find_established(self, session_id: str) -> Session | None:
-        """The session of that id, if it is established."""
+        """Return the session with that id if it is established, else None."""
         session = self.sessions.get(session_id)
         is_established = session is not None and session.state is SessionState.ESTABLISHED
         return session if is_established else None
 
     def apply(self, session: Session, event: SessionEvent) -> None:
-        """Move a session to its next state and carry out the actions of that transition."""
+        """Move a session to its next state and execute the actions of the transition."""
         session.state, actions = session_lifecycle.transition(session.state, event)
         for action in actions:
             self._handlers[action](session)
 
     def release(self, session_id: str, reason: str) -> bool:
-        """Close an established session; False where there is none of that id."""
+        """Close an established session; return False if there is none with that id."""
         with self.context.lock:
             session = self.find_established(session_id)
             if session is None:
@@ -71,9 +71,9 @@
         """Report the result of an attempt to the policy.
 
         Args:
-            target: where the attempt went.
-            result: how it ended.
-            is_finished: whether the policy has nothing more to decide about that session.
+            target: The target of the attempt.
+            result: How it ended.
+            is_finished: Whether the policy has no more decisions to make about the session.
         """
         report = None
         if result.hints is not None and not is_finished:
@@ -84,17 +84,17 @@
             self.by_policy_id.pop(target.policy_id, None)
 
     def remove(self, session: Session) -> None:
-        """Remove a closed session."""
+        """Remove a closed session from the tables."""
         self.sessions.pop(session.id, None)
         self.by_policy_id.pop(session.id, None)
 
     def close_reason(self, session_id: str) -> str | None:
-        """Why a session was closed, where that is still known."""
+        """Return why a session was closed, or None if that is no longer known."""
         with self.context.lock:
             return self.close_reasons.get(session_id)
 
     def record_close_reason(self, session: Session) -> None:
-        """Keep the reason for a while, so that clients can still ask for it."""
+        """Store why a session was closed, for clients that ask later; the oldest reasons are evicted."""
         if session.close_reason:
             self.close_reasons[session.id] = session.close_reason
             if len(self.close_reasons) > MAX_CLOSE_REASONS:
--- a/packages/core/src/fennelcove/core/session_migrations.py
+++ b/packages/core/src/fennelcove/core/session_migrations.py
@@ -1,4 +1,4 @@
-"""Moves established sessions from server to server; the core's lock guards it."""
+"""Migrates established sessions between servers; the core's lock guards its state."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
 
 
 class SessionMigrations:
-    """Runs the migration of each session whose server drains, leaves or is lost.
+    """Migrates the sessions of servers that drain, leave or are lost.
 
     Attributes:
-        migrations: the migration of each session that was ever to move, by session id.
+        queue: The migrations that wait for their turn; limits how many run at once.
+        migrations: The migration state of each open session that has had one, by session id.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         }
 
     def on_list(self, now_us: int) -> None:
-        """A new endpoint list is in force: sessions leave the servers that drain now."""
+        """Handle a new endpoint list: migrate sessions away from servers that now drain."""
         for change in self.draining.update(self.policy.servers, now_us):
             server = self.server_registry.records.get(change.address)
             sessions = list(server.sessions.values()) if server is not None else ()
@@ -83,7 +84,7 @@
                 self._apply(session, change.event)
 
     def on_server_lost(self, session: Session) -> None:
-        """The server of a session is lost: move it where that is safe, or close it."""
+        """Migrate a session whose server is lost if that is safe; close it otherwise."""
         if session.state is not SessionState.ESTABLISHED:
             return
         if _may_reestablish(session, self.policy):
@@ -92,7 +93,7 @@
             self.lifecycle.apply(session, SessionEvent.SERVER_LOST)
 
     def on_session_closed(self, session: Session) -> None:
-        """Forget a session's migration; a pending attempt is released at its server when it ends."""
+        """Remove a session's migration; a pending attempt is released at its server when it ends."""
         state = self.migrations.pop(session.id, None)
         if state is not None:
             if state.state is MigrationState.ESTABLISHING and not state.is_server_lost:
@@ -100,7 +101,7 @@
             state.apply(MigrationEvent.SESSION_ENDED)
 
     def run_due(self) -> None:
-        """Start migrations whose turn has come, and end those whose time is over; called periodically."""
+        """Start the migrations that are due and end those past their grace period; called periodically."""
         with self.context.lock:
             started, expired = self.queue.take_ready(self.context.now_us())
             for due in started:
@@ -128,17 +129,17 @@
         for action in state.apply(event):
             self._handlers[action](session, state)
 
-    # Attempts of migrations.
+    # Migration attempts.
 
     def send_attempt(self, step: SendAttempt) -> None:
-        """The policy has chosen a server: send the attempt there."""
+        """Send an attempt to the server that the policy has chosen."""
         if not self.sender.send(step):
-            # The policy is in the middle of its own event; it receives the result a moment later.
+            # Reported from a timer, as the policy is still handling the event that led here.
             result = AttemptResult(Outcome.NOT_SENT, None, 0)
             self.context.timers.after(0, lambda: self.on_attempt_completed(step, result))
 
     def on_attempt_rejected(self, session: Session, policy_id: str) -> None:
-        """The policy finds no server for now."""
+        """Handle that the policy has found no server."""
         self.lifecycle.by_policy_id.pop(policy_id, None)
         session.pending_target = None
         state = self.migrations.get(session.id)
@@ -147,7 +148,7 @@
         self._apply(session, MigrationEvent.NO_SERVER_FOUND)
 
     def on_attempt_completed(self, step: SendAttempt, result: AttemptResult) -> None:
-        """An attempt of a migration has ended."""
+        """Handle the end of a migration attempt."""
         with self.context.lock:
             session = step.session
             pending = session.pending_target
@@ -170,7 +171,7 @@
                 self._apply(session, MigrationEvent.ATTEMPT_FAILED)
 
     def _discard_result(self, step: SendAttempt, target: AttemptTarget | None, result: AttemptResult) -> None:
-        """The migration ended before its attempt: nobody needs what the server began."""
+        """Release an attempt at its server whose migration ended before the attempt did."""
         self.commands.release_after(step, result.outcome)
         if target is not None:
             step.session.pending_target = None
@@ -259,7 +260,7 @@
 
 
 def _may_reestablish(session: Session, policy: PlacementPolicy) -> bool:
-    """Whether another server may take over a session whose server is lost."""
+    """Return whether a session whose server is lost may be established again on another one."""
     effect = policy.settings.service_classes[session.service_class].effect
     return (
         session.current_target is not None
--- a/packages/core/src/fennelcove/core/session_requests.py
+++ b/packages/core/src/fennelcove/core/session_requests.py
@@ -1,4 +1,4 @@
-"""Turns admitted client requests into sessions."""
+"""Creates sessions for the client requests that pass admission control."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionTerms:
-    """What the settings and the client's hints make of a request.
+    """The terms of a request: its limits by the settings and the client's hints.
 
     Attributes:
-        rates_kb: the rate of each rung, in kB a second.
-        work_us: for how long the front may work on the response.
+        title_number: The index of the title in the settings.
+        rates_kb: The rate of each rung in kB per second.
+        work_us: How long the front may take to respond.
     """
 
     title_number: int
@@ -41,11 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOutcome:
-    """What became of a request.
+    """The outcome of a request.
 
     Attributes:
-        session: the session; None where the request was rejected.
-        step: what to do first; the response where the request was rejected.
+        session: The session; None if the request was rejected.
+        step: The first step to take; the response if the request was rejected.
     """
 
     session: Session | None
@@ -53,7 +54,7 @@
 
 
 class SessionRequests:
-    """Creates a session for each admitted request and hands it to the placement policy."""
+    """Creates a session for each admitted request and passes it to the placement policy."""
 
     def __init__(
         self,
@@ -80,13 +81,13 @@
         self.actions = actions
 
     def on_request(self, request: SessionRequest) -> RequestOutcome:
-        """A client requests a session.
+        """Handle a client's session request.
 
         Returns:
-            The session and what to do first, or the rejection alone.
+            The session and its first step, or only the rejection.
 
         Raises:
-            KeyError: a service class or title that the settings do not name.
+            KeyError: The settings do not name the request's service class or title.
         """
         terms = self._resolve_terms(request)
         now_us = self.context.now_us()
@@ -136,14 +137,14 @@
                 self.policy.handle(request, now_us)
             self.probes.wait_for_decision(session)
         except Exception:
-            # A request that failed keeps nothing: it would stay counted for ever, and a front that holds
-            # nothing would in the end reject everybody.
+            # Release the failed request's admission: otherwise it stays counted for ever, and a front without
+            # any sessions ends up rejecting every request.
             self.admission.controller.on_request_answered(0)
             self.discard(session)
             raise
 
     def discard(self, session: Session) -> None:
-        """Remove every trace of a session that failed, whatever its state."""
+        """Remove all state of a session whose processing failed, whatever its state."""
         with self.context.lock:
             for target in (session.current_target, session.pending_target):
                 if target is not None and session.state is not SessionState.CLOSED:
--- a/packages/core/src/fennelcove/core/session_views.py
+++ b/packages/core/src/fennelcove/core/session_views.py
@@ -1,4 +1,4 @@
-"""What a client may know of its session."""
+"""The view of a session that its client receives."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class SessionViews:
-    """Makes the client's view of a session."""
+    """Builds clients' views of their sessions."""
 
     def __init__(self, expiry: SessionExpiry, seat_leases: SeatLeaseManager) -> None:
         self.expiry = expiry
         self.seat_leases = seat_leases
 
     def view_of(self, session: Session) -> SessionView:
-        """The session as its client may see it now."""
+        """Return the session as its client may see it now."""
         return SessionView(
             session.id,
             session.title,
--- a/packages/core/src/fennelcove/core/shared_quota_coordinator.py
+++ b/packages/core/src/fennelcove/core/shared_quota_coordinator.py
@@ -1,4 +1,4 @@
-"""Spends from quotas that all fronts share, and exchanges them with other fronts; takes the core's lock."""
+"""Acquires from quotas that all fronts share, and exchanges quota with them; acquires the core's lock."""
 
 from __future__ import annotations
 
@@ -11,12 +11,20 @@
 from fennelcove.decisions.fleet.shared_quotas import Quota, QuotaRequest, QuotaTransfer, Resource
 from fennelcove.settings.schema import Instance
 
-EXCHANGE_INTERVAL_US = 250_000  # interval of calls of `turn`
+EXCHANGE_INTERVAL_US = 250_000  # interval at which `exchange_quota` is called
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaStatus:
-    """One resource in the `budgets` section of the status; the field names are keys of the status JSON."""
+    """One resource in the `budgets` section of the status; the field names are keys of the status JSON.
+
+    Attributes:
+        rate: The rate that this front may use now, including loans.
+        spent: The number of units acquired.
+        denied: The number of units denied.
+        lent_to: The number of fronts to which quota is lent.
+        borrowed_from: The number of fronts from which quota is borrowed.
+    """
 
     rate: float
     spent: int
@@ -26,9 +34,10 @@
 
 
 class SharedQuotaCoordinator:
-    """One front's quotas.
+    """One front's shares of the quotas.
 
-    The owner assigns `post` (sends a message to a front) and calls `turn` every `TURN_US`.
+    The owner assigns `send` (sends a message to a front) and calls `exchange_quota` every
+    `EXCHANGE_INTERVAL_US`.
     """
 
     def __init__(
@@ -51,13 +60,13 @@
         self.send: Callable[[int, QuotaRequest | QuotaTransfer], None] = lambda _front, _message: None
 
     def try_acquire(self, resource: Resource) -> bool:
-        """Acquire one unit of a resource; True where nothing limits it."""
+        """Acquire one unit of a resource; return False if it is short. One without a quota is unlimited."""
         with self._lock:
             quota = self._quotas.get(resource)
             return quota is None or quota.try_acquire(self._clock.now_us())
 
     def acquire_wait_us(self, resource: Resource) -> int:
-        """Acquire one unit of a resource and return 0, or return how long to wait before the next try."""
+        """Acquire one unit of a resource and return 0, or return how long to wait before a retry."""
         with self._lock:
             quota, now_us = self._quotas.get(resource), self._clock.now_us()
             if quota is None or quota.try_acquire(now_us):
@@ -65,7 +74,7 @@
             return max(1, quota.wait_us(now_us))
 
     def exchange_quota(self) -> None:
-        """Request quota that is short from other fronts; returns without waiting for them."""
+        """Request quota that is short from other fronts without waiting for their answers."""
         with self._lock:
             now_us = self._clock.now_us()
             requests = [
--- a/packages/core/src/fennelcove/core/slot_requests.py
+++ b/packages/core/src/fennelcove/core/slot_requests.py
@@ -1,4 +1,4 @@
-"""What the slot scheduler keeps of a session set-up, and how set-ups, tenants and servers are classified."""
+"""The slot scheduler's records of set-ups, and the classification of set-ups, tenants and servers."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True, eq=False)
 class SlotRequest:
-    """A set-up that waits for a slot, or holds one.
+    """A set-up that waits for a slot or occupies one.
 
     Attributes:
         session: The session that is set up.
-        request: What the placement policy is asked once a slot is free.
-        waiter: Its place in the wait queue.
-        wakeup: Wakes the thread that waits; None while the set-up has not waited.
-        is_placing: Whether the placement policy is choosing a server for it right now.
+        request: The request that the placement policy receives once a slot is free.
+        waiter: Its entry in the wait queue.
+        wakeup: Wakes the waiting thread; None if the set-up has not had to wait.
+        is_placing: Whether the placement policy is choosing a server for it at the moment.
     """
 
     session: Session
@@ -39,14 +39,14 @@
     is_placing: bool = False
 
     def wake(self) -> None:
-        """Wake the thread that waits for it, if there is one."""
+        """Wake the thread that waits for the set-up, if there is one."""
         if self.wakeup is not None:
             self.wakeup.ring()
 
 
 @dataclass(frozen=True, slots=True)
 class SlotInUse:
-    """A slot that an attempt holds."""
+    """A slot that an attempt occupies."""
 
     server: str
     shape: RequestShape
@@ -55,7 +55,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """An attempt as the wait queue knows it: its session's id and its number."""
+    """The wait queue's key of an attempt: its session's id and its number."""
 
     session_id: str
     attempt: int
@@ -63,26 +63,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedWorkload:
-    """A set-up's workload shape and the addresses of the servers that could take it."""
+    """A set-up's workload shape and the addresses of the servers that could play the session."""
 
     shape: RequestShape
     servers: tuple[str, ...]
 
 
 def tenant_key(tenant: str) -> int:
-    """Return the number that stands for a tenant in messages between fronts; never 0."""
+    """Return the key of a tenant in messages between fronts; never 0."""
     return zlib.crc32(tenant.encode()) or 1
 
 
 def server_key(server: str) -> int:
-    """Return the number that stands for a server in messages between fronts."""
+    """Return the key of a server in messages between fronts."""
     return zlib.crc32(server.encode())
 
 
 def expected_workload(
     session: Session, request: Request, catalogue: Catalogue, policy: PlacementPolicy
 ) -> ExpectedWorkload:
-    """Return what is known of a set-up before a server is chosen."""
+    """Return the workload of a set-up as known before a server is chosen."""
     cells = {(request.first_cell + offset) % catalogue.cell_count for offset in range(request.cell_count)}
     servers = [server for cell in sorted(cells) for server in policy.active_replicas(cell)]
     has_warm_server = any(not is_warming_up(policy, server) for server in servers)
@@ -91,7 +91,7 @@
 
 
 def established_shape(session: Session) -> RequestShape:
-    """Return the workload shape of a further attempt of a session whose set-up is over."""
+    """Return the workload shape of later attempts of a session whose set-up is complete."""
     return session.service_class, _ladder_band(session), True
 
 
@@ -100,7 +100,7 @@
 
 
 class TenantNames:
-    """Names of tenants by key, for the status alone; bounded, the oldest goes first."""
+    """Names of tenants by key, used only in the status; bounded, the oldest is evicted first."""
 
     def __init__(self) -> None:
         self._names: OrderedDict[int, str] = OrderedDict()
@@ -112,7 +112,7 @@
             self._names.popitem(last=False)
 
     def name_of(self, tenant: int) -> str:
-        """Return a tenant's name, or its key in hexadecimal digits where the name is not known."""
+        """Return a tenant's name, or its key in hexadecimal if the name is not known."""
         return self._names.get(tenant, f"{tenant:08x}")
 
 
@@ -131,7 +131,7 @@
         self._policy = policy
 
     def new_request(self, session: Session, request: Request, now_us: int) -> SlotRequest:
-        """Return a set-up as the wait queue takes it."""
+        """Return the slot request of a set-up, with its wait-queue entry."""
         tenant = self.tenant_of(session)
         if session.request is not None:
             self.tenant_names.add(tenant, session.request.tenant if tenant else "others")
@@ -149,12 +149,17 @@
         return SlotRequest(session, request, waiter)
 
     def tenant_of(self, session: Session) -> int:
-        """Return the key of a session's tenant, as far as the settings know it."""
+        """Return the key under which a session's tenant is accounted."""
         name = session.request.tenant if session.request is not None else ""
         return self._queue.tenant_weights.accounted_tenant(tenant_key(name))
 
     def expected_hold(self, session: Session, slot_request: SlotRequest | None) -> ServiceTimeEstimate:
-        """Return for how long an attempt will hold its slot; `slot_request` is its set-up, if under way."""
+        """Return how long an attempt is expected to occupy its slot.
+
+        Args:
+            session: The attempt's session.
+            slot_request: The session's set-up; None if it is complete.
+        """
         if slot_request is not None:
             return slot_request.waiter.estimate
         return self._queue.service_times.estimate(established_shape(session), session.title)
--- a/packages/core/src/fennelcove/core/slot_scheduler.py
+++ b/packages/core/src/fennelcove/core/slot_scheduler.py
@@ -1,9 +1,9 @@
-"""Fair sharing of the servers' slots among tenants; the core's lock is held around every call.
+"""Fair sharing of the servers' slots among tenants; callers hold the core's lock.
 
-A set-up waits here before the placement policy learns of it. When a slot is free for it, the policy is
-asked, on whichever thread released the slot, and picks a server and a rung among the servers with free
-slots; the thread that waits is woken and finds its next step. No attempt is sent for a set-up that waits, so
-it is given up by taking it out of the queue.
+A set-up is queued here before the placement policy receives it. When a slot becomes free, the thread that
+released it passes the set-up to the policy, which chooses a rung and one of the servers with free slots; the
+waiting thread is then woken and takes its next step. No attempt is sent for a queued set-up, so it is
+cancelled by removing it from the queue.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 __all__ = ["WINDOW_US", "SlotScheduler"]
 
-# Outcomes whose duration shows how long a server holds a slot.
+# Outcomes whose duration is the time that a server's slot is occupied.
 MEASURED_OUTCOMES = (
     Outcome.SERVED,
     Outcome.NO_ANSWER,
@@ -53,7 +53,8 @@
 def equal_quota(slots: int, instance: Instance, server: str) -> int:
     """Return a front's equal quota of a server's slots.
 
-    The odd ones go to different fronts at different servers. The quotas of unreachable fronts stay theirs.
+    Slots that do not divide evenly go to different fronts at different servers. The quotas of unreachable
+    fronts are not redistributed.
     """
     rank = (instance.index + server_key(server)) % instance.fronts
     has_extra_slot = rank < slots % instance.fronts
@@ -63,9 +64,9 @@
 class SlotScheduler:
     """One front's slots.
 
-    The owner may assign the callbacks `part` (this front's quota of a server's slots), `wants` (takes the
-    number of set-ups that wait for a server) and `post` (sends a usage report to the other fronts). It calls
-    `window` every `WINDOW_US`.
+    The owner may assign the callbacks `quota_of` (returns this front's quota of a server's slots),
+    `publish_waiting_count` (called with the number of set-ups that wait for a server) and `broadcast` (sends
+    a usage report to the other fronts). It calls `close_window` every `WINDOW_US`.
     """
 
     def __init__(
@@ -103,10 +104,10 @@
         self._servers: dict[int, str] = {}  # by key
         self._workloads = WorkloadEstimator(self._queue, catalogue, policy)
 
-    # Calls of the core.
+    # Calls from the core.
 
     def admit(self, session: Session, request: Request) -> None:
-        """Admit a set-up: ask the policy, or let it wait; either way the session gets its next step."""
+        """Pass a set-up to the policy or queue it; either way the session gets its next step."""
         now_us = self._context.now_us()
         slot_request = self._workloads.new_request(session, request, now_us)
         waiter = slot_request.waiter
@@ -125,7 +126,7 @@
         self._publish_demand(waiter.servers)
 
     def waits_for_other_servers(self, session: Session) -> bool:
-        """Return whether a set-up waits for other servers, now that the policy found no free one suitable."""
+        """Return whether a set-up waits for busy servers, after the policy rejected those with free slots."""
         slot_request = self._requests.get(session.id)
         if slot_request is None or not slot_request.is_placing:
             return False
@@ -155,7 +156,7 @@
         return self._queue.has_free_slot(server, expected_hold.is_long, now_us)
 
     def try_acquire(self, session: Session, server: str, attempt: int) -> bool:
-        """Acquire a slot for an attempt that is about to be sent; False where none is free."""
+        """Acquire a slot for an attempt that is about to be sent; return False if none is free."""
         now_us, slot_request = self._context.now_us(), self._requests.get(session.id)
         tenant = self._workloads.tenant_of(session)
         shape = slot_request.waiter.shape if slot_request is not None else established_shape(session)
@@ -170,7 +171,7 @@
         return True
 
     def release(self, session: Session, attempt: int, outcome: Outcome) -> None:
-        """Release the slot of an attempt that is over; nothing happens where it held none."""
+        """Release the slot of an attempt that has ended, if it has one."""
         key, now_us = AttemptKey(session.id, attempt), self._context.now_us()
         slot = self._in_use.pop(key, None)
         if slot is None:
@@ -189,19 +190,19 @@
                 del self._requests[session.id]
 
     def on_set_up_ended(self, session: Session) -> None:
-        """Forget the set-up of a session that plays or has ended."""
+        """Remove the set-up of a session that is established or closed."""
         slot_request = self._requests.pop(session.id, None)
         if slot_request is not None:
             self._queue.cancel(slot_request.waiter, WaiterEvent.HUNG_UP)
 
     def discard(self, session: Session) -> None:
-        """Release everything a session holds, after a fault in the middle of one of its steps."""
+        """Remove a session's set-up and release its slots, after an error in one of its steps."""
         self.on_set_up_ended(session)
         for key in [key for key in self._in_use if key.session_id == session.id]:
             self.release(session, key.attempt, Outcome.NOT_SENT)
 
     def assign_free_slots(self) -> None:
-        """Give slots that have come free to the set-ups that wait for them."""
+        """Assign free slots to the set-ups that wait for them."""
         now_us = self._context.now_us()
         wanted = dict.fromkeys(server for waiter in queued_waiters(self._queue) for server in waiter.servers)
         for server in wanted:
@@ -210,7 +211,7 @@
                 self._publish_demand(waiter.servers)
 
     def on_quota_increased(self) -> None:
-        """Handle that this front's quota of some server may have grown."""
+        """Handle a possible increase of this front's quota at some server."""
         with self._context.lock:
             self.assign_free_slots()
 
@@ -231,7 +232,7 @@
             self._reject(slot_request, WaiterEvent.NO_TIME, decision.retry_after_us)
 
     def _place(self, slot_request: SlotRequest) -> None:
-        """Let the placement policy choose a server for a set-up whose turn it is."""
+        """Let the placement policy choose a server for a set-up."""
         session, now_us = slot_request.session, self._context.now_us()
         slot_request.is_placing = True
         timeout_us = max(1, session.deadline_us - now_us)
@@ -239,8 +240,8 @@
             self._policy.handle(replace(slot_request.request, timeout_us=timeout_us), now_us)
         except Exception as error:
             if slot_request.wakeup is None:
-                raise  # the thread that asks handles it
-            # This is another set-up's thread, which must not fail with this one.
+                raise  # on the request's own thread, which handles it
+            # On another request's thread, which must not fail because of this set-up.
             self._context.log_event("slot_placement_failed", subscription=session.id, reason=repr(error))
             self._policy.sessions.pop(session.id, None)
             self._reject(slot_request, WaiterEvent.NO_TIME)
@@ -249,7 +250,7 @@
             slot_request.wake()
 
     def _reject(self, slot_request: SlotRequest, event: WaiterEvent, wait_us: int | None = None) -> None:
-        """Answer a set-up for which no attempt was sent, at once and with a time for the next try."""
+        """Reject a set-up for which no attempt was sent, with a time after which to retry."""
         session, now_us = slot_request.session, self._context.now_us()
         if wait_us is None:
             wait_us = self._queue.retry_after_us(slot_request.waiter, now_us)
@@ -263,14 +264,14 @@
         self._lifecycle.apply(session, SessionEvent.SETUP_REJECTED)
         slot_request.wake()
 
-    # The thread that waits.
+    # Calls from the waiting thread.
 
     def end_wait(self, step: WaitForSlot, event: WaiterEvent | None) -> NextStep | None:
-        """End a wait and return the next step; None where the client has hung up.
+        """End a wait and return the next step; None if the client has disconnected.
 
         Args:
-            step: The wait.
-            event: What ended it; None for its wakeup.
+            step: The step that made the thread wait.
+            event: What ended the wait; None for its wake-up.
         """
         with self._context.lock:
             session = step.session
@@ -291,14 +292,14 @@
     # Other fronts.
 
     def close_window(self) -> None:
-        """Close a window: send the other fronts what each tenant used; returns without waiting for them."""
+        """Close a window: send the tenants' usage to the other fronts without waiting for them."""
         with self._context.lock:
             now_us = self._context.now_us()
             self._queue.reporting_front_count = self._gossip.reporting_front_count(now_us)
-            # Rebuilt from the queue, which is bounded; a table of its own grew with every server ever used.
+            # Rebuilt from the queue, which is bounded: a separate table grew with every server ever used.
             self._servers = {server_key(server): server for server in self._queue.schedulers}
             report = self._gossip.next_report()
-            self.assign_free_slots()  # the usage of other fronts decays by itself
+            self.assign_free_slots()  # other fronts' usage decays over time, which may free slots
         if report is not None:
             self.broadcast(report)
 
--- a/packages/core/src/fennelcove/core/slot_status.py
+++ b/packages/core/src/fennelcove/core/slot_status.py
@@ -12,7 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotStatus:
-    """Slots in use and requests that wait; the field names are keys of the status JSON."""
+    """Slots in use and waiting requests; the field names are keys of the status JSON.
+
+    Attributes:
+        out: The number of slots in use.
+        waiting: The number of waiting requests.
+        heard: The number of other fronts that have reported their usage recently.
+        long_ms: The service time above which a slot counts as occupied for long.
+        tenants: The mean number of slots in use by each tenant shown.
+    """
 
     out: int
     waiting: int
@@ -22,7 +30,7 @@
 
 
 def slot_status(queue: WaitQueue, names: TenantNames, now_us: int) -> SlotStatus:
-    """Collect the figures; of the tenants those that use the most slots."""
+    """Collect the figures, with those of the `MAX_TENANTS_SHOWN` tenants that use the most slots."""
     used: dict[str, float] = {}
     for server_usage in queue.schedulers.values():
         for tenant in server_usage.active_tenants(now_us):
