--- a/packages/core/src/fennelcove/core/snapshot_manager.py
+++ b/packages/core/src/fennelcove/core/snapshot_manager.py
@@ -1,4 +1,4 @@
-"""Snapshots of a front: what is collected for the store, and what of it a new incarnation uses."""
+"""Snapshots of a front's state: collects records for the store and restores them in a new incarnation."""
 
 from __future__ import annotations
 
@@ -23,19 +23,25 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotAssessment:
-    """What was lost with the previous incarnation, and how old its snapshot is."""
+    """The extent of the loss that ended the previous incarnation, and the age of its snapshot."""
 
     loss: LossKind
     age: SnapshotAge
 
     def use_of(self, fact: FactKind) -> SnapshotUse:
-        """Return how far a kind of fact may be used."""
+        """Return how a kind of fact may be used."""
         return snapshot_trust.snapshot_use(fact, self.loss, self.age)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """A server's stored record: whether it still applies, and what it holds where it does."""
+    """A server's stored record.
+
+    Attributes:
+        address: The server's address.
+        verdict: Whether the record still applies.
+        state: The state in the record; None if it does not apply.
+    """
 
     address: str
     verdict: RecordVerdict
@@ -43,10 +49,10 @@
 
 
 class SnapshotManager:
-    """The snapshots of one front; the core's lock is held around every call that does not take it.
+    """A front's snapshots; callers of methods that do not acquire the core's lock hold it.
 
-    The owner assigns `lives` (returns the known incarnations), `more` (returns the records of other parts)
-    and `entries` (the endpoint list in force, where it is to be stored).
+    The owner assigns `known_incarnations` (returns the known incarnations), `collect_other_records` (returns
+    the records of other components) and `list_entries` (the endpoint list in force, if it is to be stored).
     """
 
     def __init__(
@@ -61,12 +67,12 @@
         """Create a manager.
 
         Args:
-            context: What all parts of the core share.
-            module: The placement policy.
-            weather: The detector of retry storms.
-            seats: The seat leases.
-            repeats: The idempotency keys.
-            version: Returns the version of the endpoint list in force, None before the first.
+            context: The environment that all components of the core share.
+            policy: The placement policy.
+            detector: The detector of retry storms.
+            seat_leases: The seat leases.
+            idempotency: The idempotency keys.
+            list_version: Returns the version of the endpoint list in force; None before the first list.
         """
         self._context = context
         self._policy = policy
@@ -75,7 +81,7 @@
         self._idempotency = idempotency
         self._list_version = list_version
         self.stored: dict[bytes, bytes] = {}  # the records as the store has them
-        self._unclaimed: dict[bytes, bytes] = {}  # servers' records, until a list names the servers
+        self._unclaimed: dict[bytes, bytes] = {}  # servers' records, until an endpoint list names the servers
         self._front: FrontRecord | None = None
         self.known_incarnations: Callable[[], FrontIncarnations] = FrontIncarnations
         self.collect_other_records: Callable[[], list[tuple[bytes, bytes]]] = list
@@ -84,9 +90,10 @@
     # Restoring.
 
     def restore(self, values: Mapping[bytes, bytes]) -> None:
-        """Take over the records of the previous incarnation.
+        """Restore the records of the previous incarnation.
 
-        Servers' records wait for the first endpoint list, which shows whether the servers are still the same.
+        Servers' records are retained until the first endpoint list, which shows whether the servers have
+        restarted.
         """
         with self._context.lock:
             values = snapshot.migrate_records(values)
@@ -112,12 +119,12 @@
         further = snapshot.budget_ages_us(front.further_us, wall_us, span_us)
         age = self._assess(0, 0).age
         if snapshot_trust.snapshot_use(FactKind.RETRY_BUDGET, LossKind.SELF, age) is SnapshotUse.LOWER_BOUND:
-            # Times out of an old snapshot are not known well enough: everything counts as spent just now.
+            # Times in an old snapshot are too inaccurate: all retries count as spent just now.
             taken, further = [], [0 for _ in front.further_us]
         self._policy.handle(BudgetSnapshot(tuple(taken), tuple(further)), self._context.now_us())
 
     def stored_list(self) -> tuple[ListEntry, ...]:
-        """Return the endpoint list of the previous incarnation; empty where there is none to be used."""
+        """Return the endpoint list of the previous incarnation; empty if there is none that may be used."""
         with self._context.lock:
             stored_list = snapshot.read_list(self.stored.get(LIST_KEY, b""))
             age = self._assess(0, 0).age
@@ -128,7 +135,7 @@
             return tuple(snapshot_records.list_entry(server) for server in stored_list.servers)
 
     def on_list_received(self) -> None:
-        """Restore the servers that an endpoint list names; each is restored once."""
+        """Restore the stored servers that the endpoint list names; only the first list restores any."""
         unclaimed, self._unclaimed = self._unclaimed, {}
         now_us, wall_us = self._context.now_us(), self._context.wall_us()
         records = [self._evaluate(key, record, now_us, wall_us) for key, record in unclaimed.items()]
@@ -161,7 +168,7 @@
     def _restore_server(
         self, address: str, state: RecoveredServer, assessment: SnapshotAssessment, now_us: int
     ) -> None:
-        # The record is of a process that is still the same, whatever else was lost.
+        # The server's process has not restarted, so its record is not affected by the loss of servers.
         loss = LossKind.SELF if assessment.loss is LossKind.SELF else LossKind.FRONTS
         known = SnapshotAssessment(loss, assessment.age)
         has_strikes = known.use_of(FactKind.STRIKES) is SnapshotUse.USE
@@ -175,7 +182,7 @@
         self._policy.handle(restored, now_us)
 
     def _restore_usual_load(self, assessment: SnapshotAssessment) -> None:
-        """Keep the usual load, or learn it anew, from where it was or from nothing."""
+        """Keep the usual load, or relearn it from the stored value or from zero."""
         use = assessment.use_of(FactKind.ARRIVAL_RATE)
         if use is SnapshotUse.USE:
             return
@@ -184,7 +191,7 @@
             self._detector.baseline = 0.0
 
     def _assess(self, servers: int, restarted_servers: int) -> SnapshotAssessment:
-        """Return what was lost and how old the snapshot is, by what was heard until now."""
+        """Return the extent of the loss and the snapshot's age, from the evidence so far."""
         front, incarnations = self._front, self.known_incarnations()
         stored = front.lives if front is not None else []
         known_pairs = [
@@ -207,10 +214,10 @@
     # Storing.
 
     def collect_changes(self) -> list[tuple[bytes, bytes | None]]:
-        """Return the records that changed since the last call; None as the value of one to be deleted."""
+        """Return the records that changed since the last call; a value of None deletes the record."""
         with self._context.lock:
             if self._list_version() is None:
-                return []  # before the first list nothing is known that is not stored already
+                return []  # before the first list everything known is already stored
             records = self._records()
             changed = snapshot.record_changes(records, self.stored)
             self.stored = dict(records)
--- a/packages/core/src/fennelcove/core/snapshot_records.py
+++ b/packages/core/src/fennelcove/core/snapshot_records.py
@@ -1,6 +1,6 @@
-"""The store's records of a front: their keys, and how they are built from what the front knows.
+"""The records of a front in the store: their keys and their encoding.
 
-Times in records are wall times, rounded so that a record changes only when what it stands for does.
+Times in records are wall-clock times, rounded so that a record changes only when its content does.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 
 
 def server_record(server: Server, now_us: int, wall_us: int) -> bytes:
-    """Encode what is known of a server."""
+    """Encode the state of a server."""
 
     def to_wall_us(at_us: int) -> int:
-        # Whole milliseconds: one moment read from two clocks twice must not look like a change.
+        # Whole milliseconds: converting the same time twice, from two clocks, must give the same value.
         return round((wall_us - (now_us - at_us)) / MILLISECOND_US) * MILLISECOND_US
 
     last_attempt_us = server.last_attempt_us
@@ -51,7 +51,7 @@
         server.strikes,
         to_wall_us(server.shut_until_us) if server.shut_until_us > now_us else 0,
         to_wall_us(last_attempt_us) if last_attempt_us is not None else 0,
-        # To the minute: with the moment itself every server's record would change each second.
+        # Whole minutes: with the exact time every server's record would change each second.
         wall_us // MINUTE_US * MINUTE_US,
     )
     return _ENCODER.encode(record)
@@ -105,7 +105,7 @@
 
 
 def list_entry(server: EndpointRecord) -> ListEntry:
-    """Return a stored server as an entry of an endpoint list, as one that started long ago."""
+    """Return the endpoint-list entry of a stored server, which counts as started long ago."""
     return ListEntry(
         server.address,
         server.zone,
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,5 +1,7 @@
-"""A whole front in this process between stand-ins on loopback, with waits for conditions instead of
-sleeps."""
+"""Test fixture: a complete front in this process, with emulated servers and an emulated list service.
+
+All of them listen on loopback; tests wait for conditions instead of sleeping.
+"""
 
 from __future__ import annotations
 
@@ -44,13 +46,13 @@
 
 
 def recorded_ports() -> CorePorts:
-    """Ports of a core whose calls reach nothing."""
+    """Return ports of a core that only record the calls made to them."""
     port: Any = EffectRecorder()
     return CorePorts(port, port, port)
 
 
 def wait_for(condition: Callable[[], Any], what: str) -> Any:
-    """Wait until the condition holds; the limit only ends a test that would never end."""
+    """Wait until a condition is true and return its value; the time limit ends a test that would hang."""
     pause = threading.Event()
     for _ in range(round(LONGEST_S / 0.005)):
         found = condition()
@@ -61,11 +63,12 @@
 
 
 class WholePath(unittest.TestCase):
-    """Starts a front, three boxes and a list service for each test, and ends them."""
+    """Starts a front, emulated servers and a list service for each test, and stops them afterwards."""
 
     BOXES = 3
 
     def begin(self, start: bool = True, **changes: Any) -> None:
+        """Start the servers and the list service, and a front unless `start` is False."""
         self.clock = SystemClock()
         self.recorder = Recorder(self.clock)
         self.lists = StandInLists(self.clock, self.recorder)
@@ -89,6 +92,7 @@
             self.front = self.new_front()
 
     def changed(self, **changes: Any) -> FrontSettings:
+        """Return the test settings with changes; those of the groups `limits` and `rules` are merged."""
         settings = parse(SETTINGS, FrontSettings, "test")
         lists = msgspec.structs.replace(settings.lists, address=self.lists.address)
         for group in ("limits", "rules"):
@@ -97,10 +101,11 @@
         return msgspec.structs.replace(settings, lists=lists, **changes)
 
     def new_front(self) -> FrontDaemon:
+        """Start a front and wait until it has an endpoint list."""
         front = FrontDaemon(self.settings, log.silent)
         self.programs.append(front)
         front.start()
-        wait_for(lambda: front.core.endpoint_tracker.version is not None, "a list")
+        wait_for(lambda: front.core.endpoint_tracker.version is not None, "an endpoint list")
         return front
 
     def stop_fronts(self) -> None:
@@ -113,13 +118,13 @@
         return player
 
     def ask(self, room: str = "free", player: Player | None = None, headers: Any = (), **body: Any) -> Heard:
-        """One set-up, answered."""
+        """Request a session and return the response."""
         content = msgspec.json.encode({"room_type": room, "title": "t1", **body})
         fields = [("Content-Type", "application/json"), *headers]
         return (player or self.player()).ask("POST", "/v1/subscriptions", fields, content, LONGEST_S)
 
     def together(self, count: int, **body: Any) -> list[Heard]:
-        """So many set-ups at once, all answered."""
+        """Request `count` sessions concurrently and return the responses."""
         responses: list[Heard] = []
         threads = [threading.Thread(target=lambda: responses.append(self.ask(**body))) for _ in range(count)]
         for thread in threads:
@@ -129,7 +134,7 @@
         return responses
 
     def most_out(self) -> int:
-        """The most joins that were out at once, as boxes saw them."""
+        """Return the maximum number of set-ups in flight at once, as recorded by the servers."""
         in_flight = maximum = 0
         for record in list(self.recorder.records):
             in_flight += (record["what"] == "set_up") - (record["what"] == "set_up_over")
@@ -140,7 +145,7 @@
         return self.player().ask(method, path, list(headers), b"", LONGEST_S)
 
     def seen(self, what: str, **fields: Any) -> list[Record]:
-        """The records of one kind with these values."""
+        """Return the records of a kind with these field values."""
         with self.recorder.lock:
             records = list(self.recorder.records)
         return [
@@ -150,11 +155,12 @@
         ]
 
     def wait_seen(self, what: str, count: int = 1, **fields: Any) -> list[Record]:
+        """Wait for `count` records of a kind with these field values, and return them."""
         wait_for(lambda: len(self.seen(what, **fields)) >= count, f"{count} records of {what} {fields}")
         return self.seen(what, **fields)
 
     def only(self, index: int) -> None:
-        """Leave the front one box to choose."""
+        """Publish a list on which only the server with this index is active."""
         self.lists.publish(
             *[
                 Known(known.address, "zone", "k", i, 1.0, "active" if i == index else "leaving")
@@ -162,11 +168,11 @@
             ]
         )
         version = self.lists.version
-        wait_for(lambda: self.front.core.endpoint_tracker.version == version, "the new list")
+        wait_for(lambda: self.front.core.endpoint_tracker.version == version, "the new endpoint list")
 
 
 def read_answers(sock: Any, count: int) -> list[tuple[int, bytes]]:
-    """Status and body of so many answers, read off a bare socket."""
+    """Read `count` responses from a socket; return their statuses and bodies."""
     gatherer = Gatherer(Reader(False, CodecLimits()))
     responses: list[tuple[int, bytes]] = []
     sock.settimeout(LONGEST_S)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core on a clock that the test moves: instants that real sockets meet only by luck."""
+"""The core on a manual clock: exact timings that tests with real sockets cannot reproduce."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class RecordingPorts:
-    """The sides towards boxes and list, written down."""
+    """Records the core's calls to servers, the list service and the migration sender."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -131,7 +131,8 @@
         assert (self.core.sessions, self.core.policy.sessions) == ({}, {})
 
     def test_session_established_during_a_session_report_is_not_lost(self) -> None:
-        # A greeting made before the set-up ended does not name it; losing it would end a lesson that plays.
+        # The server may build its session report before the set-up completes, so that the report lacks the
+        # session. Treating the session as lost would end it while it plays.
         first = self.establish()
         server = self.core.server_registry.records[first.server]
         opened_us, generation = server.stream_opened_us, server.generation
@@ -198,7 +199,7 @@
         assert (self.core.admission_controller.sessions, self.core.policy.sessions) == (0, {})
 
     def test_failed_placement_releases_its_admission_and_state(self) -> None:
-        # Each such request used to keep its place: after 4,000 of them a front refused everybody.
+        # Each failed request used to stay admitted: after 4,000 of them a front rejected every request.
         def fail(_: object, now_us: int) -> None:
             raise ZeroDivisionError
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Shedding as one: summaries merge alike in any order, the ladder is left again, nobody due passed over."""
+"""Fleet-wide load shedding: summaries merge in any order, levels recover, due tickets are admitted."""
 
 from __future__ import annotations
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Set-ups under a viewer's key: sent twice they count once, through either door and across a restart."""
+"""Idempotency keys: a repeated set-up runs once, over HTTP and WebSocket and across restarts."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         for final in (KeyState.CLOSED, KeyState.INDETERMINATE):
             assert {TRANSITIONS.apply(final, event).state for event in KeyEvent} == {
                 final
-            }, "there is no way back"
+            }, "the state is final"
         assert (
             TRANSITIONS.apply(KeyState.IN_PROGRESS, KeyEvent.RESTARTED_NOT_REPEATABLE).state
             is KeyState.INDETERMINATE
@@ -140,9 +140,9 @@
         request = {"room_type": "free", "title": "t1", "key": "k9", "cmcd": {"sid": "v"}}
         first.tell("set-up", ask=request)
         self.wait_seen("set_up_over")
-        wait_for(lambda: self.front.core.notifier.ownerships.by_session, "its start")
+        wait_for(lambda: self.front.core.notifier.ownerships.by_session, "the session to start")
         first.hang_up()
-        wait_for(lambda: not self.front.sockets.sessions, "the connection's end")
+        wait_for(lambda: not self.front.sockets.sessions, "the connection to close")
         repeated = self.request_with_key("k9")
         assert repeated.status == 201
         assert len(self.seen("set_up")) == 1
@@ -165,7 +165,7 @@
         writer.enqueue(self.front.core.snapshots.collect_changes())
         wait_for(
             lambda: not writer.queue.pending and any(b"k1" in key for key in list(writer.store.values)),
-            "the key kept",
+            "the key to be stored",
         )
         values = dict(writer.store.values)
         for server in self.boxes:
@@ -173,7 +173,8 @@
         self.front.stop()
         self.settings = self.changed()
         self.front = self.new_front()
-        self.front.core.snapshots.restore(values)  # as the killed life left it, not as the stopped one did
+        # The records as the killed process left them, not those that the clean stop wrote.
+        self.front.core.snapshots.restore(values)
         response = self.request_with_key("k1", "once")
         assert response.status in (502, 504)
         assert len(self.seen("set_up")) == 1
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -1,4 +1,4 @@
-"""Seats that expire: exact through any mix of taking, renewing, retrying, moving, ending and restarts."""
+"""Expiring seats: counts stay exact under any mix of leases, renewals, releases, expiry and restarts."""
 
 from __future__ import annotations
 
@@ -48,17 +48,17 @@
 
     def test_ten_thousand_random_operations_agree_with_a_reference_model(self) -> None:
         rng, leases, transitions, now = random.Random(4), SeatLeases(), list[SeatTransition](), 0
-        expiry: dict[str, int] = {}  # the independent account: until when
+        expiry: dict[str, int] = {}  # reference model: when each seat expires, by session
         for i in range(10_000):
             now += rng.randrange(20)
             operation, id = (
-                rng.choice(["take", "take", "renew", "again", "release", "tick"]),
+                rng.choice(["acquire", "acquire", "renew", "repeat", "release", "expire"]),
                 f"s{rng.randrange(300)}",
             )
-            if operation == "take":
+            if operation == "acquire":
                 transitions.append(leases.acquire(id, POOL, DURATION_US, now))
                 expiry.setdefault(id, now + DURATION_US)
-            elif operation in ("renew", "again"):
+            elif operation in ("renew", "repeat"):
                 transition = leases.renew(id, f"k{i}" if operation == "renew" else "same", now)
                 transitions.append(transition)
                 assert (transition.action is SeatAction.REFUSE) == (id not in expiry)
@@ -74,7 +74,7 @@
                     transitions += expired
                 for id in [id for id, until in expiry.items() if until <= now]:
                     del expiry[id]
-            if operation != "tick":
+            if operation != "expire":
                 for id in [id for id, until in expiry.items() if until <= now and id not in leases.seats]:
                     del expiry[id]
             assert set(leases.seats) == set(expiry)
@@ -84,7 +84,7 @@
 
     @given(
         st.lists(
-            st.tuples(st.sampled_from(["take", "renew", "release", "restart"]), st.integers(0, 3)),
+            st.tuples(st.sampled_from(["acquire", "renew", "release", "restart"]), st.integers(0, 3)),
             max_size=40,
         )
     )
@@ -93,7 +93,7 @@
         leases, now = SeatLeases(), 0
         for operation, number in operations:
             now, id = now + 10, f"s{number}"
-            if operation == "take":
+            if operation == "acquire":
                 leases.acquire(id, POOL, DURATION_US, now)
             elif operation == "renew":
                 leases.renew(id, "k", now)
@@ -103,7 +103,7 @@
                 restored = SeatLeases()
                 for name, record in leases.encode_entries():
                     assert restored.restore(name, record, DURATION_US, now)
-                    assert not restored.restore(name, record, DURATION_US, now), "told twice"
+                    assert not restored.restore(name, record, DURATION_US, now), "restored twice"
                 assert restored.counts == leases.counts
                 for name, lease in leases.seats.items():
                     assert (restored.seats[name].expires_wall_us, restored.seats[name].renewal_keys) == (
@@ -177,7 +177,7 @@
             assert self.front.core.seat_leases.renew(ids[0], "") is not None
             return ids[1] not in self.front.core.sessions
 
-        wait_for(renewed, "the end of the other")
+        wait_for(renewed, "the other seat to expire")
         assert self.get(f"/v1/subscriptions/{ids[1]}").status == 410
         assert self.post(f"/v1/subscriptions/{ids[1]}/seat").status == 410
         assert (self.ask("few").status, self.seat_count()) == (201, 2)
@@ -202,7 +202,7 @@
         before = {id: self.front.core.seat_leases.leases.seats[id].expires_wall_us for id in ids}
         self.front.stop()
         self.front = self.new_front()
-        wait_for(lambda: self.seat_count() == 2, "both seats")
+        wait_for(lambda: self.seat_count() == 2, "both seats to be restored")
         after = {id: lease.expires_wall_us for id, lease in self.front.core.seat_leases.leases.seats.items()}
         assert after == before
         assert self.ask("few").status == 503
