--- a/packages/core/src/fennelcove/core/content_insertion.py
+++ b/packages/core/src/fennelcove/core/content_insertion.py
@@ -61,12 +61,12 @@
 def configured_media(catalogue: Catalogue) -> dict[str, Media]:
     """Return the configured media by title."""
     all_rungs = tuple(range(len(catalogue.ladder_kb)))
-    found = {}
+    media_by_title = {}
     for _, title in catalogue.titles.values():
         settings = title.media
         if settings is None:
             continue
-        found[title.name] = Media(
+        media_by_title[title.name] = Media(
             title.name,
             settings.timescale,
             settings.segment_ticks,
@@ -75,7 +75,7 @@
             settings.codecs,
             settings.live_from_ms * 1000,
         )
-    return found
+    return media_by_title
 
 
 class ContentInsertion:
@@ -109,11 +109,11 @@
     def author_of_key(self, key: str) -> Author | None:
         """Return the author with this key, or None; all hashes are compared, each in constant time."""
         hashed = blake3.blake3(key.encode()).hexdigest()
-        found = None
+        matching = None
         for author in self._authors:
             if hmac.compare_digest(author.key_hash, hashed):
-                found = author
-        return found
+                matching = author
+        return matching
 
     def submit(self, change: Change) -> ChangeResult:
         """Validate a change; an accepted one takes effect at once."""
@@ -150,7 +150,7 @@
         """Return all changes, or those of one title, with their reach; the oldest first."""
         with self._context.lock:
             return [
-                self._reach(entry)
+                self._change_reach(entry)
                 for entry in self.ledger.entries.values()
                 if title in (None, entry.change.target.title)
             ]
@@ -173,19 +173,19 @@
         ]
         return max(floors, default=0)
 
-    def _reach(self, entry: LedgerEntry) -> ChangeReach:
-        shown = ahead = 0
+    def _change_reach(self, entry: LedgerEntry) -> ChangeReach:
+        shown_count = ahead_count = 0
         for id, player in self.players.items():
             session = self._lifecycle.sessions[id]
             if not entry.change.target.matches(session.title, session.service_class, id):
                 continue
             if player.track.lists_change(entry.change.id):
-                shown += 1
+                shown_count += 1
                 continue
             first_segment = entry.change.first_segment(self.media[session.title])
             if first_segment is None or first_segment >= player.track.cursor.next_title_segment:
-                ahead += 1
-        return ChangeReach(entry, shown, ahead)
+                ahead_count += 1
+        return ChangeReach(entry, shown_count, ahead_count)
 
     # Playlists.
 
@@ -210,34 +210,34 @@
             track = player.track
             if self._playlists.extend(session, track, wall_us):
                 self._save_resume_token(session, track)
-            shown, discontinuity_sequence = track.window()
+            listed, discontinuity_sequence = track.window()
             return MediaListing(
-                shown,
+                listed,
                 discontinuity_sequence,
                 track.is_ended,
                 media.is_live,
                 track.began_wall_us,
                 self.media,
-                self._playlists.interstitials(track, shown),
+                self._playlists.interstitials(track, listed),
                 track.cursor.interstitial_ids if track.is_ended else (),
             )
 
     # Segments.
 
-    def locate_segment(self, session_id: str, seq: int) -> Fetch | None:
+    def locate_segment(self, session_id: str, sequence: int) -> Fetch | None:
         """Return where a player fetches a segment; None for one that its playlist has not listed."""
         with self._context.lock:
             session, player = self._lifecycle.sessions.get(session_id), self.players.get(session_id)
             if session is None or player is None:
                 return None
-            is_repeated = seq <= player.track.last_fetched
-            shown = player.track.on_segment_requested(seq)
-            if shown is None:
+            is_repeated = sequence <= player.track.last_fetched
+            segment = player.track.on_segment_requested(sequence)
+            if segment is None:
                 return None
-            tried = player.servers_tried(seq)
+            tried = player.servers_tried(sequence)
             if not is_repeated:
                 tried.clear()
-            return self._locator.segment(session, shown, tried)
+            return self._locator.segment(session, segment, tried)
 
     def interstitial_rendition(self, session_id: str, change: str) -> ClipRendition | None:
         """Return an interstitial's clip and rung; None if it was not announced to this player."""
@@ -268,9 +268,9 @@
             clip = self.media[entry.change.clip or ""]
             if number >= (clip.segment_count or 0):
                 return None
-            shown = interstitial_segment(clip, number, rung, change)
+            segment = interstitial_segment(clip, number, rung, change)
             tried = player.servers_tried(InterstitialSegment(change, number))
-            return self._locator.segment(session, shown, tried)
+            return self._locator.segment(session, segment, tried)
 
     def locate_initialization(self, session_id: str, media: str, rung: int) -> Fetch | None:
         """Return where a player fetches a rendition's initialisation segment; None if it was not listed."""
@@ -278,9 +278,9 @@
             session, player = self._lifecycle.sessions.get(session_id), self.players.get(session_id)
             if session is None or player is None:
                 return None
-            for shown in (*player.track.segments, *self._playlists.begun_interstitials(player.track)):
-                if shown.media == media and shown.rung == rung:
-                    return self._locator.initialization(session, shown)
+            for segment in (*player.track.segments, *self._playlists.begun_interstitials(player.track)):
+                if segment.media == media and segment.rung == rung:
+                    return self._locator.initialization(session, segment)
             return None
 
     # Sessions.
--- a/packages/core/src/fennelcove/core/player_playlists.py
+++ b/packages/core/src/fennelcove/core/player_playlists.py
@@ -89,18 +89,18 @@
             track.uses_interstitials,
         )
 
-    def interstitials(self, track: PlaylistTrack, shown: list[ListedSegment]) -> dict[str, Interstitial]:
+    def interstitials(self, track: PlaylistTrack, listed: list[ListedSegment]) -> dict[str, Interstitial]:
         """Return a playlist's interstitials by change; a withdrawn one is retained if it has begun."""
-        announced = (change for item in shown for change in item.interstitial_ids)
-        found = {}
+        announced = (change for segment in listed for change in segment.interstitial_ids)
+        interstitials = {}
         for change in (*announced, *track.cursor.interstitial_ids):
             entry = self._ledger.entries.get(change)
             if entry is None or (
                 entry.withdrawn_version is not None and change not in track.interstitial_rungs
             ):
                 continue
-            found[change] = Interstitial(change, self._media[entry.change.clip or ""])
-        return found
+            interstitials[change] = Interstitial(change, self._media[entry.change.clip or ""])
+        return interstitials
 
     def begun_interstitials(self, track: PlaylistTrack) -> Iterator[ListedSegment]:
         """Yield the first segment of each interstitial that a player has begun."""
--- a/packages/core/src/fennelcove/core/segment_sources.py
+++ b/packages/core/src/fennelcove/core/segment_sources.py
@@ -61,59 +61,59 @@
         """Return whether a clip can be played now, or the slate in its place."""
         return self._slate is not None or bool(self._usable_replicas(clip))
 
-    def segment(self, session: Session, shown: ListedSegment, tried: list[str]) -> Fetch:
+    def segment(self, session: Session, segment: ListedSegment, tried: list[str]) -> Fetch:
         """Choose a segment's source and add its server to `tried`, the servers tried for it before."""
-        route = self._route(session, shown, tried)
+        route = self._route(session, segment, tried)
         self._context.increment(f"segments_{route.source.name.lower()}")
         if not route.server:
             return Fetch(route.source)
         if len(tried) < MAX_SERVERS_TRIED:
             tried.append(route.server)
-        path = self._path(route.source, shown, session.floor_rung)
+        path = self._path(route.source, segment, session.floor_rung)
         attempt = session.current_target.attempt if session.current_target is not None else 0
         query = f"subscription={session.id}&join={attempt}{path.extra_query}"
         url = f"http://{route.server}/media/{path.media}/{path.rung}/{path.number}.m4s?{query}"
         return Fetch(route.source, url)
 
-    def initialization(self, session: Session, shown: ListedSegment) -> Fetch:
+    def initialization(self, session: Session, segment: ListedSegment) -> Fetch:
         """Choose the source of the initialisation segment of a rendition."""
-        route = self._route(session, shown, ())
+        route = self._route(session, segment, ())
         if not route.server:
             return Fetch(route.source)
-        return Fetch(route.source, f"http://{route.server}/media/{shown.media}/{shown.rung}/init.mp4")
+        return Fetch(route.source, f"http://{route.server}/media/{segment.media}/{segment.rung}/init.mp4")
 
-    def _route(self, session: Session, shown: ListedSegment, tried: Sequence[str]) -> SegmentRoute:
-        candidates = self._candidates(session, shown)
-        if shown.media == session.title:
+    def _route(self, session: Session, segment: ListedSegment, tried: Sequence[str]) -> SegmentRoute:
+        candidates = self._candidates(session, segment)
+        if segment.media == session.title:
             return segment_routing.route_title_segment(candidates)
         return segment_routing.route_clip_segment(candidates, tuple(tried))
 
-    def _path(self, source: SegmentSource, shown: ListedSegment, floor: int) -> _SegmentPath:
+    def _path(self, source: SegmentSource, segment: ListedSegment, floor: int) -> _SegmentPath:
         if source is SegmentSource.LOWER:
-            return _SegmentPath(shown.media, self._lower_rung(shown, floor), shown.segment_number)
+            return _SegmentPath(segment.media, self._lower_rung(segment, floor), segment.segment_number)
         if source is SegmentSource.SLATE:
-            duration = f"&duration={float(shown.duration_s):.6f}"
-            return _SegmentPath(self._slate or "", shown.rung, 0, duration)
-        return _SegmentPath(shown.media, shown.rung, shown.segment_number)
+            duration = f"&duration={float(segment.duration_s):.6f}"
+            return _SegmentPath(self._slate or "", segment.rung, 0, duration)
+        return _SegmentPath(segment.media, segment.rung, segment.segment_number)
 
-    def _lower_rung(self, shown: ListedSegment, floor: int) -> int:
+    def _lower_rung(self, segment: ListedSegment, floor: int) -> int:
         """Return the media's next lower rung, not below `floor`; the same rung if there is none."""
-        lower = [rung for rung in self._media[shown.media].rungs if floor <= rung < shown.rung]
-        return max(lower, default=shown.rung)
+        lower = [rung for rung in self._media[segment.media].rungs if floor <= rung < segment.rung]
+        return max(lower, default=segment.rung)
 
-    def _candidates(self, session: Session, shown: ListedSegment) -> SegmentCandidates:
+    def _candidates(self, session: Session, segment: ListedSegment) -> SegmentCandidates:
         """Collect the servers that could serve a segment now."""
         current_server = self._current_server(session)
-        if shown.media == session.title:
+        if segment.media == session.title:
             return SegmentCandidates(current_server, True, (), (), None)
-        replicas = self._usable_replicas(shown.media)
+        replicas = self._usable_replicas(segment.media)
         is_current_usable = any(server.address == current_server for server in replicas)
-        lower_rung = self._lower_rung(shown, session.floor_rung)
+        lower_rung = self._lower_rung(segment, session.floor_rung)
         at_lower_rung: list[str] = []
-        if lower_rung < shown.rung:
+        if lower_rung < segment.rung:
             at_lower_rung = self._ordered(replicas, session.rates_kb[lower_rung])
         slate_server = self._slate_server(current_server)
-        at_rung = self._ordered(replicas, session.rates_kb[shown.rung])
+        at_rung = self._ordered(replicas, session.rates_kb[segment.rung])
         return SegmentCandidates(current_server, is_current_usable, at_rung, at_lower_rung, slate_server)
 
     def _current_server(self, session: Session) -> str | None:
--- a/packages/core/src/fennelcove/core/session_adoption.py
+++ b/packages/core/src/fennelcove/core/session_adoption.py
@@ -60,13 +60,13 @@
         fits = self._fits_settings(reported)
         has_free_seat = fits and self._has_free_seat(reported.title, reported.room_type)
         is_issued_here = self.session_ids.is_issued_here(reported.subscription)
-        found = reconciliation.classify_claim(
+        claim = reconciliation.classify_claim(
             address, reported.join, known, is_issued_here, fits, has_free_seat
         )
-        action = reconciliation.CLAIM_ACTIONS[found]
+        action = reconciliation.CLAIM_ACTIONS[claim]
         if action is ClaimAction.KEEP:
             return None
-        self.context.increment(f"claims_{found.name.lower()}")
+        self.context.increment(f"claims_{claim.name.lower()}")
         if action is ClaimAction.ADOPT_INSTEAD and session is not None:
             session.close_reason = "a later join of it was found"
             self.lifecycle.apply(session, SessionEvent.RELEASED)
--- a/packages/core/src/fennelcove/core/session_migrations.py
+++ b/packages/core/src/fennelcove/core/session_migrations.py
@@ -104,14 +104,14 @@
         """Start the migrations that are due and end those past their grace period; called periodically."""
         with self.context.lock:
             started, expired = self.queue.take_ready(self.context.now_us())
-            for due in started:
-                session = self.lifecycle.sessions.get(due.session_id)
+            for migration_state in started:
+                session = self.lifecycle.sessions.get(migration_state.session_id)
                 if session is not None:
                     self._apply(session, MigrationEvent.TURN_GRANTED)
                 else:
                     self.queue.on_turn_finished()
-            for due in expired:
-                session = self.lifecycle.sessions.get(due.session_id)
+            for migration_state in expired:
+                session = self.lifecycle.sessions.get(migration_state.session_id)
                 if session is not None:
                     self._apply(session, MigrationEvent.GRACE_EXPIRED)
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -59,7 +59,7 @@
         if found:
             return found
         pause.wait(0.005)
-    raise AssertionError(f"not within {LONGEST_S:.0f} s: {what}")
+    raise AssertionError(f"timed out waiting for {what}")
 
 
 class WholePath(unittest.TestCase):
