--- a/packages/core/src/fennelcove/core/endpoint_discovery.py
+++ b/packages/core/src/fennelcove/core/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Applies updates of the endpoint list; the core's lock guards it."""
+"""Applies updates of the endpoint list; acquires the core's lock."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from fennelcove.placement import PlacementPolicy
 
 UpdateFilter = Callable[[ListUpdate], ListUpdate]
-"""Changes a list update before the policy receives it."""
+"""Modifies a list update before the policy receives it."""
 
 
 class EndpointDiscovery:
-    """Keeps the endpoint list in force and passes on each accepted update."""
+    """Tracks the endpoint list in force and distributes accepted updates."""
 
     def __init__(
         self,
@@ -41,35 +41,35 @@
         self._update_filter: UpdateFilter | None = None
 
     def set_update_filter(self, update_filter: UpdateFilter) -> None:
-        """Pass each accepted update through this filter."""
+        """Set the filter that accepted updates pass through."""
         self._update_filter = update_filter
 
     @property
     def version(self) -> int | None:
-        """The version of the list in force; None before the first."""
+        """The version of the list in force; None before the first list."""
         return self.tracker.version
 
     def age_ms(self) -> float | None:
-        """For how long the list has been in force; None before the first."""
+        """Return for how long the list has been in force; None before the first list."""
         if self.tracker.version is None:
             return None
         return (self.context.now_us() - self.accepted_us) / 1000
 
     def on_list(self, message: EndpointListUpdate) -> ListDecision:
-        """The list service sent a list, or changes to one."""
+        """Handle a list, or changes to it, from the list service."""
         with self.context.lock:
             is_first = self.tracker.version is None
-            verdict = self.tracker.apply(message)
-            self.context.increment(f"lists_{verdict.decision.name.lower()}")
-            if verdict.update is not None:
-                self._accept(verdict.update, message.version, is_first=is_first)
-            elif verdict.decision is ListDecision.REFUSED:
+            result = self.tracker.apply(message)
+            self.context.increment(f"lists_{result.decision.name.lower()}")
+            if result.update is not None:
+                self._accept(result.update, message.version, is_first=is_first)
+            elif result.decision is ListDecision.REFUSED:
                 self.context.log_event(
-                    "endpoint_list_rejected", version=message.version, reason=verdict.reason
+                    "endpoint_list_rejected", version=message.version, reason=result.reason
                 )
-            if verdict.decision is ListDecision.GAP:
+            if result.decision is ListDecision.GAP:
                 self.source.fetch()
-            return verdict.decision
+            return result.decision
 
     def _accept(self, update: ListUpdate, version: int, *, is_first: bool) -> None:
         now_us = self.context.now_us()
@@ -77,12 +77,12 @@
         policy_update = update if self._update_filter is None else self._update_filter(update)
         self.policy.handle(policy_update, now_us)
         if is_first:
-            self.server_registry.request_greetings(update, now_us)
+            self.server_registry.request_session_reports(update, now_us)
         self.snapshots.on_list_received()
         self.migrations.on_list(now_us)
         self.context.log_event("endpoint_list_accepted", version=version, boxes=len(update.entries))
 
     def on_list_unavailable(self) -> None:
-        """A call to the list service, or its stream, failed."""
+        """Handle the failure of a call to the list service or of its stream."""
         with self.context.lock:
             self.policy.handle(ListUpdate(ListMode.FAILED, ()), self.context.now_us())
--- a/packages/core/src/fennelcove/core/health_check_coordinator.py
+++ b/packages/core/src/fennelcove/core/health_check_coordinator.py
@@ -1,4 +1,4 @@
-"""Checks the health of servers together with the other fronts; takes the core's lock."""
+"""Health checks of servers, shared with the other fronts; acquires the core's lock."""
 
 from __future__ import annotations
 
@@ -18,13 +18,19 @@
 )
 from fennelcove.interface import Outcome, ProbeCompleted
 
-CHECK_INTERVAL_US = 100_000  # interval of calls of `look`
+CHECK_INTERVAL_US = 100_000  # interval at which `run_checks` is called
 UNANSWERED = (Outcome.NO_ANSWER, Outcome.NO_CONNECTION, Outcome.CONNECTION_LOST)
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckStatus:
-    """The `watchers` section of the status; the field names are keys of the status JSON."""
+    """The `watchers` section of the status; the field names are keys of the status JSON.
+
+    Attributes:
+        gone: The servers that the fronts agree are down.
+        probes: The number of probes started.
+        kept_away: How often a server was rejected for an attempt because it is down.
+    """
 
     gone: list[str]
     probes: int
@@ -34,8 +40,9 @@
 class HealthCheckCoordinator:
     """One front's health checks.
 
-    The owner assigns `post` (sends a report to the other fronts) and `ask` (starts a probe of a server; False
-    where it cannot). It calls `look` every `LOOK_US`, and `probed` once for each probe that was started.
+    The owner assigns `broadcast` (sends a report to the other fronts) and `start_probe` (starts a probe of a
+    server; returns False if it cannot). It calls `run_checks` every `CHECK_INTERVAL_US`, and
+    `on_probe_completed` once for each probe that was started.
     """
 
     def __init__(
@@ -44,7 +51,7 @@
         front_count: int,
         first_report_number: int,
         listed_servers: Callable[[], Iterable[str]],
-        living_fronts: Callable[[], Iterable[int]],
+        live_fronts: Callable[[], Iterable[int]],
         clock: Clock,
         rng: Random,
         lock: threading.RLock,
@@ -52,40 +59,42 @@
     ) -> None:
         self._checks = HealthCheckAssignment(index, front_count, first_report_number)
         self._listed_servers = listed_servers
-        self._living_fronts = living_fronts
+        self._live_fronts = live_fronts
         self._clock = clock
         self._rng = rng
         self._lock = lock
         self._log = log
         self._servers: dict[int, str] = {}  # the listed servers by key
-        self._gone: set[str] = set()  # servers that the fronts agreed were gone, at the last look
+        self._down: set[str] = set()  # servers that the fronts agreed were down, at the last check
         self._probe_count = 0
         self._rejection_count = 0
         self.broadcast: Callable[[HealthReport], None] = lambda _report: None
         self.start_probe: Callable[[str], bool] = lambda _server: False
 
     def run_checks(self) -> None:
-        """Start the probes that are due; returns without waiting for them.
+        """Start the probes that are due and return without waiting for them.
 
-        A probe that cannot be started is left out: the other fronts that check the server make up for it.
+        A probe that cannot be started is skipped, as other fronts check the same server.
         """
         with self._lock:
             now_us = self._clock.now_us()
             self._servers = {health_checks.hash_address(server): server for server in self._listed_servers()}
-            living = list(self._living_fronts())
-            due = self._checks.due_probes(self._servers.values(), living, self._rng.random(), now_us)
-            self._update_gone(living, now_us)
+            live_fronts = list(self._live_fronts())
+            due = self._checks.due_probes(self._servers.values(), live_fronts, self._rng.random(), now_us)
+            self._update_down(live_fronts, now_us)
         for server in due:
             is_started = self.start_probe(server)
             self._probe_count += is_started
 
-    def _update_gone(self, living: list[int], now_us: int) -> None:
-        """Update which servers the fronts agree are gone, and log the changes."""
-        gone = {server for server in self._servers.values() if self._checks.is_down(server, living, now_us)}
-        for server in sorted(gone ^ self._gone):
-            event = "server_marked_gone" if server in gone else "server_marked_back"
+    def _update_down(self, live_fronts: list[int], now_us: int) -> None:
+        """Update the servers that the fronts agree are down, and log the changes."""
+        down = {
+            server for server in self._servers.values() if self._checks.is_down(server, live_fronts, now_us)
+        }
+        for server in sorted(down ^ self._down):
+            event = "server_marked_gone" if server in down else "server_marked_back"
             self._log(event, box=server)
-        self._gone = gone
+        self._down = down
 
     def on_probe_completed(self, event: ProbeCompleted) -> None:
         """Handle the end of a probe."""
@@ -107,11 +116,11 @@
             if report.verdict is HealthVerdict.ATTEMPT_FAILED:
                 self._checks.on_probe_requested(server, now_us)
             else:
-                is_ill = report.verdict is HealthVerdict.UNHEALTHY
-                self._checks.on_report(sender, server, is_ill, report.sequence, now_us)
+                is_unhealthy = report.verdict is HealthVerdict.UNHEALTHY
+                self._checks.on_report(sender, server, is_unhealthy, report.sequence, now_us)
 
     def on_attempt_ended(self, server: str, outcome: Outcome) -> None:
-        """Count the end of an attempt of this front at a server."""
+        """Handle the end of an attempt of this front at a server."""
         with self._lock:
             now_us = self._clock.now_us()
             if outcome is Outcome.SERVED:
@@ -121,16 +130,16 @@
             self.broadcast(report)
 
     def may_use_server(self, id: str, server: str) -> bool:
-        """Return whether an attempt may go to a server, as `PlacementPolicy.free` asks."""
+        """Return whether the policy may send an attempt to a server."""
         with self._lock:
-            is_gone = self._checks.is_down(server, self._living_fronts(), self._clock.now_us())
-            self._rejection_count += is_gone
-            return not is_gone
+            is_down = self._checks.is_down(server, self._live_fronts(), self._clock.now_us())
+            self._rejection_count += is_down
+            return not is_down
 
     def status(self) -> dict[str, object]:
         """Return the figures of the `watchers` section of the status JSON."""
         with self._lock:
             status = HealthCheckStatus(
-                gone=sorted(self._gone), probes=self._probe_count, kept_away=self._rejection_count
+                gone=sorted(self._down), probes=self._probe_count, kept_away=self._rejection_count
             )
             return asdict(status)
--- a/packages/core/src/fennelcove/core/segment_sources.py
+++ b/packages/core/src/fennelcove/core/segment_sources.py
@@ -1,4 +1,4 @@
-"""Where a player's segments and initialisation segments are fetched."""
+"""Chooses the servers from which players fetch segments and initialisation segments."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from fennelcove.timeline.model import ListedSegment, Media
 
 MAX_SERVERS_TRIED = 8
-NO_CAPACITY = float("inf")  # the utility factor of a server that cannot take the stream
+NO_CAPACITY = float("inf")  # the utilization factor of a server without capacity for the stream
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Where a segment or initialisation segment is fetched.
+    """The source of a segment or initialisation segment.
 
     Attributes:
-        source: The kind of source; where `url` is empty, the reason why there is none.
-        url: The URL to fetch.
+        source: The kind of source; if `url` is empty, why there is none.
+        url: The URL to fetch; empty if there is no source.
     """
 
     source: SegmentSource
@@ -41,7 +41,7 @@
 
 
 class SegmentLocator:
-    """Chooses the server of each segment by what the placement policy knows; the caller holds the lock."""
+    """Chooses each segment's server by the placement policy's state; the caller holds the lock."""
 
     def __init__(
         self,
@@ -58,66 +58,66 @@
         self._slate = slate
 
     def is_playable(self, clip: str) -> bool:
-        """Return whether a clip can be shown now, if need be by the slate in its place."""
+        """Return whether a clip can be played now, or the slate in its place."""
         return self._slate is not None or bool(self._usable_replicas(clip))
 
-    def segment(self, session: Session, shown: ListedSegment, tried: list[str]) -> Fetch:
-        """Choose the source of a segment and add its server to `tried`, those tried for it before."""
-        pick = self._pick(session, shown, tried)
-        self._context.increment(f"segments_{pick.source.name.lower()}")
-        if not pick.server:
-            return Fetch(pick.source)
+    def segment(self, session: Session, segment: ListedSegment, tried: list[str]) -> Fetch:
+        """Choose a segment's source and add its server to `tried`, the servers tried for it before."""
+        route = self._route(session, segment, tried)
+        self._context.increment(f"segments_{route.source.name.lower()}")
+        if not route.server:
+            return Fetch(route.source)
         if len(tried) < MAX_SERVERS_TRIED:
-            tried.append(pick.server)
-        path = self._path(pick.source, shown, session.floor_rung)
+            tried.append(route.server)
+        path = self._path(route.source, segment, session.floor_rung)
         attempt = session.current_target.attempt if session.current_target is not None else 0
         query = f"subscription={session.id}&join={attempt}{path.extra_query}"
-        url = f"http://{pick.server}/media/{path.media}/{path.rung}/{path.number}.m4s?{query}"
-        return Fetch(pick.source, url)
+        url = f"http://{route.server}/media/{path.media}/{path.rung}/{path.number}.m4s?{query}"
+        return Fetch(route.source, url)
 
-    def initialization(self, session: Session, shown: ListedSegment) -> Fetch:
+    def initialization(self, session: Session, segment: ListedSegment) -> Fetch:
         """Choose the source of the initialisation segment of a rendition."""
-        pick = self._pick(session, shown, ())
-        if not pick.server:
-            return Fetch(pick.source)
-        return Fetch(pick.source, f"http://{pick.server}/media/{shown.media}/{shown.rung}/init.mp4")
-
-    def _pick(self, session: Session, shown: ListedSegment, tried: Sequence[str]) -> SegmentRoute:
-        offer = self._offer(session, shown)
-        if shown.media == session.title:
-            return segment_routing.route_title_segment(offer)
-        return segment_routing.route_clip_segment(offer, tuple(tried))
-
-    def _path(self, source: SegmentSource, shown: ListedSegment, floor: int) -> _SegmentPath:
+        route = self._route(session, segment, ())
+        if not route.server:
+            return Fetch(route.source)
+        return Fetch(route.source, f"http://{route.server}/media/{segment.media}/{segment.rung}/init.mp4")
+
+    def _route(self, session: Session, segment: ListedSegment, tried: Sequence[str]) -> SegmentRoute:
+        candidates = self._candidates(session, segment)
+        if segment.media == session.title:
+            return segment_routing.route_title_segment(candidates)
+        return segment_routing.route_clip_segment(candidates, tuple(tried))
+
+    def _path(self, source: SegmentSource, segment: ListedSegment, floor: int) -> _SegmentPath:
         if source is SegmentSource.LOWER:
-            return _SegmentPath(shown.media, self._lower_rung(shown, floor), shown.segment_number)
+            return _SegmentPath(segment.media, self._lower_rung(segment, floor), segment.segment_number)
         if source is SegmentSource.SLATE:
-            duration = f"&duration={float(shown.duration_s):.6f}"
-            return _SegmentPath(self._slate or "", shown.rung, 0, duration)
-        return _SegmentPath(shown.media, shown.rung, shown.segment_number)
+            duration = f"&duration={float(segment.duration_s):.6f}"
+            return _SegmentPath(self._slate or "", segment.rung, 0, duration)
+        return _SegmentPath(segment.media, segment.rung, segment.segment_number)
 
-    def _lower_rung(self, shown: ListedSegment, floor: int) -> int:
-        """Return the media's next lower rung, not below `floor`; the same rung where there is none."""
-        lower = [rung for rung in self._media[shown.media].rungs if floor <= rung < shown.rung]
-        return max(lower, default=shown.rung)
+    def _lower_rung(self, segment: ListedSegment, floor: int) -> int:
+        """Return the media's next lower rung, not below `floor`; the same rung if there is none."""
+        lower = [rung for rung in self._media[segment.media].rungs if floor <= rung < segment.rung]
+        return max(lower, default=segment.rung)
 
-    def _offer(self, session: Session, shown: ListedSegment) -> SegmentCandidates:
+    def _candidates(self, session: Session, segment: ListedSegment) -> SegmentCandidates:
         """Collect the servers that could serve a segment now."""
-        home = self._home(session)
-        if shown.media == session.title:
-            return SegmentCandidates(home, True, (), (), None)
-        replicas = self._usable_replicas(shown.media)
-        has_home_replica = any(server.address == home for server in replicas)
-        lower_rung = self._lower_rung(shown, session.floor_rung)
+        current_server = self._current_server(session)
+        if segment.media == session.title:
+            return SegmentCandidates(current_server, True, (), (), None)
+        replicas = self._usable_replicas(segment.media)
+        is_current_usable = any(server.address == current_server for server in replicas)
+        lower_rung = self._lower_rung(segment, session.floor_rung)
         at_lower_rung: list[str] = []
-        if lower_rung < shown.rung:
+        if lower_rung < segment.rung:
             at_lower_rung = self._ordered(replicas, session.rates_kb[lower_rung])
-        slate_server = self._slate_server(home)
-        at_rung = self._ordered(replicas, session.rates_kb[shown.rung])
-        return SegmentCandidates(home, has_home_replica, at_rung, at_lower_rung, slate_server)
+        slate_server = self._slate_server(current_server)
+        at_rung = self._ordered(replicas, session.rates_kb[segment.rung])
+        return SegmentCandidates(current_server, is_current_usable, at_rung, at_lower_rung, slate_server)
 
-    def _home(self, session: Session) -> str | None:
-        """Return the server that plays the session; None while it migrates or where the server has left."""
+    def _current_server(self, session: Session) -> str | None:
+        """Return the server that plays the session; None if it is lost or has left."""
         if session.current_target is None or session.is_orphaned:
             return None
         server = self._policy.servers.get(session.current_target.server)
@@ -125,12 +125,12 @@
             return None
         return session.current_target.server
 
-    def _slate_server(self, home: str | None) -> str | None:
+    def _slate_server(self, current_server: str | None) -> str | None:
         if self._slate is None:
             return None
         usable = [server.address for server in self._usable_replicas(self._slate)]
-        if home in usable:
-            return home
+        if current_server in usable:
+            return current_server
         return usable[0] if usable else None
 
     def _usable_replicas(self, title: str) -> list[Server]:
@@ -148,7 +148,7 @@
         ]
 
     def _ordered(self, replicas: list[Server], rate_kb: float) -> list[str]:
-        """Return the servers with capacity for a stream, one drawn by the policy first."""
+        """Return the servers with capacity for a stream; the first one is drawn at random by the policy."""
         policy = self._policy
         policy.update_residuals(replicas)
         scored = [(server, *policy.utilization_factors(server, rate_kb)) for server in replicas]
--- a/packages/core/src/fennelcove/core/session_migrations.py
+++ b/packages/core/src/fennelcove/core/session_migrations.py
@@ -1,4 +1,4 @@
-"""Moves established sessions from server to server; the core's lock guards it."""
+"""Migrates established sessions between servers; the core's lock guards its state."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
 
 
 class SessionMigrations:
-    """Runs the migration of each session whose server drains, leaves or is lost.
+    """Migrates the sessions of servers that drain, leave or are lost.
 
     Attributes:
-        migrations: the migration of each session that was ever to move, by session id.
+        queue: The migrations that wait for their turn; limits how many run at once.
+        migrations: The migration state of each open session that has had one, by session id.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         self.context = context
         self.sender = sender
         self.draining = draining
-        self.turns = MigrationQueue(max_concurrent, draining.grace_us)
+        self.queue = MigrationQueue(max_concurrent, draining.grace_us)
         self.policy = policy
         self.lifecycle = lifecycle
         self.commands = commands
@@ -64,18 +65,18 @@
         self.notifier = notifier
         self.migrations: dict[str, SessionMigration] = {}
         self._handlers: Mapping[MigrationAction, Callable[[Session, SessionMigration], None]] = {
-            MigrationAction.ENQUEUE: self._queue,
+            MigrationAction.ENQUEUE: self._enqueue,
             MigrationAction.SELECT_SERVER: self._request_target,
-            MigrationAction.SWITCH_SERVER: self._switch,
-            MigrationAction.REPORT_ATTEMPT_FAILED: self._report_failed,
-            MigrationAction.REPORT_SERVER_LOST: self._report_lost,
+            MigrationAction.SWITCH_SERVER: self._switch_server,
+            MigrationAction.REPORT_ATTEMPT_FAILED: self._report_attempt_failed,
+            MigrationAction.REPORT_SERVER_LOST: self._report_server_lost,
             MigrationAction.RETRY_LATER: self._schedule_retry,
-            MigrationAction.KEEP_SERVER: self._give_up,
+            MigrationAction.KEEP_SERVER: self._abandon,
             MigrationAction.END_SESSION: self._close_session,
         }
 
     def on_list(self, now_us: int) -> None:
-        """A new endpoint list is in force: sessions leave the servers that drain now."""
+        """Handle a new endpoint list: migrate sessions away from servers that now drain."""
         for change in self.draining.update(self.policy.servers, now_us):
             server = self.server_registry.records.get(change.address)
             sessions = list(server.sessions.values()) if server is not None else ()
@@ -83,39 +84,39 @@
                 self._apply(session, change.event)
 
     def on_server_lost(self, session: Session) -> None:
-        """The server of a session is lost: move it where that is safe, or close it."""
+        """Migrate a session whose server is lost if that is safe; close it otherwise."""
         if session.state is not SessionState.ESTABLISHED:
             return
-        if _may_rescue(session, self.policy):
+        if _may_reestablish(session, self.policy):
             self._apply(session, MigrationEvent.SERVER_LOST)
         else:
             self.lifecycle.apply(session, SessionEvent.SERVER_LOST)
 
     def on_session_closed(self, session: Session) -> None:
-        """Forget a session's migration; a pending attempt is released at its server when it ends."""
+        """Remove a session's migration; a pending attempt is released at its server when it ends."""
         state = self.migrations.pop(session.id, None)
         if state is not None:
             if state.state is MigrationState.ESTABLISHING and not state.is_server_lost:
-                self.turns.on_turn_finished()
+                self.queue.on_turn_finished()
             state.apply(MigrationEvent.SESSION_ENDED)
 
     def run_due(self) -> None:
-        """Start migrations whose turn has come, and end those whose time is over; called periodically."""
+        """Start the migrations that are due and end those past their grace period; called periodically."""
         with self.context.lock:
-            started, expired = self.turns.take_ready(self.context.now_us())
-            for due in started:
-                session = self.lifecycle.sessions.get(due.session_id)
+            started, expired = self.queue.take_ready(self.context.now_us())
+            for migration_state in started:
+                session = self.lifecycle.sessions.get(migration_state.session_id)
                 if session is not None:
                     self._apply(session, MigrationEvent.TURN_GRANTED)
                 else:
-                    self.turns.on_turn_finished()
-            for due in expired:
-                session = self.lifecycle.sessions.get(due.session_id)
+                    self.queue.on_turn_finished()
+            for migration_state in expired:
+                session = self.lifecycle.sessions.get(migration_state.session_id)
                 if session is not None:
                     self._apply(session, MigrationEvent.GRACE_EXPIRED)
 
     def _apply(self, session: Session, event: MigrationEvent) -> None:
-        is_disabled = not self.turns.max_concurrent
+        is_disabled = not self.queue.max_concurrent
         if is_disabled:
             if event is MigrationEvent.SERVER_LOST:
                 self.lifecycle.apply(session, SessionEvent.SERVER_LOST)
@@ -128,26 +129,26 @@
         for action in state.apply(event):
             self._handlers[action](session, state)
 
-    # Attempts of migrations.
+    # Migration attempts.
 
     def send_attempt(self, step: SendAttempt) -> None:
-        """The policy has chosen a server: send the attempt there."""
+        """Send an attempt to the server that the policy has chosen."""
         if not self.sender.send(step):
-            # The policy is in the middle of its own event; it receives the result a moment later.
+            # Reported from a timer, as the policy is still handling the event that led here.
             result = AttemptResult(Outcome.NOT_SENT, None, 0)
             self.context.timers.after(0, lambda: self.on_attempt_completed(step, result))
 
-    def on_attempt_refused(self, session: Session, policy_id: str) -> None:
-        """The policy finds no server for now."""
+    def on_attempt_rejected(self, session: Session, policy_id: str) -> None:
+        """Handle that the policy has found no server."""
         self.lifecycle.by_policy_id.pop(policy_id, None)
         session.pending_target = None
         state = self.migrations.get(session.id)
         if state is not None and not state.is_server_lost:
-            self.turns.on_turn_finished()
+            self.queue.on_turn_finished()
         self._apply(session, MigrationEvent.NO_SERVER_FOUND)
 
     def on_attempt_completed(self, step: SendAttempt, result: AttemptResult) -> None:
-        """An attempt of a migration has ended."""
+        """Handle the end of a migration attempt."""
         with self.context.lock:
             session = step.session
             pending = session.pending_target
@@ -155,7 +156,7 @@
             now_us = self.context.now_us()
             self.retry_storms.on_attempt_completed(session, step.server, result.outcome, now_us)
             self.slots.release(session, step.attempt, result.outcome)
-            self.slots.start_waiting()
+            self.slots.assign_free_slots()
             target = pending if pending is not None and pending.attempt == step.attempt else None
             state = self.migrations.get(session.id)
             is_attempting = state is not None and state.state is MigrationState.ESTABLISHING
@@ -170,7 +171,7 @@
                 self._apply(session, MigrationEvent.ATTEMPT_FAILED)
 
     def _discard_result(self, step: SendAttempt, target: AttemptTarget | None, result: AttemptResult) -> None:
-        """The migration ended before its attempt: nobody needs what the server began."""
+        """Release an attempt at its server whose migration ended before the attempt did."""
         self.commands.release_after(step, result.outcome)
         if target is not None:
             step.session.pending_target = None
@@ -178,8 +179,8 @@
 
     # Actions of the transition table.
 
-    def _queue(self, session: Session, state: SessionMigration) -> None:
-        self.turns.add(state, self.context.now_us())
+    def _enqueue(self, session: Session, state: SessionMigration) -> None:
+        self.queue.add(state, self.context.now_us())
         self.context.timers.after(0, self.run_due)
 
     def _request_target(self, session: Session, state: SessionMigration) -> None:
@@ -192,14 +193,14 @@
         request = MigrationRequested(current.policy_id, policy_id, timeout_us)
         self.policy.handle(request, self.context.now_us())
 
-    def _switch(self, session: Session, state: SessionMigration) -> None:
+    def _switch_server(self, session: Session, state: SessionMigration) -> None:
         old = session.required_current_target()
         result = session.required_result()
         now_us = self.context.now_us()
         if not session.is_orphaned:
-            self.turns.on_turn_finished()
+            self.queue.on_turn_finished()
         self.server_registry.on_session_closed(session)
-        new = session.play_at_pending_target()
+        new = session.activate_pending_target()
         started = SessionStarted(new.policy_id, new.policy_attempt, result.duration_us)
         self.policy.handle(started, now_us)
         session.established_us = now_us
@@ -227,11 +228,11 @@
             waited_ms=waited_us / 1000,
         )
 
-    def _report_failed(self, session: Session, state: SessionMigration) -> None:
+    def _report_attempt_failed(self, session: Session, state: SessionMigration) -> None:
         result = session.required_result()
         self.lifecycle.report_attempt(session.take_pending_target(), result, is_finished=False)
 
-    def _report_lost(self, session: Session, state: SessionMigration) -> None:
+    def _report_server_lost(self, session: Session, state: SessionMigration) -> None:
         if (
             session.state is not SessionState.ESTABLISHED
             or session.current_target is None
@@ -245,21 +246,21 @@
         self.lifecycle.report_attempt(session.current_target, lost, is_finished=True)
 
     def _schedule_retry(self, session: Session, state: SessionMigration) -> None:
-        self.turns.retry_later(state, self.context.now_us())
+        self.queue.retry_later(state, self.context.now_us())
         self.context.timers.after(migration.RETRY_DELAY_US, self.run_due)
 
-    def _give_up(self, session: Session, state: SessionMigration) -> None:
+    def _abandon(self, session: Session, state: SessionMigration) -> None:
         self.context.increment("moves_given_up")
         self.context.log_event("migration_abandoned", subscription=session.id, box=session.server)
 
     def _close_session(self, session: Session, state: SessionMigration) -> None:
-        what = "was lost" if state.is_server_lost else "has left"
-        session.close_reason = f"its box {what}, and no other may take it"
+        cause = "was lost" if state.is_server_lost else "has left"
+        session.close_reason = f"its box {cause}, and no other may take it"
         self.lifecycle.apply(session, SessionEvent.SERVER_LOST)
 
 
-def _may_rescue(session: Session, policy: PlacementPolicy) -> bool:
-    """Whether another server may take over a session whose server is lost."""
+def _may_reestablish(session: Session, policy: PlacementPolicy) -> bool:
+    """Return whether a session whose server is lost may be established again on another one."""
     effect = policy.settings.service_classes[session.service_class].effect
     return (
         session.current_target is not None
