--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/fleet_load.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/fleet_load.py
@@ -1,9 +1,10 @@
 """The load of the fleet as a whole, estimated from short summaries that fronts exchange.
 
-A summary counts what one front saw in the last windows, by service class, and has a sequence number. The
-newest summary of each front counts, so summaries merge alike in whatever order, and however often, they
-arrive. A front with no recent summary is assumed to see what this one sees; with no summary at all, the
-fleet's load is this front's times the number of fronts. A summary far larger than the others is capped.
+A summary counts the requests of one front in the last windows, by service class, and has a sequence number.
+Only the newest summary of each front is used, so the estimate does not depend on the order in which summaries
+arrive, or on duplicates. A front without a recent summary is assumed to have the same load as this one; with
+no summary at all, the fleet's load is this front's times the number of fronts. A summary far larger than the
+others is capped.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 from typing import NamedTuple
 
 WINDOW_US = 500_000
-WINDOWS_PER_SUMMARY = 4  # together the time between two attempts of a client
-STALE_US = 3 * WINDOW_US * WINDOWS_PER_SUMMARY // 2  # age from which a summary does not count
-MAX_MEDIAN_MULTIPLE = 8  # the busiest of four fronts, with a third of all clients, is far below it
-MAX_COUNT = 65_535  # of a counter in a summary: two bytes
+WINDOWS_PER_SUMMARY = 4  # together as long as the time between two attempts of a client
+STALE_US = 3 * WINDOW_US * WINDOWS_PER_SUMMARY // 2  # an older summary is ignored
+MAX_MEDIAN_MULTIPLE = 8  # the busiest of four fronts, with a third of all clients, stays far below it
+MAX_COUNT = 65_535  # a counter of a summary has two bytes
 MIN_SUMMARIES_FOR_CAP = 3
 
 
@@ -30,11 +31,11 @@
     rejected: int
 
     def scaled(self, factor: float) -> ClassLoad:
-        """The counts times a factor, rounded."""
+        """The counts multiplied by a factor, rounded."""
         return ClassLoad(*(round(count * factor) for count in self))
 
     def capped(self) -> ClassLoad:
-        """The counts as far as a summary can hold them."""
+        """The counts, limited to what a summary can hold."""
         return ClassLoad(*(min(count, MAX_COUNT) for count in self))
 
 
@@ -43,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSummary:
-    """What one front saw in `WINDOWS_PER_SUMMARY` windows, by service class in the settings' order."""
+    """One front's load in `WINDOWS_PER_SUMMARY` windows, by service class in the order of the settings."""
 
     incarnation: int  # the sender's incarnation
-    sequence: int  # the sequence number in it
+    sequence: int  # the sequence number within the incarnation
     class_loads: tuple[ClassLoad, ...]
 
 
@@ -80,7 +81,7 @@
 
 
 def sum_loads(loads: Sequence[tuple[ClassLoad, ...]], class_count: int) -> tuple[ClassLoad, ...]:
-    """The sums by service class; missing classes count as no load."""
+    """The sums by service class; a missing class counts as no load."""
     padded = [row + (NO_LOAD,) * (class_count - len(row)) for row in loads]
     return tuple(
         ClassLoad(
@@ -99,7 +100,7 @@
 def _cap_outliers(
     own: tuple[ClassLoad, ...], peers: list[tuple[ClassLoad, ...]]
 ) -> list[tuple[ClassLoad, ...]]:
-    """The peers' loads, each scaled down to a multiple of the median of all."""
+    """The peers' loads, each scaled down to at most `MAX_MEDIAN_MULTIPLE` times the median of all fronts."""
     requested = [_total_requested(loads) for loads in [own, *peers]]
     if len(requested) < MIN_SUMMARIES_FOR_CAP:
         return peers
@@ -112,7 +113,7 @@
 
 @dataclass(slots=True)
 class _OpenCounts:
-    """The counts of one service class in the window that is open."""
+    """The counts of one service class in the current window."""
 
     requested: int = 0
     served: int = 0
@@ -121,7 +122,10 @@
 
 @dataclass(slots=True)
 class FleetLoadEstimator:
-    """One front's own counts and its peers' summaries. The caller supplies times and holds the lock."""
+    """Estimates the fleet's load from one front's own counts and its peers' summaries.
+
+    The caller supplies times and holds the lock.
+    """
 
     class_count: int
     window_start_us: int
@@ -144,15 +148,15 @@
         self.open_window[service_class].requested += 1
 
     def record_served(self, service_class: int) -> None:
-        """Count a session that was established."""
+        """Count an established session."""
         self.open_window[service_class].served += 1
 
     def record_rejected(self, service_class: int) -> None:
-        """Count a rejection, at ingress or by the placement policy."""
+        """Count a rejection by the ingress or by the placement policy."""
         self.open_window[service_class].rejected += 1
 
     def advance(self, now_us: int) -> bool:
-        """Close the windows that have passed; whether one has."""
+        """Close the windows that have passed; return whether there were any."""
         passed = (now_us - self.window_start_us) // WINDOW_US
         if passed <= 0:
             return False
@@ -168,7 +172,7 @@
         return True
 
     def own_load(self) -> tuple[ClassLoad, ...]:
-        """What this front saw in the windows that are closed."""
+        """This front's load in the closed windows."""
         return sum_loads(list(self.closed_windows), self.class_count)
 
     def summary(self) -> LoadSummary:
@@ -177,7 +181,7 @@
         return LoadSummary(self.incarnation, self.sequence, loads)
 
     def on_summary(self, sender: int, summary: LoadSummary, now_us: int) -> bool:
-        """Handle a peer's summary; whether it is newer than the known one."""
+        """Handle a peer's summary; return whether it is newer than the known one."""
         known = self.peer_summaries.get(sender)
         if known is not None:
             known_version = (known.summary.incarnation, known.summary.sequence)
@@ -187,7 +191,7 @@
         return True
 
     def totals(self, fronts: int, now_us: int) -> FleetTotals:
-        """The load of a fleet of so many fronts."""
+        """The estimated load of a fleet with this number of fronts."""
         own = self.own_load()
         recent = [
             summary.class_loads
--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/health_checks.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/health_checks.py
@@ -1,11 +1,11 @@
 """Health checks of servers, divided among the fronts, and when a server counts as down for all of them.
 
-A server is checked by a few fronts, chosen by a rendezvous hash over the fronts that are taken to be alive;
-the others rely on their reports. So the probes that a server receives grow with its trouble, not with the
-fleet. A front whose own network path is bad can avoid a server for itself alone: down for all is what a
-quorum of its checkers reports, by reports that are recent. Fronts that disagree on which fronts are alive may
-have more checkers for a server for a while, never fewer that are alive than each of them counts. Times are in
-microseconds.
+A server is checked by a few fronts, chosen by a rendezvous hash over the fronts that are considered alive;
+the others rely on their reports. The number of probes that a server receives thus depends on its health and
+not on the size of the fleet. A server is down for the whole fleet once a quorum of its checkers has recently
+reported it as unhealthy, so a single front with a bad network path avoids the server for itself only. While
+fronts disagree on which fronts are alive, a server may have more checkers than intended, but never fewer live
+ones than each front counts. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 from fennelcove.state_machine import Transition, TransitionTable
 
 CHECKERS_PER_SERVER = 3
-UNHEALTHY_QUORUM = 2  # checkers whose reports take a server out of service for all
-HEALTHY_PROBE_INTERVAL_US = 4_000_000  # of one checker
+UNHEALTHY_QUORUM = 2  # checkers whose reports take a server out of service for all fronts
+HEALTHY_PROBE_INTERVAL_US = 4_000_000  # for each checker
 SUSPECT_PROBE_INTERVAL_US = 500_000
 MAX_PROBE_INTERVAL_US = 4_000_000
-# A checker repeats its report at every probe. Longer than two of the longest intervals, for a report that is
-# lost: with 8 s between probes and 6 s for a report, a server that was down became healthy again.
+# A checker repeats its report at every probe. A report is valid for longer than two of the longest intervals,
+# because one may be lost: with 8 s between probes and a lifetime of 6 s, a server that was down counted as
+# healthy between two reports.
 REPORT_LIFETIME_US = 2 * MAX_PROBE_INTERVAL_US + 1_000_000
-RECENTLY_SERVED_US = 1_000_000  # a server that served this front so recently is not down for it
+RECENTLY_SERVED_US = 1_000_000  # a server that served this front within this time is not down for it
 MAX_SERVERS = 10_000
 
 
@@ -37,7 +38,7 @@
     """A server's health as one checker sees it."""
 
     HEALTHY = auto()
-    SUSPECT = auto()  # one probe has failed: the next follows soon
+    SUSPECT = auto()  # one probe has failed; the next one follows soon
     UNHEALTHY = auto()
 
 
@@ -59,40 +60,40 @@
 
 
 def rendezvous_weight(server: str, front: int) -> bytes:
-    """The weight by which fronts are ranked for a server; the same in every process."""
+    """The weight that ranks a front as a checker of a server; it is the same in every process."""
     return blake2b(f"{server}\0{front}".encode(), digest_size=8).digest()
 
 
 def chosen_checkers(
     server: str, live_fronts: Iterable[int], max_checkers: int = CHECKERS_PER_SERVER
 ) -> tuple[int, ...]:
-    """The checkers of a server among the fronts that are alive."""
+    """The checkers of a server, chosen from the fronts that are alive."""
     return tuple(
         nsmallest(max_checkers, live_fronts, key=lambda front: (rendezvous_weight(server, front), front))
     )
 
 
 class HealthVerdict(IntEnum):
-    """What a front reports of a server."""
+    """What a front reports about a server."""
 
     HEALTHY = 0
-    UNHEALTHY = 1  # unhealthy
-    ATTEMPT_FAILED = 2  # no verdict: an attempt was not answered there, and its checkers should probe at once
+    UNHEALTHY = 1
+    ATTEMPT_FAILED = 2  # no verdict: an attempt got no response, and the checkers should probe at once
 
 
 @dataclass(frozen=True, slots=True)
 class HealthReport:
     """The message by which one front reports a server's health to the others."""
 
-    server_hash: int  # its hash, see `mark`
+    server_hash: int  # see `hash_address`
     verdict: HealthVerdict
-    sequence: int  # the sequence number: of one checker's reports the highest counts
+    sequence: int  # of one checker's reports, only the one with the highest number is used
 
 
 def hash_address(server: str) -> int:
-    """The hash of a server's address, in four bytes.
+    """The four-byte hash of a server's address.
 
-    Two servers with the same hash are taken out of service together, and back together.
+    Two servers with the same hash are taken out of service together, and returned to it together.
     """
     return crc32(server.encode())
 
@@ -111,15 +112,15 @@
 
     view: ProbeView = ProbeView.HEALTHY
     probe_interval_us: int = HEALTHY_PROBE_INTERVAL_US
-    probe_due_us: int = 0  # 0 before the first probe is planned
-    reports: dict[int, CheckerReport] = field(default_factory=dict)
-    unhealthy_report_until_us: int = 0  # until then others may hold an unhealthy report of this front
+    probe_due_us: int = 0  # 0 before the first probe is scheduled
+    reports: dict[int, CheckerReport] = field(default_factory=dict)  # by the index of the checker
+    unhealthy_report_until_us: int = 0  # when this front's last unhealthy report expires at the others
     served_us: int | None = None  # when it last served an attempt of this front
-    check_requested_us: int = -SUSPECT_PROBE_INTERVAL_US  # when this front last asked for probes of it
+    check_requested_us: int = -SUSPECT_PROBE_INTERVAL_US  # when this front last requested probes of it
     probed_us: int = -SUSPECT_PROBE_INTERVAL_US  # when this front last probed it
 
     def on_probe_completed(self, result: ProbeResult, now_us: int) -> None:
-        """Take in a probe's result and plan the next probe."""
+        """Apply the result of a probe and schedule the next one."""
         self.view = TRANSITIONS.apply(self.view, result).state
         if self.view is ProbeView.HEALTHY:
             self.probe_interval_us = HEALTHY_PROBE_INTERVAL_US
@@ -141,7 +142,7 @@
         self.index = index
         self.front_count = front_count
         self.servers: OrderedDict[str, WatchedServer] = OrderedDict()
-        # Above all of an earlier incarnation, whose reports others may still hold.
+        # Higher than any number of an earlier incarnation, whose reports other fronts may still store.
         self.sequence = first_sequence
 
     def _watched(self, server: str) -> WatchedServer:
@@ -158,7 +159,7 @@
     def due_probes(
         self, servers: Iterable[str], live_fronts: Iterable[int], draw: float, now_us: int
     ) -> list[str]:
-        """The servers that this front should probe now; each is planned again from now.
+        """The servers that this front should probe now; the next probe of each is scheduled.
 
         Args:
             servers: the servers of the endpoint list.
@@ -173,7 +174,7 @@
                 continue
             watched = self._watched(server)
             if not watched.probe_due_us:
-                # First probes are spread over an interval: after a partition all would begin at once.
+                # First probes are spread over an interval; otherwise all start at once after a partition.
                 watched.probe_due_us = now_us + round(draw * SUSPECT_PROBE_INTERVAL_US)
             if now_us >= watched.probe_due_us:
                 watched.probe_due_us = now_us + watched.probe_interval_us
@@ -182,7 +183,7 @@
         return due_servers
 
     def on_probe_completed(self, server: str, result: ProbeResult, now_us: int) -> CheckerReport:
-        """Handle the end of a probe of this front; its own report from now on."""
+        """Handle the result of this front's probe; return the report that it leads to."""
         watched = self._watched(server)
         watched.on_probe_completed(result, now_us)
         self.sequence += 1
@@ -192,9 +193,10 @@
         return report
 
     def report(self, server: str, now_us: int) -> HealthReport | None:
-        """The report to send after a probe: that a server is unhealthy, or is so no more.
+        """The report to send after a probe: that the server is unhealthy, or that it has recovered.
 
-        None where no other front can hold an unhealthy report of this one: a calm fleet sends nothing.
+        None where no other front can have an unhealthy report of this one that is still valid, so that
+        nothing is sent while all servers are healthy.
         """
         watched = self._watched(server)
         verdict = HealthVerdict.HEALTHY
@@ -208,10 +210,10 @@
     # Attempts.
 
     def on_attempt_failed(self, server: str, now_us: int) -> HealthReport | None:
-        """Handle an attempt of this front that was not answered; the message that asks for probes, if due.
+        """Handle an attempt of this front that got no response; return the request for probes, if one is due.
 
-        So an outage is found within the time of a probe and not at the next regular one. One message from one
-        front in a while is enough.
+        The checkers then detect an outage within one probe's time instead of at the next regular probe. Each
+        front sends at most one request for a server within `SUSPECT_PROBE_INTERVAL_US`.
         """
         watched = self._watched(server)
         if now_us < watched.check_requested_us + SUSPECT_PROBE_INTERVAL_US:
@@ -221,10 +223,10 @@
         return HealthReport(hash_address(server), HealthVerdict.ATTEMPT_FAILED, self.sequence)
 
     def on_probe_requested(self, server: str, now_us: int) -> None:
-        """Bring the next probe forward, as some front's attempt failed there.
+        """Bring the next probe forward, because an attempt of some front failed at the server.
 
-        However many fronts ask, a checker probes at most every `SUSPECT_PROBE_INTERVAL_US`, and one to which
-        the server is unhealthy already keeps its own interval.
+        Regardless of how many fronts ask, a checker probes at most every `SUSPECT_PROBE_INTERVAL_US`; one
+        that already sees the server as suspect or unhealthy does not change its interval.
         """
         watched = self._watched(server)
         if watched.view is ProbeView.HEALTHY and watched.probe_due_us:
@@ -232,13 +234,13 @@
             watched.probe_due_us = max(now_us, min(watched.probe_due_us, earliest_us))
 
     def on_attempt_served(self, server: str, now_us: int) -> None:
-        """Handle an attempt of this front that was served: that outweighs the reports of others."""
+        """Handle an attempt of this front that was served; for a while this overrides the others' reports."""
         self._watched(server).served_us = now_us
 
-    # Reports of others.
+    # Reports of other fronts.
 
     def on_report(self, sender: int, server: str, is_unhealthy: bool, sequence: int, now_us: int) -> None:
-        """Handle another front's report; one that is duplicated or overtaken is ignored."""
+        """Handle another front's report; a duplicate, or one older than the known report, is ignored."""
         if not 0 <= sender < self.front_count or sender == self.index:
             return
         watched = self._watched(server)
@@ -262,5 +264,5 @@
             for front, report in watched.reports.items()
             if front in checkers and now_us - report.received_us <= REPORT_LIFETIME_US
         )
-        # With fewer fronts alive than the quorum, all of them have to agree.
+        # Where fewer fronts than the quorum are alive, all of them have to agree.
         return unhealthy_count >= min(UNHEALTHY_QUORUM, len(checkers))
--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/membership.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/membership.py
@@ -6,14 +6,14 @@
 reported as departed. Where a majority reports it, the fronts that hold a lease divide what it left beyond its
 reserved fraction.
 
-The two majorities have a front in common, and that front acknowledges nothing of a peer while its own report
-that the peer departed may still be acted on. So the shares of all running fronts never add up to more than
-the whole, whatever messages are lost, delayed, duplicated or cut off by a partition, and no front needs to
-know how the others see it. A front that has restarted acknowledges nothing and reports nobody as departed
-until every promise of its previous incarnation has expired.
-
-A heartbeat acknowledges the newest heartbeat received from its recipient, so that each front judges the age
-of a message by its own clock. Times are in microseconds of one front's monotonic clock.
+Any two majorities have a front in common, and that front acknowledges no heartbeat of a peer while its own
+report that the peer departed is still valid. The shares of all running fronts therefore never add up to more
+than the whole resource, even if messages are lost, delayed, duplicated or cut off by a partition, and no
+front needs to know how the others see it. A front that has restarted acknowledges nothing and reports nobody
+as departed until all acknowledgements and reports of its previous incarnation have expired.
+
+A heartbeat acknowledges the newest heartbeat received from its recipient, so that each front measures the age
+of a message with its own clock. Times are in microseconds of one front's monotonic clock.
 """
 
 from __future__ import annotations
@@ -34,16 +34,15 @@
 
 HEARTBEAT_INTERVAL_US = 250_000
 LEASE_US = 2_000_000
-DEPARTURE_REPORT_US = 2_000_000  # how long a report may be acted on, from the heartbeat that it answers
-CLOCK_DRIFT = (
-    0.05  # by how much two clocks may differ in rate, and a process be held up between check and use
-)
-RESERVED_FRACTION = 0.5  # of its equal share, what a front may use without a lease
-SUSPECT_AFTER_HEARTBEATS = 3
-MAX_FLAPS = 3  # rejoins within `FLAP_WINDOW_US` after which a peer stays in quarantine for longer
+DEPARTURE_REPORT_US = 2_000_000  # validity of a report, counted from the heartbeat that it acknowledges
+# The relative difference in rate of two clocks, and the relative delay of a process between check and use.
+CLOCK_DRIFT = 0.05
+RESERVED_FRACTION = 0.5  # of its equal share, which a front may use without a lease
+SUSPECT_AFTER_HEARTBEATS = 3  # missed in a row
+MAX_FLAPS = 3  # rejoins within `FLAP_WINDOW_US`; a peer with more stays in quarantine for longer
 FLAP_WINDOW_US = 30_000_000
 DUPLICATE_WINDOW_US = 5_000_000  # two incarnations under one index for longer than this are two processes
-MAX_REMEMBERED_HEARTBEATS = 64  # own heartbeats whose send times are known
+MAX_REMEMBERED_HEARTBEATS = 64  # own heartbeats whose send times are stored
 MAX_INCARNATION_BIDS = 3
 NEVER_US = -(1 << 60)
 CRC32_RANGE = 2**32
@@ -51,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """The settings of one front's membership; see the module's text."""
+    """The settings of one front's membership; see the module's doc comment."""
 
     front_count: int
     index: int
@@ -62,27 +61,27 @@
 
     @property
     def majority(self) -> int:
-        """The smallest number of fronts, this one among them, that is more than half of all."""
+        """The smallest number of fronts, including this one, that is more than half of all fronts."""
         return self.front_count // 2 + 1
 
     @property
     def expiry_us(self) -> int:
-        """The silence after which a peer can hold no lease by this front's acknowledgements."""
+        """The silence after which no acknowledgement of this front can count towards a peer's lease."""
         return round(self.lease_us * (1 + CLOCK_DRIFT)) + self.heartbeat_interval_us
 
     @property
     def report_expiry_us(self) -> int:
-        """The time after which no recipient acts on a departure report any more, by any clock."""
+        """The age at which a departure report has expired for every recipient, by any clock."""
         return round(self.departure_report_us * (1 + CLOCK_DRIFT))
 
     @property
     def restart_quiet_us(self) -> int:
-        """The time after a start by which every promise of the previous incarnation has expired."""
+        """The time after a start by which all messages of the previous incarnation have expired."""
         longest_us = max(self.lease_us, self.departure_report_us)
         return round(longest_us * (1 + CLOCK_DRIFT)) + self.heartbeat_interval_us
 
     def is_reserved_turn(self, owner: int, round_number: int) -> bool:
-        """Whether a turn of a front lies in its reserved fraction, which nobody else ever uses."""
+        """Whether a turn is in its owner's reserved fraction, which no other front ever uses."""
         return crc32(f"{owner}/{round_number}".encode()) < self.reserved_fraction * CRC32_RANGE
 
 
@@ -90,10 +89,10 @@
 class Heartbeat:
     """The message that one front sends another at each interval."""
 
-    incarnation: int  # the sender's incarnation, higher than any before it
-    sequence: int  # the sequence number of this heartbeat in it
+    incarnation: int  # the sender's incarnation, higher than any previous one
+    sequence: int  # the sequence number of this heartbeat within the incarnation
     acknowledged_incarnation: int = 0  # the recipient's incarnation, as the sender knows it
-    acknowledged_sequence: int = 0  # the recipient's newest heartbeat in it, acknowledged; 0: none is
+    acknowledged_sequence: int = 0  # the recipient's newest heartbeat in that incarnation; 0 for none
     is_leaving: bool = False
     departed: tuple[int, ...] = ()  # the fronts that the sender reports as departed
 
@@ -103,20 +102,20 @@
     """What this front knows of another."""
 
     state: PeerState = PeerState.UNHEARD
-    incarnation: int = 0  # its incarnation
+    incarnation: int = 0
     sequence: int = 0  # of its newest heartbeat
     last_heartbeat_us: int = 0
-    other_incarnation_us: int = 0  # when an incarnation other than the present one was last seen
-    incarnation_seen_us: int = 0  # when the present incarnation was first seen
+    other_incarnation_us: int = 0  # when an incarnation other than the current one was last seen
+    incarnation_seen_us: int = 0  # when the current incarnation was first seen
     reported_departed_us: int = NEVER_US  # when this front last reported it as departed
-    acknowledged_sequence: int = 0  # the newest heartbeat of ours that its present incarnation acknowledged
+    acknowledged_sequence: int = 0  # this front's newest heartbeat that its current incarnation acknowledged
     departed: frozenset[int] = frozenset()  # the fronts that it reports as departed
-    departed_sequence: int = 0  # the heartbeat of ours that this report answers
+    departed_sequence: int = 0  # this front's heartbeat that the report acknowledges
     rejoin_count: int = 0
     rejoined_us: int = 0
 
     def begin_incarnation(self, incarnation: int, now_us: int) -> None:
-        """Start over with a new incarnation; what the previous one acknowledged and reported is void."""
+        """Start a new incarnation; the previous one's acknowledgements and reports are discarded."""
         if self.incarnation:
             self.other_incarnation_us = now_us
         self.incarnation = incarnation
@@ -126,14 +125,14 @@
         self.departed_sequence = 0
 
     def accept_acknowledgement(self, heartbeat: Heartbeat) -> None:
-        """Take in what a heartbeat acknowledges and reports."""
+        """Store the acknowledgement and the departure report of a heartbeat."""
         self.acknowledged_sequence = max(self.acknowledged_sequence, heartbeat.acknowledged_sequence)
         if heartbeat.acknowledged_sequence >= self.departed_sequence:
             self.departed = frozenset(heartbeat.departed)
             self.departed_sequence = heartbeat.acknowledged_sequence
 
     def count_rejoin(self, now_us: int) -> None:
-        """Count one more rejoin, or the first one of a new window."""
+        """Count a rejoin; after `FLAP_WINDOW_US` without one, counting starts over."""
         is_recent = now_us - self.rejoined_us < FLAP_WINDOW_US
         self.rejoin_count = self.rejoin_count + 1 if is_recent else 1
         self.rejoined_us = now_us
@@ -141,8 +140,8 @@
     def quarantine_end_us(self, settings: MembershipSettings) -> int:
         """When a rejoining or duplicate peer may be acknowledged again.
 
-        By then the report that it departed has expired, and a peer that flaps has been steady for the longer
-        the more often it rejoined.
+        By then the report that it departed has expired. A peer that flaps must in addition have been stable
+        for a time that grows with the number of its rejoins.
         """
         other_expired_us = 0
         if self.other_incarnation_us:
@@ -168,16 +167,16 @@
     """One front's view of all fronts. The caller supplies times, transports heartbeats and holds the lock."""
 
     settings: MembershipSettings
-    incarnation: int  # this front's incarnation
+    incarnation: int
     now_us: int
     sequence: int = 0  # of this front's newest heartbeat
     heartbeat_sent_us: OrderedDict[int, int] = field(default_factory=OrderedDict)  # by sequence number
     peers: dict[int, Peer] = field(default_factory=dict)
     pending_changes: list[PeerChange] = field(default_factory=list)
-    quiet_until_us: int = 0  # until then the previous incarnation's promises may still be in force
+    quiet_until_us: int = 0  # until then the previous incarnation's messages may still be valid
     is_leaving: bool = False
-    incarnation_bids: int = 0  # how often a higher incarnation was known for this index
-    latest_known_incarnation: int = 0  # the latest incarnation that others knew before this one
+    incarnation_bids: int = 0  # how often this front has raised its incarnation above one that a peer knew
+    latest_known_incarnation: int = 0  # the highest other incarnation that peers knew under this index
 
     def __post_init__(self) -> None:
         indices = (index for index in range(self.settings.front_count) if index != self.settings.index)
@@ -187,7 +186,7 @@
     # Sending.
 
     def next_heartbeats(self, now_us: int) -> dict[int, Heartbeat]:
-        """The next heartbeat for each peer, by index; to be sent now."""
+        """The heartbeats to send now, by the index of the recipient."""
         self.advance(now_us)
         self.sequence += 1
         self.heartbeat_sent_us[self.sequence] = now_us
@@ -212,8 +211,8 @@
         )
 
     def _may_acknowledge(self, peer: Peer, now_us: int) -> bool:
-        # A departure report may be acted on until it expires by the clock of its recipient. Acknowledging the
-        # reported front before that would let it act as well.
+        # A departure report is valid until it expires by the clock of its recipient. If the reported front
+        # were acknowledged before that, it and the recipient could both use its share.
         report_expired = now_us >= peer.reported_departed_us + self.settings.report_expiry_us
         return now_us >= self.quiet_until_us and peer.state in ACKNOWLEDGED_STATES and report_expired
 
@@ -230,13 +229,13 @@
             self._on_older_incarnation(sender, peer, now_us)
             return
         if heartbeat.incarnation == peer.incarnation and heartbeat.sequence <= peer.sequence:
-            return  # duplicated, or overtaken by a newer one
+            return  # a duplicate, or older than the newest one received
         is_new_incarnation = heartbeat.incarnation > peer.incarnation
         if is_new_incarnation:
             peer.begin_incarnation(heartbeat.incarnation, now_us)
         peer.sequence = heartbeat.sequence
         peer.last_heartbeat_us = now_us
-        # The number 0 acknowledges nothing, and is the number of no heartbeat.
+        # Number 0 means that nothing is acknowledged; no heartbeat has it.
         if (
             heartbeat.acknowledged_incarnation == self.incarnation
             and heartbeat.acknowledged_sequence in self.heartbeat_sent_us
@@ -250,7 +249,8 @@
         self._apply(sender, peer, event, now_us)
 
     def _on_older_incarnation(self, sender: int, peer: Peer, now_us: int) -> None:
-        # Delayed heartbeats of an ended incarnation arrive for a moment; two processes under one index go on.
+        # Delayed heartbeats of an ended incarnation arrive only for a short time; heartbeats of an older
+        # incarnation that go on after that come from a second process under the same index.
         peer.other_incarnation_us = now_us
         is_past_delays = now_us - peer.incarnation_seen_us > DUPLICATE_WINDOW_US
         if is_past_delays or peer.state is PeerState.DUPLICATE:
@@ -259,8 +259,9 @@
     def _compare_own_incarnation(self, known: int) -> None:
         """Compare this front's incarnation with the one that a peer knows under its index.
 
-        A higher one is known where a clock that went back gave this incarnation too low a number. A second
-        process would outbid this one for ever, so it bids only a few times; then others see a duplicate.
+        A peer knows a higher one if this front's clock was set back and gave it too low a number; this front
+        then raises its incarnation. Two processes under one index would outbid each other without end, so the
+        number of bids is limited, after which the others detect a duplicate.
         """
         if known == self.incarnation:
             return
@@ -268,11 +269,12 @@
         if known > self.incarnation and self.incarnation_bids < MAX_INCARNATION_BIDS:
             self.incarnation_bids += 1
             self.incarnation = known + 1
-            # The sequence goes on: started over, acknowledgements of the last incarnation would pass for new.
+            # The sequence number is not reset: acknowledgements of the previous incarnation would otherwise
+            # be taken for new ones.
             self.heartbeat_sent_us.clear()
 
     def advance(self, now_us: int) -> None:
-        """Move the clock, and the state of each peer with it."""
+        """Advance the clock and update the state of each peer."""
         self.now_us = now_us
         for index, peer in self.peers.items():
             silent_us = now_us - peer.last_heartbeat_us
@@ -303,7 +305,7 @@
         return acknowledged_by >= self.settings.majority and not self.is_leaving
 
     def departed_fronts(self, now_us: int) -> frozenset[int]:
-        """The fronts that a majority reports as departed, by reports that are still in force."""
+        """The fronts that a majority reports as departed, by reports that are still valid."""
         reports: dict[int, int] = {}
         for peer in self.peers.values():
             sent_us = self.heartbeat_sent_us.get(peer.departed_sequence)
@@ -319,7 +321,7 @@
         )
 
     def allowed_share(self, now_us: int) -> float:
-        """The share of any common resource that this front may use now, whatever the others believe."""
+        """The share of any common resource that this front may use now, whatever the others' views are."""
         fronts, reserved = self.settings.front_count, self.settings.reserved_fraction
         if fronts == 1:
             return 1.0
@@ -329,12 +331,13 @@
         return (1 - reserved * departed / fronts) / (fronts - departed)
 
     def owns_turn(self, turn: int, now_us: int) -> bool:
-        """Whether a turn that rotates over all fronts is this one's, whatever the others believe.
+        """Whether a turn belongs to this front, of turns that rotate over all fronts.
 
-        Turns keep their numbers whichever fronts are alive: when they were distributed anew with each change,
-        turns of two views coincided and overloaded servers. Of each front's turns the reserved fraction is
-        nobody else's. Each other turn of a departed front goes to the remaining front that ranks first for
-        that very turn, so that two lease holders that differ on who departed never take the same one.
+        No turn ever belongs to two fronts, whatever their views are. Each turn has a fixed owner, whichever
+        fronts are alive: when turns were redistributed with each change, fronts with different views took
+        the same turns and overloaded servers. The reserved fraction of a front's turns is never used by
+        another front. Each other turn of a departed front goes to the remaining front that ranks first for
+        that turn, so that two lease holders that disagree on who departed never take the same one.
         """
         fronts = self.settings.front_count
         owner, round_number = turn % fronts, turn // fronts
@@ -352,15 +355,15 @@
     # Reporting.
 
     def live_front_count(self) -> int:
-        """How many fronts this one takes to be alive, itself among them; no share depends on it."""
+        """The number of fronts that this one considers alive, including itself; no share depends on it."""
         return len(self.live_fronts())
 
     def live_fronts(self) -> list[int]:
-        """The indices of the fronts that this one takes to be alive, itself among them."""
+        """The indices of the fronts that this one considers alive, including itself."""
         others = [index for index, peer in self.peers.items() if peer.state in LIVE_STATES]
         return sorted([self.settings.index, *others])
 
     def take_changes(self) -> list[PeerChange]:
-        """The changes of peers' states since the last call."""
+        """Remove and return the changes of peers' states since the last call."""
         found, self.pending_changes = self.pending_changes, []
         return found
--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/peer_states.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/peer_states.py
@@ -13,10 +13,10 @@
     UNHEARD = "unheard"  # no heartbeat since this front started
     ALIVE = "alive"
     SUSPECT = "suspect"  # some heartbeats are missing
-    UNREACHABLE = "silent"  # unreachable for longer than any lease it can hold: reported as departed
-    LEFT = "left"  # it announced that it shuts down: reported as departed
-    REJOINING = "back"  # rejoining: reachable again, but a report that it departed may still be acted on
-    DUPLICATE = "twin"  # duplicate: two processes run under its index, and neither is acknowledged
+    UNREACHABLE = "silent"  # silent for longer than any lease that it can hold; reported as departed
+    LEFT = "left"  # it has announced its shutdown; reported as departed
+    REJOINING = "back"  # reachable again, but a report that it departed may still be valid
+    DUPLICATE = "twin"  # two processes run under its index, and neither is acknowledged
 
 
 class MembershipEvent(Enum):
@@ -24,11 +24,11 @@
 
     HEARTBEAT_RECEIVED = auto()
     NEW_INCARNATION = auto()
-    OLDER_INCARNATION = auto()  # a heartbeat of an incarnation before the present one
+    OLDER_INCARNATION = auto()  # a heartbeat of an incarnation before the current one
     LEAVE_ANNOUNCED = auto()
     HEARTBEATS_MISSED = auto()
     LEASE_EXPIRED = auto()
-    QUARANTINE_ENDED = auto()  # no report of this front is in force, or the duplicate has been quiet for long
+    QUARANTINE_ENDED = auto()  # this front's report has expired, or the duplicate has stopped
 
 
 DEPARTED_STATES = (PeerState.UNREACHABLE, PeerState.LEFT)
@@ -44,7 +44,7 @@
         (state.UNHEARD, event.NEW_INCARNATION): state.ALIVE,
         (state.UNHEARD, event.LEAVE_ANNOUNCED): state.LEFT,
         (state.UNHEARD, event.LEASE_EXPIRED): state.UNREACHABLE,
-        # The previous incarnation may still hold a lease, where its process is not the one that ended.
+        # The previous incarnation may still hold a lease, if its process has not ended.
         (state.ALIVE, event.NEW_INCARNATION): state.REJOINING,
         (state.ALIVE, event.LEAVE_ANNOUNCED): state.LEFT,
         (state.ALIVE, event.OLDER_INCARNATION): state.DUPLICATE,
@@ -59,7 +59,7 @@
         (state.UNREACHABLE, event.NEW_INCARNATION): state.REJOINING,
         (state.UNREACHABLE, event.OLDER_INCARNATION): state.DUPLICATE,
         (state.UNREACHABLE, event.LEAVE_ANNOUNCED): state.LEFT,
-        # A heartbeat that was delayed on its way does not undo a leave; only a new incarnation does.
+        # A delayed heartbeat does not cancel a departure; only a new incarnation does.
         (state.LEFT, event.NEW_INCARNATION): state.REJOINING,
         (state.REJOINING, event.QUARANTINE_ENDED): state.ALIVE,
         (state.REJOINING, event.LEAVE_ANNOUNCED): state.LEFT,
--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/recovery_admission.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/recovery_admission.py
@@ -1,9 +1,9 @@
-"""Admission while a front recovers after a start: what it waits for, and whom it admits meanwhile.
+"""Admission while a front recovers after a start: what it waits for, and which requests it admits meanwhile.
 
-No state lasts longer than its limit, whichever servers stay silent, and no front waits for another front.
-First the sessions that are still established are reconciled; then sessions that can be set up again are
-admitted; then those that are paid once or hold seats, once their accounts are settled. While most servers are
-warming up, requests are admitted by priority weight. Times are in microseconds.
+First the sessions that are still established are reconciled. Then sessions that can be set up again are
+admitted, and last those that are paid once or hold seats, once the existing ones are known. While most
+servers are warming up, requests are admitted by priority weight. Every state has a time limit, which applies
+even if servers do not respond, and no front waits for another front. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
 
 
 class RecoveryState(Enum):
-    """How far the recovery has come; status pages show the names."""
+    """The progress of the recovery; status pages show the names of the members."""
 
     DARK = auto()  # no endpoint list yet
-    ASKING = auto()  # servers are asked which sessions they hold
-    SETTLING = auto()  # some servers have not answered
+    ASKING = auto()  # servers are queried for their sessions
+    SETTLING = auto()  # some servers have not responded in time
     RATIONED = auto()  # most servers are warming up
     OPEN = auto()
 
 
 class RecoveryEvent(Enum):
-    """An event that moves the recovery on."""
+    """An event that advances the recovery."""
 
     ENDPOINTS_LISTED = auto()
-    ALL_SERVERS_SETTLED = auto()  # each has named its sessions, or certainly holds none
+    ALL_SERVERS_SETTLED = auto()  # each server has listed its sessions, or certainly holds none
     TIMED_OUT = auto()  # the time limit of the state has passed
-    MOSTLY_WARMING_UP = auto()  # more than half of the fleet's capacity
+    MOSTLY_WARMING_UP = auto()  # more than half of the fleet's capacity is warming up
     MOSTLY_WARM = auto()
 
 
 TRANSITIONS: TransitionTable[RecoveryState, RecoveryEvent, None] = TransitionTable(
     {
         (RecoveryState.DARK, RecoveryEvent.ENDPOINTS_LISTED): Transition(RecoveryState.ASKING),
-        # Without a list the front can only reject, but it answers: that is better than a refused connection.
+        # Without a list the front can only reject, but a response is better than a refused connection.
         (RecoveryState.DARK, RecoveryEvent.TIMED_OUT): Transition(RecoveryState.OPEN),
         (RecoveryState.ASKING, RecoveryEvent.ALL_SERVERS_SETTLED): Transition(RecoveryState.OPEN),
         (RecoveryState.ASKING, RecoveryEvent.TIMED_OUT): Transition(RecoveryState.SETTLING),
         (RecoveryState.SETTLING, RecoveryEvent.ALL_SERVERS_SETTLED): Transition(RecoveryState.OPEN),
         (RecoveryState.SETTLING, RecoveryEvent.TIMED_OUT): Transition(RecoveryState.OPEN),
         (RecoveryState.OPEN, RecoveryEvent.MOSTLY_WARMING_UP): Transition(RecoveryState.RATIONED),
-        # It was opened for want of a list.
+        # The front was opened without a list.
         (RecoveryState.OPEN, RecoveryEvent.ENDPOINTS_LISTED): Transition(RecoveryState.ASKING),
         (RecoveryState.RATIONED, RecoveryEvent.MOSTLY_WARM): Transition(RecoveryState.OPEN),
         (RecoveryState.RATIONED, RecoveryEvent.TIMED_OUT): Transition(RecoveryState.OPEN),
@@ -54,18 +54,18 @@
 
 
 class RequestKind(Enum):
-    """What a service class needs before a session of it may be set up."""
+    """What a service class requires before a session of it may be set up."""
 
     PLAIN = auto()
     ACCOUNTED = auto()  # paid once, or with seats: existing sessions must be known first
 
 
 class AdmissionDecision(Enum):
-    """What happens to a request."""
+    """What to do with a request."""
 
-    ADMIT = auto()  # admitted
-    BY_PRIORITY = auto()  # admitted by priority weight while the title's replicas are warming up
-    RETRY_LATER = auto()  # rejected at once, with a Retry-After
+    ADMIT = auto()
+    BY_PRIORITY = auto()  # admit by priority weight while the title's replicas are warming up
+    RETRY_LATER = auto()  # reject at once, with a Retry-After
 
 
 ADMISSION_RULES: dict[tuple[RecoveryState, RequestKind], AdmissionDecision] = {
@@ -84,12 +84,10 @@
 SETTLED_STATES = (RecoveryState.RATIONED, RecoveryState.OPEN)
 
 ENDPOINT_LIST_TIMEOUT_US = 3_000_000
-SAVED_LIST_FALLBACK_US = (
-    1_000_000  # how long the discovery service has before the saved endpoint list is used
-)
-GREETING_TIMEOUT_US = 1_000_000  # a server that hangs must not keep the front closed for long
-SETTLING_TIMEOUT_US = 10_000_000  # after it, sessions on a silent server are lost by its event stream's rule
-MAX_RATIONED_SLOW_STARTS = 2  # a fleet whose servers crash again and again is not rationed for ever
+SAVED_LIST_FALLBACK_US = 1_000_000  # if the discovery service is silent for longer, the saved list is used
+GREETING_TIMEOUT_US = 1_000_000  # a server that hangs must not block admission for long
+SETTLING_TIMEOUT_US = 10_000_000  # by then the event stream's rule declares a silent server's sessions lost
+MAX_RATIONED_SLOW_STARTS = 2  # limits rationing in a fleet whose servers keep crashing
 MAX_HISTORY = 16
 
 
@@ -97,20 +95,20 @@
 class RecoveryAdmission:
     """The recovery of one front.
 
-    Where it is not gated, requests wait until the front is open, sessions are reconciled while it is, and
-    nothing is rationed.
+    If it is not gated, requests wait until the front is open, sessions are reconciled after that, and nothing
+    is rationed.
     """
 
     state_entered_us: int
     is_gated: bool = False
     slow_start_us: int = 0
     state: RecoveryState = RecoveryState.DARK
-    unsettled_servers: set[str] = field(default_factory=set)  # servers that have not named their sessions
+    unsettled_servers: set[str] = field(default_factory=set)  # servers that have not listed their sessions
     has_endpoint_list: bool = False
-    history: list[tuple[RecoveryState, int]] = field(default_factory=list)  # the last states, and when
+    history: list[tuple[RecoveryState, int]] = field(default_factory=list)  # states with their start times
 
     def apply(self, event: RecoveryEvent, now_us: int) -> bool:
-        """Handle an event; whether the state has changed."""
+        """Handle an event; return whether the state has changed."""
         state = TRANSITIONS.apply(self.state, event).state
         if event is RecoveryEvent.ENDPOINTS_LISTED:
             if self.has_endpoint_list:
@@ -126,14 +124,14 @@
         return True
 
     def on_endpoints_listed(self, servers: set[str], now_us: int) -> None:
-        """Handle an endpoint list; only the first counts."""
+        """Handle an endpoint list; all but the first are ignored."""
         if not self.has_endpoint_list:
             self.unsettled_servers = set(servers)
             self.apply(RecoveryEvent.ENDPOINTS_LISTED, now_us)
             self._check_settled(now_us)
 
     def on_server_settled(self, server: str, now_us: int) -> None:
-        """Handle that a server has named its sessions, or holds none."""
+        """Record that a server has listed its sessions, or holds none."""
         self.unsettled_servers.discard(server)
         self._check_settled(now_us)
 
@@ -142,11 +140,11 @@
             self.apply(RecoveryEvent.ALL_SERVERS_SETTLED, now_us)
 
     def advance(self, is_warming_up: bool, now_us: int) -> bool:
-        """Move the clock; whether the state has changed.
+        """Advance the clock; return whether the state has changed.
 
         Args:
-            is_warming_up: more than half of the fleet's capacity is on servers that are warming up.
-            now_us: the present time.
+            is_warming_up: whether more than half of the fleet's capacity is on servers that are warming up.
+            now_us: the current time.
         """
         has_timed_out = False
         if self.state is not RecoveryState.OPEN and self.remaining_us(now_us) == 0:
@@ -155,7 +153,7 @@
         return self.apply(event, now_us) or has_timed_out
 
     def remaining_us(self, now_us: int) -> int:
-        """How long the present state may still last."""
+        """How long the current state may still last."""
         return max(0, self.state_entered_us + self._time_limit_us() - now_us)
 
     def _time_limit_us(self) -> int:
@@ -169,10 +167,10 @@
         return limits[self.state]
 
     def decide(self, kind: RequestKind) -> AdmissionDecision:
-        """What happens to a request that arrives now."""
+        """The decision on a request that arrives now."""
         return ADMISSION_RULES[self.state, kind] if self.is_gated else AdmissionDecision.ADMIT
 
     @property
     def is_settled(self) -> bool:
-        """Whether established sessions are known as well as they ever will be."""
+        """Whether the reconciliation of established sessions has ended, completely or by time-out."""
         return self.state in SETTLED_STATES
--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/shared_quotas.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/shared_quotas.py
@@ -1,15 +1,16 @@
-"""A quota of the whole fleet for each countable resource, split among its fronts and lent by the idle.
+"""A quota of the whole fleet for each countable resource, split among its fronts, which lend spare capacity.
 
-Each front has an equal share of the total, counted by the fronts that may exist, reachable or not. A busy
-front requests more of the others; one with capacity to spare lends it for a stated time, and goes without it
-for longer than the borrower may use it: the borrower counts from when it sent its request, by its own clock,
-the lender from when it received it. So the shares never add up to more than the total, whether messages are
-lost, duplicated, delayed or cut off by a partition: what is lost is used by nobody. A front that has
-restarted does not know what its previous incarnation lent, and until those loans have expired it has only the
-fraction that is never lent; what its previous incarnation borrowed is not its own.
+Each front has an equal share of the total, divided by the number of fronts that may exist, reachable or not.
+A busy front requests more from the others; one with capacity to spare lends it for a stated time. The lender
+does without it for longer than the borrower may use it: the borrower counts the time from when it sent its
+request, by its own clock, and the lender from when it received the request. The shares therefore never add up
+to more than the total, even if messages are lost, duplicated, delayed or cut off by a partition: the capacity
+of a lost loan is used by no front. A front that has restarted does not know what its previous incarnation
+lent, so until those loans have expired it has only the fraction that is never lent; loans that its previous
+incarnation received are not valid for it.
 
-In any time all fronts together use at most the total rate for that time, the bursts that may be saved up, and
-one unit for each incarnation that started.
+In any period all fronts together use at most the total rate for that period, the bursts that may be saved up,
+and one unit for each incarnation that started.
 
 Times are in microseconds of one front's monotonic clock, rates in units a second.
 """
@@ -25,16 +26,16 @@
 
 LOAN_US = 2_000_000
 CLOCK_DRIFT = 0.05  # by how much two clocks may differ in rate
-RESERVED_FRACTION = 0.1  # of its share, what a front never lends: a new incarnation has that at once
-LENDER_HEADROOM = 0.25  # of its demand, what a lender retains beside it
-BURST_S = 0.5  # of its rate, what may be saved up; one unit at least
+RESERVED_FRACTION = 0.1  # of its share, which a front never lends: a new incarnation may use it at once
+LENDER_HEADROOM = 0.25  # of its demand, which a lender retains in addition to the demand itself
+BURST_S = 0.5  # seconds of its rate that a front may save up; at least one unit
 DEMAND_WINDOW_US = 2_000_000
-REQUEST_INTERVAL_US = 500_000  # between two rounds of requests of a busy front
+REQUEST_INTERVAL_US = 500_000  # between two rounds of requests by a busy front
 MAX_REQUESTS_PER_ROUND = 8
 MAX_PENDING_REQUESTS = 32
 MICROSECONDS_PER_SECOND = 1e6
 ROUNDING_TOLERANCE = 1e-9
-RELEASED = 0.0  # the rate of a transfer that gives a loan back
+RELEASED = 0.0  # the rate of a transfer that releases a loan
 
 
 class Resource(IntEnum):
@@ -51,14 +52,14 @@
     """The message by which a front requests more of a resource."""
 
     incarnation: int  # the borrower's incarnation
-    sequence: int  # the sequence number of this request in it
+    sequence: int  # the sequence number of this request within the incarnation
     resource: Resource
     rate: float
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaTransfer:
-    """The answer: a rate that is lent from when the request of this number was sent; 0 gives it back."""
+    """The response: a rate that is lent from the time the request was sent; 0 releases the loan."""
 
     incarnation: int  # the borrower's incarnation
     sequence: int
@@ -67,7 +68,7 @@
 
 
 class RequestId(NamedTuple):
-    """The identity of a request: one that is duplicated has the same."""
+    """The identity of a request; duplicates of a request share it."""
 
     incarnation: int
     sequence: int
@@ -90,7 +91,7 @@
 
 
 class PendingRequest(NamedTuple):
-    """A request that is not answered yet."""
+    """A request without a response so far."""
 
     lender: int
     request: QuotaRequest
@@ -116,14 +117,14 @@
     """One front's quota of one resource. The caller supplies times and randomness, and sends messages."""
 
     resource: Resource
-    total_rate: float  # the rate of the whole fleet
+    total_rate: float  # of the whole fleet
     front_count: int
     index: int
     incarnation: int
     now_us: int
     started_us: int = 0
-    tokens: float = 1.0  # a front that starts must not wait for its first endpoint list
-    demand: float = 0.0  # the demand, units a second over the demand window
+    tokens: float = 1.0  # one at the start: a front must not wait for its first endpoint list
+    demand: float = 0.0  # units a second, averaged over `DEMAND_WINDOW_US`
     sequence: int = 0  # of the newest request
     requested_us: int = -REQUEST_INTERVAL_US
     pending_requests: OrderedDict[int, PendingRequest] = field(default_factory=OrderedDict)
@@ -133,14 +134,12 @@
     denied_count: int = 0
     loan_us: int = LOAN_US
     reserved_fraction: float = RESERVED_FRACTION
-    granularity: float = 0.0  # loans are multiples of it: a slot has no halves; 0: any rate
+    granularity: float = 0.0  # loans are multiples of it, as a slot can't be divided; 0 for any rate
     request_interval_us: int = REQUEST_INTERVAL_US
-    request_fanout: int = 1  # peers that are asked for each unit that is missing
-    request_reuse_us: int = (
-        LOAN_US // 2
-    )  # for how long requests are repeated to the same peers before new ones
+    request_fanout: int = 1  # peers that are asked for each missing unit
+    request_reuse_us: int = LOAN_US // 2  # how long a request is repeated before another peer is asked
     is_cleared: bool = False  # every peer has confirmed that it uses no loan of a previous incarnation
-    loan_sequences: dict[int, int] = field(default_factory=dict)  # of the request by which each peer lends
+    loan_sequences: dict[int, int] = field(default_factory=dict)  # sequence number of each lender's loan
 
     def __post_init__(self) -> None:
         self.started_us = self.now_us
@@ -157,7 +156,7 @@
 
     @property
     def recovering_until_us(self) -> int:
-        """Until when peers may still use loans of a previous incarnation."""
+        """The time until which peers may still use loans of a previous incarnation."""
         if self.is_cleared:
             return self.started_us
         return self.started_us + round(self.loan_us * (1 + CLOCK_DRIFT) ** 2)
@@ -165,19 +164,19 @@
     # Spending.
 
     def rate(self, now_us: int) -> float:
-        """The rate that this front may use now, saved tokens apart."""
+        """The rate that this front may use now, in addition to saved tokens."""
         lent = sum(loan.rate for loan in self.lent.values() if now_us < loan.until_us)
-        # After the total was lowered, more may be lent than the share is now.
+        # After the total was lowered, loans may exceed the current share.
         own = self.reserved if now_us < self.recovering_until_us else max(0.0, self.equal_share - lent)
         return own + sum(rate for rate, until_us in self.borrowed.values() if now_us < until_us)
 
     def lasting_rate(self, now_us: int, end_us: int) -> float:
-        """The part of the present rate that lasts until `end_us`."""
+        """The part of the current rate that lasts until `end_us`."""
         ends = (rate for rate, until_us in self.borrowed.values() if now_us < until_us < end_us)
         return self.rate(now_us) - sum(ends)
 
     def advance(self, now_us: int) -> None:
-        """Move the clock; each loan counts for exactly as long as it lasts, however seldom this is called."""
+        """Advance the clock; each loan counts for exactly its duration, however rarely this is called."""
         self._accrue_tokens(now_us)
         self._cap_tokens(now_us)
         self.demand *= exp(-max(0, now_us - self.now_us) / DEMAND_WINDOW_US)
@@ -196,11 +195,11 @@
             at_us = max(at_us, end_us)
 
     def _cap_tokens(self, now_us: int) -> None:
-        # Tokens saved up by a loan and used after its end would come on top of the lender's.
+        # Tokens saved up from a loan and used after its end would be used in addition to the lender's.
         self.tokens = min(self.tokens, max(1.0, BURST_S * self.rate(now_us)))
 
     def try_acquire(self, now_us: int) -> bool:
-        """Acquire one unit, if the quota permits it."""
+        """Acquire one unit if the quota permits it; return whether it was acquired."""
         self.advance(now_us)
         self.demand += MICROSECONDS_PER_SECOND / DEMAND_WINDOW_US
         if self.tokens < 1:
@@ -211,7 +210,7 @@
         return True
 
     def wait_us(self, now_us: int) -> int:
-        """The time until the next unit at the present rate; at most a loan's time, then ask again."""
+        """The time until the next unit at the current rate, limited to the duration of a loan."""
         self.advance(now_us)
         missing = 1 - self.tokens
         if missing <= 0:
@@ -226,13 +225,13 @@
     def next_requests(
         self, draw: float, now_us: int, until_us: int = 0, others: Sequence[int] | None = None
     ) -> list[tuple[int, QuotaRequest]]:
-        """The requests to send now: as many as would suffice if each peer lent all that it may.
+        """The requests to send now: as many as would suffice if each peer lent all that it may lend.
 
         Args:
-            draw: a random number from 0 to 1; peers are picked by it, so that idle ones are found in time.
-            now_us: the present time.
-            until_us: as `end_us` of `lasting`.
-            others: the peers that may have some to lend, where that is known.
+            draw: a random number from 0 to 1, which selects the peers, so that idle ones are found in time.
+            now_us: the current time.
+            until_us: as `end_us` of `lasting_rate`.
+            others: the peers that may have capacity to lend; None where that is unknown.
 
         Returns:
             Each request with its recipient.
@@ -250,8 +249,8 @@
             ceil(shortfall / max(self.equal_share - self.reserved, self.granularity)) * self.request_fanout
         )
         request_count = min(MAX_REQUESTS_PER_ROUND, len(others), peers_needed)
-        # Repeated under the same number, a request whose answer was lost does not borrow twice: before this,
-        # losing a third of all messages cost a third of what had been lent.
+        # A request is repeated under the same number, so that one whose response was lost does not borrow
+        # twice: without this, losing a third of all messages wasted a third of the lent capacity.
         requests = _recent_requests(self.pending_requests.values(), now_us - self.request_reuse_us)
         first = int(draw * len(others))
         for step in range(request_count - len(requests)):
@@ -268,7 +267,7 @@
         return request
 
     def on_transfer(self, sender: int, loan: QuotaTransfer, now_us: int) -> None:
-        """Handle a peer's loan. Delayed or duplicated, it counts from the request that it answers."""
+        """Handle a peer's loan, which counts from when its request was sent, even if it arrives late."""
         self.advance(now_us)
         pending = self.pending_requests.get(loan.sequence)
         if loan.incarnation != self.incarnation or pending is None or pending.lender != sender:
@@ -280,14 +279,14 @@
             self.loan_sequences[sender] = loan.sequence
 
     def release(self, lender: int) -> QuotaTransfer | None:
-        """Release a peer's loan, which is not counted from now on; the message to send, if there is one."""
+        """Release a peer's loan, which no longer counts; return the message to send, if there was a loan."""
         loan = self.borrowed.pop(lender, None)
         if loan is None:
             return None
         return QuotaTransfer(self.incarnation, self.loan_sequences.pop(lender), self.resource, RELEASED)
 
     def cancel_requests(self) -> list[tuple[int, QuotaTransfer]]:
-        """Cancel the pending requests; the messages to send, as an answer may have been lost."""
+        """Cancel the pending requests; return the releases to send, since a loan may be on its way."""
         releases = [
             (pending.lender, QuotaTransfer(self.incarnation, sequence, self.resource, RELEASED))
             for sequence, pending in self.pending_requests.items()
@@ -296,7 +295,7 @@
         return releases
 
     def forget_lender(self, lender: int) -> None:
-        """Drop the loans of a peer that has restarted, also those that may still be on their way."""
+        """Drop the loans of a peer that has restarted, including those that may still be on their way."""
         self.borrowed.pop(lender, None)
         self.loan_sequences.pop(lender, None)
         for sequence in [
@@ -307,7 +306,7 @@
     # Lending.
 
     def on_request(self, sender: int, request: QuotaRequest, now_us: int) -> QuotaTransfer | None:
-        """Handle a peer's request; the loan to answer with, if there is one."""
+        """Handle a peer's request; return the loan to send, or None."""
         self.advance(now_us)
         is_peer = sender != self.index and 0 <= sender < self.front_count
         if now_us < self.recovering_until_us or not is_peer:
@@ -315,7 +314,8 @@
         request_id = RequestId(request.incarnation, request.sequence)
         known = self.lent.get(sender)
         if known is not None:
-            # One loan to each peer at a time. A repeated request is the same loan; another waits for its end.
+            # One loan to each peer at a time: a repeated request gets the same loan again, another one has to
+            # wait until it has ended.
             is_repeated = known.request_id == request_id
             return QuotaTransfer(*request_id, request.resource, known.rate) if is_repeated else None
         lent = sum(loan.rate for loan in self.lent.values())
@@ -323,14 +323,14 @@
         rate = _round_down(min(spare, request.rate), self.granularity)
         if rate <= 0:
             return None
-        # The loan is deducted, with what was saved of it, before the borrower learns of it.
+        # The loan and the tokens saved from it are deducted before the borrower is notified.
         until_us = now_us + round(self.loan_us * (1 + CLOCK_DRIFT))
         self.lent[sender] = LentQuota(rate, until_us, request_id)
         self._cap_tokens(now_us)
         return QuotaTransfer(*request_id, request.resource, rate)
 
     def on_release(self, sender: int, loan: QuotaTransfer) -> None:
-        """Handle a borrower's release of its loan. Where this message is lost, the loan expires in time."""
+        """Handle a borrower's release of its loan; if this message is lost, the loan simply expires."""
         known = self.lent.get(sender)
         if known is not None and known.request_id == RequestId(loan.incarnation, loan.sequence):
             del self.lent[sender]
--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/shedding.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/shedding.py
@@ -1,11 +1,11 @@
-"""Load shedding by the fleet: the level that its load calls for, and what each level rejects.
+"""Load shedding by the fleet: the shedding level for a load, and which requests each level rejects.
 
 Established sessions are never shed. The first to be rejected are clients that retry before their Retry-After
 has passed, then first attempts of low priority weight, then first attempts while clients with a due queue
-ticket wait. A rejection is immediate, and carries a ticket that every front honours. Fronts that receive the
-same figures reach the same level; one that is cut off assumes that the others see what it sees. The level
-rises at once and falls slowly. The fraction that is admitted by priority follows the rate that servers are
-found to accept, so that a level without a crowd empties itself.
+ticket wait. A rejection is immediate, and carries a ticket that every front accepts. Fronts that receive the
+same load figures reach the same level; a front that is cut off assumes that the others have the same load as
+itself. The level rises at once and falls slowly. The fraction of requests that is admitted by priority
+follows the rate that servers accept, so that a level without an overload behind it falls again by itself.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from fennelcove.decisions.clients.waiting_room import TicketStatus
 from fennelcove.decisions.fleet.fleet_load import FleetTotals
 
-MIN_REQUESTS = 8  # in a summary's time; fewer are no signal
-UNMET_ELEVATED = 0.15  # fractions of requests that were not served
+MIN_REQUESTS = 8  # within the time of a summary; fewer are not significant
+UNMET_ELEVATED = 0.15  # fraction of requests that were not served
 UNMET_HIGH = 0.4
 UNMET_CRITICAL = 0.7
-CALM_WINDOWS_PER_STEP_DOWN = 8  # a crowd that pauses for a moment has not gone
+CALM_WINDOWS_PER_STEP_DOWN = 8  # a short pause does not mean that the overload has ended
 
 
 class SheddingLevel(IntEnum):
-    """How much is shed, from nothing upwards; status pages show the names."""
+    """How much is shed, in ascending order; status pages show the names of the members."""
 
     NONE = 0
-    REPEATS = 1  # retries before their time are rejected
-    LEAST = 2  # and first attempts are admitted by priority
-    FIRSTS = 3  # and first attempts wait while tickets are due
+    REPEATS = 1  # early retries are rejected
+    LEAST = 2  # in addition, first attempts are admitted by priority
+    FIRSTS = 3  # in addition, first attempts wait while tickets are due
 
 
 class LoadSignal(Enum):
-    """How overloaded the fleet is, by the fraction of requests that were not served."""
+    """How overloaded the fleet is, measured by the fraction of requests that were not served."""
 
     NORMAL = auto()
     ELEVATED = auto()
@@ -42,14 +42,14 @@
 
 
 class SheddingAction(Enum):
-    """What happens to a request."""
+    """What to do with a request."""
 
     ADMIT = auto()
-    BY_PRIORITY = auto()  # admitted by its priority weight
-    REJECT = auto()  # rejected
+    BY_PRIORITY = auto()  # admit by priority weight
+    REJECT = auto()
 
 
-# The level that each signal calls for: reached at once from below, step by step from above.
+# The target level for each signal: a higher one is reached at once, a lower one step by step.
 TARGET_LEVELS: dict[LoadSignal, SheddingLevel] = {
     LoadSignal.NORMAL: SheddingLevel.NONE,
     LoadSignal.ELEVATED: SheddingLevel.REPEATS,
@@ -71,7 +71,7 @@
     (SheddingLevel.LEAST, TicketStatus.AGAIN): SheddingAction.REJECT,
     (SheddingLevel.LEAST, TicketStatus.EARLY): SheddingAction.REJECT,
     (SheddingLevel.LEAST, TicketStatus.INVENTED): SheddingAction.REJECT,
-    # A client whose ticket is due is never passed over for one without a ticket.
+    # A client whose ticket is due always takes precedence over one without a ticket.
     (SheddingLevel.FIRSTS, TicketStatus.FIRST): SheddingAction.BY_PRIORITY,
     (SheddingLevel.FIRSTS, TicketStatus.DUE): SheddingAction.ADMIT,
     (SheddingLevel.FIRSTS, TicketStatus.LATE): SheddingAction.BY_PRIORITY,
@@ -82,7 +82,7 @@
 
 
 def load_signal(totals: FleetTotals) -> LoadSignal:
-    """The signal that the fleet's load gives."""
+    """The signal for the fleet's load."""
     unmet = totals.unmet_fraction
     if totals.requested < MIN_REQUESTS or unmet < UNMET_ELEVATED:
         return LoadSignal.NORMAL
@@ -95,14 +95,14 @@
 
 @dataclass(slots=True)
 class SheddingPolicy:
-    """The level of one front, moved once each window."""
+    """The shedding level of one front, updated once in each window."""
 
     level: SheddingLevel = SheddingLevel.NONE
-    calm_windows: int = 0  # in a row, that called for a lower level
+    calm_windows: int = 0  # consecutive windows with a lower target level
     change_count: int = 0
 
     def on_window_closed(self, totals: FleetTotals) -> bool:
-        """Handle the end of a window; whether the level has changed."""
+        """Handle the end of a window; return whether the level has changed."""
         level = self._next_level(TARGET_LEVELS[load_signal(totals)])
         if level is self.level:
             return False
@@ -121,5 +121,5 @@
         return SheddingLevel(self.level - 1)
 
     def action_for(self, status: TicketStatus) -> SheddingAction:
-        """What happens to a request with a ticket of this status."""
+        """The action for a request with a ticket of this status."""
         return ACTIONS[self.level, status]
--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/slow_start_allocation.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/slow_start_allocation.py
@@ -1,9 +1,9 @@
 """Allocation of the few session slots that servers offer in slow start: by priority weight.
 
-The placement policy places whatever it is asked to. While slots are scarce, the clients that retry fastest
-would take them all. Here requests of low priority weight step back by as much as those of higher weight need,
-and each rejected request gets a Retry-After behind those before it. Times are in microseconds, rates in
-session slots a second.
+The placement policy places every request that it receives, so while slots are scarce the clients that retry
+fastest would get all of them. This module rejects as many requests of low priority weight as those of higher
+weight need, and each rejected request gets a Retry-After later than those rejected before it. Times are in
+microseconds, rates in session slots a second.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from math import exp
 
 DEMAND_WINDOW_US = 2_000_000  # the time between two attempts of a client
-OVERADMISSION_FACTOR = 1.5  # not every admitted request finds its slot free
-MIN_ADMITTED_FRACTION = 0.1  # of each weight, so that none is shut out entirely
+OVERADMISSION_FACTOR = 1.5  # not every admitted request gets a slot
+MIN_ADMITTED_FRACTION = 0.1  # of each weight, so that none starves
 MAX_TITLES = 1024
 MIN_RETRY_AFTER_US = 1_000_000  # Retry-After counts whole seconds
 MAX_RETRY_AFTER_US = 30_000_000
@@ -32,7 +32,7 @@
     promised_slots: float = 0.0
 
     def advance(self, now_us: int, rate: float) -> None:
-        """Move the clock: counts decay, and promises fall due at the rate of slots."""
+        """Advance the clock: counts decay, and promised slots are used up at the rate of slots."""
         seconds = max(0, now_us - self.now_us) / MICROSECONDS_PER_SECOND
         decay = exp(-seconds * MICROSECONDS_PER_SECOND / DEMAND_WINDOW_US)
         self.requests_by_weight = {
@@ -48,7 +48,7 @@
         self.requests_by_weight[priority_weight] = self.requests_by_weight.get(priority_weight, 0.0) + 1.0
 
     def admitted_fraction(self, priority_weight: float, rate: float) -> float:
-        """The fraction of the requests of this weight that may be admitted."""
+        """The fraction of requests of this weight that may be admitted."""
         per_second = MICROSECONDS_PER_SECOND / DEMAND_WINDOW_US
         higher_counts = (
             count for weight, count in self.requests_by_weight.items() if weight > priority_weight
@@ -59,11 +59,11 @@
         return min(1.0, max(MIN_ADMITTED_FRACTION, left_over / own_rate))
 
     def retry_after_us(self, rate: float, max_us: int | None, draw: float) -> int:
-        """The Retry-After of a rejected request: behind those before it, within the limit.
+        """The Retry-After of a rejected request: later than those before it, within the limit.
 
         Args:
             rate: slots a second.
-            max_us: the largest Retry-After permitted; None for the default.
+            max_us: the maximum Retry-After; None for the default.
             draw: a random number from 0 to 1, which spreads the requests that exceed the limit.
         """
         self.promised_slots += 1.0
@@ -77,7 +77,7 @@
 
 
 class SlowStartAllocation:
-    """The demand for each title at one front, for the titles requested last."""
+    """The demand for the most recently requested titles at one front."""
 
     def __init__(self) -> None:
         self.demands: OrderedDict[str, TitleDemand] = OrderedDict()
@@ -90,13 +90,13 @@
         Args:
             title: the title.
             priority_weight: the weight of the request's service class.
-            rate: the slots a second that the replicas give this front together.
-            max_us: the largest Retry-After permitted; None for the default.
-            now_us: the present time.
+            rate: the slots a second that all replicas together offer this front.
+            max_us: the maximum Retry-After; None for the default.
+            now_us: the current time.
             draw: a random number from 0 to 1.
 
         Returns:
-            None where it is admitted, or its Retry-After in microseconds.
+            None if the request is admitted, else its Retry-After in microseconds.
         """
         demand = self._demand(title, now_us)
         demand.advance(now_us, rate)
--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/snapshot_trust.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/snapshot_trust.py
@@ -1,13 +1,13 @@
 """How far a front that has restarted trusts its snapshot: by kind of fact, by what else was lost, and by age.
 
-The snapshot is not consulted for facts that others know better: servers name the sessions that they hold,
-servers and the endpoint list give their start times, of which the later counts, and the settings give the
-number of fronts, which only a majority may lower (`membership`). Tickets and idempotency keys that clients
-hold stay valid by their own times, whatever was lost.
-
-The loss of a whole fleet is inferred from evidence, never from a flag: servers whose processes started after
-the snapshot was written, and other fronts in new incarnations. A snapshot of an incarnation older than one
-that the others know is not the newest: it was restored from a copy.
+The snapshot is not used for facts that have a better source. Servers list the sessions that they hold. Start
+times come from the servers and from the endpoint list, and the later one is used. The number of fronts comes
+from the settings, and only a majority may lower it (`membership`). Tickets and idempotency keys of clients
+remain valid for their own lifetimes, whatever was lost.
+
+The loss of a whole fleet is inferred from evidence and never configured: from servers whose processes started
+after the snapshot was written, and from other fronts with new incarnations. If the others know a later
+incarnation than the one that wrote the snapshot, it is not the newest but was restored from a copy.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum, auto
 
-MAX_AGE_US = 600_000_000  # beyond it, past behaviour of a server or a crowd is no evidence
-CLOCK_TOLERANCE_US = 1_500_000  # two accounts of one moment differ by the errors of a list and a clock
+MAX_AGE_US = 600_000_000  # older observations of a server or of the arrival rate are no evidence
+CLOCK_TOLERANCE_US = 1_500_000  # records of one moment differ by the errors of the endpoint list and a clock
 
 
 class FactKind(Enum):
-    """A fact of the snapshot that a loss can have made untrue."""
+    """A fact in the snapshot that a loss may have invalidated."""
 
     STRIKES = auto()  # how often a server failed
     LAST_ATTEMPT = auto()  # when this front last sent a server an attempt
     RETRY_BUDGET = auto()  # retries spent
     ARRIVAL_RATE = auto()  # the usual arrival rate
-    ENDPOINT_LIST = auto()  # the endpoint list
+    ENDPOINT_LIST = auto()
 
 
 class LossKind(IntEnum):
-    """What was lost as far as the evidence goes; each kind includes the one before. Logs show the names."""
+    """What was lost according to the evidence; each kind includes the one before. Logs show the names."""
 
     SELF = 0  # this front
     FRONTS = 1  # most fronts
@@ -42,29 +42,29 @@
     """How old the snapshot is; logs show the names."""
 
     FRESH = 0
-    UNKNOWN = 1  # a clock went back
-    OLD = 2  # beyond its time, or from a copy of an older snapshot
+    UNKNOWN = 1  # the clock was set back
+    OLD = 2  # older than `MAX_AGE_US`, or from a copy of an older snapshot
 
 
 class SnapshotUse(IntEnum):
     """How a fact is used; each value trusts it less than the one before."""
 
     USE = 0
-    LOWER_BOUND = 1  # as a lower bound
-    CONFIRM = 2  # only once its subject has confirmed it
+    LOWER_BOUND = 1
+    CONFIRM = 2  # only after the server that it is about has confirmed it
     DROP = 3
 
 
 @dataclass(frozen=True, slots=True)
 class UseByAge:
-    """How a fact is used after one kind of loss."""
+    """How a fact is used after one kind of loss, by the snapshot's age."""
 
     fresh: SnapshotUse
     unknown: SnapshotUse
     old: SnapshotUse
 
     def at(self, age: SnapshotAge) -> SnapshotUse:
-        """The use at an age."""
+        """The use at this age."""
         if age is SnapshotAge.FRESH:
             return self.fresh
         return self.unknown if age is SnapshotAge.UNKNOWN else self.old
@@ -78,22 +78,24 @@
 _DROP = UseByAge(SnapshotUse.DROP, SnapshotUse.DROP, SnapshotUse.DROP)
 
 
-# Each row: by loss, from SELF to ALL.
+# Each row has one entry for each kind of loss, from SELF to ALL.
 TRUST_RULES: dict[FactKind, tuple[UseByAge, ...]] = {
-    # Failures of a server do not concern its next process, nor any where no clock shows since when.
+    # A server's failures say nothing about its next process, and are dropped if their age is unknown.
     FactKind.STRIKES: (_TRUST_FRESH, _TRUST_FRESH, _DROP, _DROP),
-    # A restarted process has none of its previous sessions: its slow start counts from its start.
+    # A restarted server has none of its previous sessions, so its slow start counts from its own start.
     FactKind.LAST_ATTEMPT: (_TRUST_FRESH, _TRUST_FRESH, _DROP, _DROP),
-    # A budget must not refill by a clock: without an age all of it counts as spent just now.
+    # A clock error must not refill the budget: with an unknown age, all of it counts as spent just now.
     FactKind.RETRY_BUDGET: (_LOWER_BOUND_IF_UNKNOWN,) * len(LossKind),
-    # With other fronts lost, more clients come to each: as the usual rate, that crowd would hide a storm.
+    # After the loss of other fronts each remaining one has more clients: if their rate were taken as the
+    # usual one, a retry storm would go undetected.
     FactKind.ARRIVAL_RATE: (
         _TRUST_UNLESS_OLD,
         _LOWER_BOUND_UNLESS_OLD,
         _TRUST_UNLESS_OLD,
         _LOWER_BOUND_UNLESS_OLD,
     ),
-    # Servers of a saved list are asked before they get sessions; an old copy names machines of others.
+    # A server of a saved list must confirm its address before it gets sessions; the addresses in an old copy
+    # may belong to other machines by now.
     FactKind.ENDPOINT_LIST: (_CONFIRM_UNLESS_OLD,) * len(LossKind),
 }
 
@@ -105,20 +107,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What a start has observed so far; wall times in microseconds."""
+    """What a starting front has observed so far; wall times in microseconds."""
 
     observed_servers: int = 0
     restarted_servers: int = 0  # whose processes started after the snapshot was written
-    observed_fronts: int = 0  # other fronts that sent something
-    restarted_fronts: int = 0  # in another incarnation than the snapshot knows
-    saved_incarnation: int = 0  # of this front, that wrote the snapshot; 0 where it is not recorded
-    latest_known_incarnation: int = 0  # that others knew under this front's index before this one
+    observed_fronts: int = 0  # other fronts from which a message was received
+    restarted_fronts: int = 0  # whose incarnations differ from those in the snapshot
+    saved_incarnation: int = 0  # of this front when it wrote the snapshot; 0 where it is not recorded
+    latest_known_incarnation: int = 0  # the latest one that others knew under this front's index
     written_us: int = 0  # when the snapshot was written; 0 for no snapshot
-    wall_us: int = 0
+    wall_us: int = 0  # the current time
 
 
 def infer_loss(evidence: Evidence) -> LossKind:
-    """What was lost: more than half of those observed. Of what was not observed nothing is concluded."""
+    """What was lost: a kind counts as lost if more than half of its observed members have restarted."""
     servers_lost = 2 * evidence.restarted_servers > evidence.observed_servers
     fronts_lost = 2 * evidence.restarted_fronts > evidence.observed_fronts
     if servers_lost and (fronts_lost or not evidence.observed_fronts):
