--- a/benchmarks/fleet_sums.py
+++ b/benchmarks/fleet_sums.py
@@ -1,11 +1,11 @@
-"""What all fronts together spend, in simulated time: budgets lent and not, watchers and each front alone.
+"""Simulates what all fronts use together: quotas with and without loans, shared and separate health checks.
 
-    python -m benchmarks.fleet_sums [--fronts 50,200,1000] [--seed 1]
+    python -m benchmarks.fleet_sums [--fronts 50,200,1000] [--seed 1] [--watched 50,200]
 
-The decision modules of `decisions/fleet` as they are, with messages that take 1 to 30 ms, a third of them
-lost and a tenth doubled, and a partition into halves from the 10th to the 20th of 30 seconds. Budgets: a
-tenth of the fronts has nine tenths of the need, which is 0.8 of the whole. Watchers: 60 boxes, 6 of which die
-at 5 s.
+Runs the modules of `fennelcove.decisions.fleet` in simulated time. Messages take 1 to 30 ms, a third of them
+are lost and a tenth duplicated, and a partition into halves lasts from the 10th to the 20th of 30 seconds.
+Quotas (`--fronts`): a tenth of the fronts has nine tenths of the demand, which is 0.8 of the total rate.
+Health checks (`--watched`): 60 servers, of which 6 go down at 5 s.
 """
 
 from __future__ import annotations
@@ -22,114 +22,137 @@
 from benchmarks.events import Call, Events
 
 END_US = 30_000_000
-CUT = (10_000_000, 20_000_000)
+PARTITION_US = (10_000_000, 20_000_000)
 
 
-class Sea(Events):
-    """Events in order, and messages that may be lost, late, doubled or cut off."""
+class LossyNetwork(Events):
+    """Events in the order of time, and messages that may be lost, delayed, duplicated or cut off."""
 
     def __init__(self, seed: int, fronts: int) -> None:
         super().__init__()
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         self.fronts = fronts
         self.messages = 0
 
-    def send(self, sender: int, taker: int, call: Call) -> None:
+    def send(self, sender: int, recipient: int, call: Call) -> None:
         self.messages += 1
-        halves = (sender < self.fronts // 2) != (taker < self.fronts // 2)
-        if (halves and CUT[0] <= self.now_us < CUT[1]) or self.chance.random() < 1 / 3:
+        crosses_halves = (sender < self.fronts // 2) != (recipient < self.fronts // 2)
+        if (crosses_halves and PARTITION_US[0] <= self.now_us < PARTITION_US[1]) or self.rng.random() < 1 / 3:
             return
-        for _ in range(2 if self.chance.random() < 0.1 else 1):
-            self.after(self.chance.randrange(1_000, 30_000), call)
+        for _ in range(2 if self.rng.random() < 0.1 else 1):
+            self.after(self.rng.randrange(1_000, 30_000), call)
 
 
-def spend(fronts: int, seed: int, lends: bool) -> tuple[float, float, float]:
-    """Need that was met, most spent in a second for the whole, messages a front a second."""
-    sea, whole = Sea(seed, fronts), 2.0 * fronts
-    purses = [Quota(Resource.FURTHER_JOIN, whole, fronts, i, 1, 0) for i in range(fronts)]
-    busy = max(1, fronts // 10)
-    wanted, met, seconds = [0], [0], [0] * (END_US // 1_000_000)
+def simulate_quotas(fronts: int, seed: int, lends: bool) -> tuple[float, float, float]:
+    """Simulate the quota of one resource.
 
-    def want(i: int, rate: float) -> None:
-        wanted[0] += 1
-        if purses[i].try_acquire(sea.now_us):
+    Returns:
+        The fraction of the demand that was met, the largest use in a second as a fraction of the total rate,
+        and the messages of a front in a second.
+    """
+    network, total_rate = LossyNetwork(seed, fronts), 2.0 * fronts
+    quotas = [Quota(Resource.FURTHER_JOIN, total_rate, fronts, i, 1, 0) for i in range(fronts)]
+    busy_fronts = max(1, fronts // 10)
+    demanded, met, met_by_second = [0], [0], [0] * (END_US // 1_000_000)
+
+    def demand_unit(i: int, rate: float) -> None:
+        demanded[0] += 1
+        if quotas[i].try_acquire(network.now_us):
             met[0] += 1
-            seconds[sea.now_us // 1_000_000] += 1
-        sea.after(round(sea.chance.expovariate(rate) * 1e6), lambda: want(i, rate))
+            met_by_second[network.now_us // 1_000_000] += 1
+        network.after(round(network.rng.expovariate(rate) * 1e6), lambda: demand_unit(i, rate))
 
-    def ask(i: int) -> None:
-        sea.after(250_000, lambda: ask(i))
-        for to, asked in purses[i].next_requests(sea.chance.random(), sea.now_us) if lends else ():
-            sea.send(i, to, partial(lend, i, to, asked))
+    def send_requests(i: int) -> None:
+        network.after(250_000, lambda: send_requests(i))
+        for lender, request in quotas[i].next_requests(network.rng.random(), network.now_us) if lends else ():
+            network.send(i, lender, partial(lend, i, lender, request))
 
-    def lend(i: int, to: int, asked: QuotaRequest) -> None:
-        loan = purses[to].on_request(i, asked, sea.now_us)
+    def lend(i: int, lender: int, request: QuotaRequest) -> None:
+        loan = quotas[lender].on_request(i, request, network.now_us)
         if loan is not None:
-            sea.send(to, i, lambda: purses[i].on_transfer(to, loan, sea.now_us))
+            network.send(lender, i, lambda: quotas[i].on_transfer(lender, loan, network.now_us))
 
     for i in range(fronts):
-        rate = 0.8 * whole * (0.9 / busy if i < busy else 0.1 / (fronts - busy))
-        sea.at(round(sea.chance.expovariate(rate) * 1e6), partial(want, i, rate))
-        sea.at(sea.chance.randrange(250_000), partial(ask, i))
-    sea.run(END_US)
-    return met[0] / wanted[0], max(seconds) / whole, sea.messages / fronts / (END_US / 1e6)
-
-
-def watch(fronts: int, seed: int, shared: bool) -> tuple[float, float, float, float]:
-    """Probes a second at a box that is well and at one that died, seconds until half of all fronts
-    call a dead one gone, and the share of the boxes that are well and called gone by some."""
-    sea = Sea(seed, fronts)
-    boxes = [f"box-{i}" for i in range(60)]
-    dead = set(boxes[:6])
-    books = [HealthCheckAssignment(i, fronts) for i in range(fronts)]
-    living = {i: range(fronts) if shared else (i,) for i in range(fronts)}
-    probes = dict.fromkeys(boxes, 0)
-    found: dict[str, dict[int, int]] = {box: {} for box in dead}
-    wrong: set[tuple[int, str]] = set()
-    own = {
-        (box, i): i in health_checks.chosen_checkers(box, living[i]) for box in boxes for i in range(fronts)
+        rate = 0.8 * total_rate * (0.9 / busy_fronts if i < busy_fronts else 0.1 / (fronts - busy_fronts))
+        network.at(round(network.rng.expovariate(rate) * 1e6), partial(demand_unit, i, rate))
+        network.at(network.rng.randrange(250_000), partial(send_requests, i))
+    network.run(END_US)
+    return met[0] / demanded[0], max(met_by_second) / total_rate, network.messages / fronts / (END_US / 1e6)
+
+
+def simulate_health_checks(fronts: int, seed: int, shared: bool) -> tuple[float, float, float, float]:
+    """Simulate the health checks of all servers.
+
+    Returns:
+        The probes in a second at a healthy server and at one that went down, the seconds until half of all
+        fronts know that a server is down, and the fraction of the healthy servers that some front takes for
+        down.
+    """
+    network = LossyNetwork(seed, fronts)
+    servers = [f"box-{i}" for i in range(60)]
+    down_servers = set(servers[:6])
+    assignments = [HealthCheckAssignment(i, fronts) for i in range(fronts)]
+    live_fronts = {i: range(fronts) if shared else (i,) for i in range(fronts)}
+    probes = dict.fromkeys(servers, 0)
+    detected_us: dict[str, dict[int, int]] = {server: {} for server in down_servers}
+    false_alarms: set[tuple[int, str]] = set()
+    is_checker = {
+        (server, i): i in health_checks.chosen_checkers(server, live_fronts[i])
+        for server in servers
+        for i in range(fronts)
     }
-    mine = [[box for box in boxes if own[box, i]] for i in range(fronts)]
-
-    def look(i: int) -> None:
-        sea.after(250_000, lambda: look(i))
-        for box in books[i].due_probes(mine[i], living[i], sea.chance.random(), sea.now_us):
-            probes[box] += 1
-            ill = box in dead and sea.now_us >= 5_000_000
-            # One path in fifty is bad all day: that alone must shut a box for nobody else.
-            path = Random(f"{seed} {i} {box}").random() < 0.02
-            seen = ProbeResult.FAILED if ill or path else ProbeResult.ANSWERED
-            report = books[i].on_probe_completed(box, seen, sea.now_us)
-            judge(i, box)
+    checked_servers = [[server for server in servers if is_checker[server, i]] for i in range(fronts)]
+
+    def run_probes(i: int) -> None:
+        network.after(250_000, lambda: run_probes(i))
+        for server in assignments[i].due_probes(
+            checked_servers[i], live_fronts[i], network.rng.random(), network.now_us
+        ):
+            probes[server] += 1
+            is_down = server in down_servers and network.now_us >= 5_000_000
+            # One network path in fifty is bad throughout: that alone must not take a server down for others.
+            has_bad_path = Random(f"{seed} {i} {server}").random() < 0.02
+            result = ProbeResult.FAILED if is_down or has_bad_path else ProbeResult.ANSWERED
+            report = assignments[i].on_probe_completed(server, result, network.now_us)
+            record_view(i, server)
             if shared:
-                for to in range(fronts):
-                    if to != i:
-                        sea.send(i, to, partial(hear, to, i, box, report.is_unhealthy, report.sequence))
-
-    def hear(to: int, sender: int, box: str, ill: bool, number: int) -> None:
-        books[to].on_report(sender, box, ill, number, sea.now_us)
-        judge(to, box)
-
-    def judge(i: int, box: str) -> None:
-        if books[i].is_down(box, living[i], sea.now_us):
-            if box in dead and sea.now_us >= 5_000_000:
-                found[box].setdefault(i, sea.now_us)
-            elif box not in dead:
-                wrong.add((i, box))
+                for recipient in range(fronts):
+                    if recipient != i:
+                        network.send(
+                            i,
+                            recipient,
+                            partial(on_report, recipient, i, server, report.is_unhealthy, report.sequence),
+                        )
+
+    def on_report(recipient: int, sender: int, server: str, is_unhealthy: bool, sequence: int) -> None:
+        assignments[recipient].on_report(sender, server, is_unhealthy, sequence, network.now_us)
+        record_view(recipient, server)
+
+    def record_view(i: int, server: str) -> None:
+        if assignments[i].is_down(server, live_fronts[i], network.now_us):
+            if server in down_servers and network.now_us >= 5_000_000:
+                detected_us[server].setdefault(i, network.now_us)
+            elif server not in down_servers:
+                false_alarms.add((i, server))
 
     for i in range(fronts):
-        sea.at(sea.chance.randrange(250_000), partial(look, i))
-    sea.run(END_US)
-    well = [probes[box] / 30 for box in boxes if box not in dead]
-    ill = [probes[box] / 30 for box in dead]
-    known = [sorted(told.values()) for told in found.values() if len(told) > fronts // 2]
-    times = [told[fronts // 2] / 1e6 - 5 for told in known]
-    late = median(times) if times else float("inf")
-    return median(well), median(ill), late, len({box for _, box in wrong}) / (len(boxes) - len(dead))
+        network.at(network.rng.randrange(250_000), partial(run_probes, i))
+    network.run(END_US)
+    healthy = [probes[server] / 30 for server in servers if server not in down_servers]
+    down = [probes[server] / 30 for server in down_servers]
+    known = [sorted(times.values()) for times in detected_us.values() if len(times) > fronts // 2]
+    delays = [times[fronts // 2] / 1e6 - 5 for times in known]
+    delay = median(delays) if delays else float("inf")
+    return (
+        median(healthy),
+        median(down),
+        delay,
+        len({server for _, server in false_alarms}) / (len(servers) - len(down_servers)),
+    )
 
 
 def main() -> None:
-    """A row for each size and variant."""
+    """Print a row for each size and variant."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--fronts", default="50,200,1000")
     parser.add_argument("--seed", type=int, default=1)
@@ -137,21 +160,21 @@
     options = parser.parse_args()
     for fronts in map(int, options.fronts.split(",")):
         for lends in (False, True):
-            met, most, said = spend(fronts, options.seed, lends)
-            name = "lent" if lends else "equal parts"
+            met, largest, messages = simulate_quotas(fronts, options.seed, lends)
+            name = "with loans" if lends else "equal shares"
             print(
-                f"budget {fronts:5} fronts, {name:11}: {met:.3f} of the need met, at most {most:.3f} of the "
-                f"whole in a second, {said:.2f} messages a front a second",
+                f"quota  {fronts:5} fronts, {name:12}: {met:.3f} of the demand met, at most {largest:.3f} of "
+                f"the total rate in a second, {messages:.2f} messages a front a second",
                 flush=True,
             )
     for fronts in map(int, options.watched.split(",")):
         for shared in (False, True):
-            well, ill, late, wrong = watch(fronts, options.seed, shared)
-            name = "watchers" if shared else "each alone"
+            healthy, down, delay, wrong = simulate_health_checks(fronts, options.seed, shared)
+            name = "shared" if shared else "separate"
             print(
-                f"probes {fronts:5} fronts, {name:11}: {well:.2f} a second at a box that is well, "
-                f"{ill:.2f} at one that died; half of all know after {late:.1f} s; "
-                f"{wrong:.3f} of the well called gone by some",
+                f"probes {fronts:5} fronts, {name:12}: {healthy:.2f} a second at a healthy server, "
+                f"{down:.2f} at one that went down; half of the fronts know after {delay:.1f} s; "
+                f"{wrong:.3f} of the healthy servers taken for down by some front",
                 flush=True,
             )
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of a fleet and watchers of boxes: small worlds searched whole, random ones, and planted faults."""
+"""Shared quotas and shared health checks: model checks, randomized runs and planted faults."""
 
 from __future__ import annotations
 
@@ -28,351 +28,376 @@
 from hypothesis import strategies as st
 
 STEP_US = shared_quotas.LOAN_US // 2
-WHOLE = 6.0
+TOTAL_RATE = 6.0
 
 
 @dataclass
-class World:
-    """A few fronts, and what is on its way between them."""
+class FleetModel:
+    """A few fronts and the messages in flight between them."""
 
-    kind: type[Quota] = Quota
+    quota_type: type[Quota] = Quota
     size: int = 3
     now_us: int = 0
-    lives: int = 0
-    purses: dict[int, Quota] = field(default_factory=dict)
-    air: list[tuple[int, int, QuotaRequest | QuotaTransfer]] = field(default_factory=list)
+    incarnation_count: int = 0
+    quotas: dict[int, Quota] = field(default_factory=dict)
+    in_flight: list[tuple[int, int, QuotaRequest | QuotaTransfer]] = field(default_factory=list)
 
-    def born(self, index: int) -> None:
-        self.lives += 1
-        self.purses[index] = self.kind(
+    def start_front(self, index: int) -> None:
+        self.incarnation_count += 1
+        self.quotas[index] = self.quota_type(
             Resource.PROBE,
-            WHOLE,
+            TOTAL_RATE,
             self.size,
             index,
-            self.lives,
+            self.incarnation_count,
             self.now_us,
-            demand=WHOLE if index == 0 else 0.0,
+            demand=TOTAL_RATE if index == 0 else 0.0,
         )
 
-    def whole(self) -> float:
-        return sum(purse.rate(self.now_us) for purse in self.purses.values())
+    def total_rate(self) -> float:
+        return sum(quota.rate(self.now_us) for quota in self.quotas.values())
 
-    def deliver(self, at: int, keep: bool) -> None:
-        sender, taker, said = self.air[at] if keep else self.air.pop(at)
-        purse = self.purses.get(taker)
-        if purse is None:
+    def deliver(self, position: int, keep: bool) -> None:
+        """Deliver one message; with `keep` it stays in flight and may be delivered again."""
+        sender, recipient, message = self.in_flight[position] if keep else self.in_flight.pop(position)
+        quota = self.quotas.get(recipient)
+        if quota is None:
             return
-        if isinstance(said, QuotaRequest):
-            loan = purse.on_request(sender, said, self.now_us)
+        if isinstance(message, QuotaRequest):
+            loan = quota.on_request(sender, message, self.now_us)
             if loan is not None:
-                self.air.append((taker, sender, loan))
+                self.in_flight.append((recipient, sender, loan))
         else:
-            purse.on_transfer(sender, said, self.now_us)
+            quota.on_transfer(sender, message, self.now_us)
 
-    def steps(self) -> Iterator[World]:
-        """Every world that may come next: time passes, a message comes once or again or is lost, a front
-        asks, dies, or begins anew."""
-        for choice in ("time", *range(len(self.air))):
-            for how in ("come", "again", "lose") if choice != "time" else ("",):
+    def next_states(self) -> Iterator[FleetModel]:
+        """All possible next states.
+
+        Time passes; a message is delivered, duplicated or lost; a front requests capacity, crashes or starts.
+        """
+        for choice in ("time", *range(len(self.in_flight))):
+            for fate in ("deliver", "duplicate", "lose") if choice != "time" else ("",):
                 after = copy.deepcopy(self)
                 if choice == "time":
                     after.now_us += STEP_US
-                elif how == "lose":
-                    after.air.pop(int(choice))
+                elif fate == "lose":
+                    after.in_flight.pop(int(choice))
                 else:
-                    after.deliver(int(choice), how == "again")
+                    after.deliver(int(choice), fate == "duplicate")
                 yield after
         for index in range(2):
             after = copy.deepcopy(self)
-            if index in after.purses:
-                del after.purses[index]
+            if index in after.quotas:
+                del after.quotas[index]
             else:
-                after.born(index)
+                after.start_front(index)
             yield after
-        if 0 in self.purses and len(self.air) < 3:
-            for to in (1, 2):
+        if 0 in self.quotas and len(self.in_flight) < 3:
+            for lender in (1, 2):
                 after = copy.deepcopy(self)
-                purse = after.purses[0]
-                purse.demand = WHOLE
-                draw = (to - 1) / 2
-                found = purse.next_requests(draw, after.now_us)
-                after.air += [(0, other, said) for other, said in found[:1]]
+                quota = after.quotas[0]
+                quota.demand = TOTAL_RATE
+                draw = (lender - 1) / 2
+                requests = quota.next_requests(draw, after.now_us)
+                after.in_flight += [(0, other, message) for other, message in requests[:1]]
                 yield after
 
     def key(self) -> object:
-        purses = tuple(
+        """The state with relative times and numbers, so that equivalent states have equal keys."""
+        quotas = tuple(
             (
-                i,
-                min(self.now_us - p.started_us, 3 * STEP_US),
-                tuple(sorted((to, loan.rate, loan.until_us - self.now_us) for to, loan in p.lent.items())),
+                index,
+                min(self.now_us - quota.started_us, 3 * STEP_US),
                 tuple(
                     sorted(
-                        (at, rate, u - self.now_us) for at, (rate, u) in p.borrowed.items() if u > self.now_us
+                        (borrower, loan.rate, loan.until_us - self.now_us)
+                        for borrower, loan in quota.lent.items()
                     )
                 ),
-                tuple((to, self.now_us - at_us) for to, _, at_us in p.pending_requests.values()),
-                min(self.now_us - p.requested_us, STEP_US),
+                tuple(
+                    sorted(
+                        (lender, rate, until_us - self.now_us)
+                        for lender, (rate, until_us) in quota.borrowed.items()
+                        if until_us > self.now_us
+                    )
+                ),
+                tuple(
+                    (lender, self.now_us - sent_us) for lender, _, sent_us in quota.pending_requests.values()
+                ),
+                min(self.now_us - quota.requested_us, STEP_US),
             )
-            for i, p in sorted(self.purses.items())
+            for index, quota in sorted(self.quotas.items())
         )
-        now = {i: (p.incarnation, p.sequence) for i, p in self.purses.items()}
-        air = tuple(
+        current = {index: (quota.incarnation, quota.sequence) for index, quota in self.quotas.items()}
+        in_flight = tuple(
             sorted(
                 (
-                    a,
-                    b,
-                    type(s).__name__,
-                    s.incarnation == now.get(a if isinstance(s, QuotaRequest) else b, (0, 0))[0],
-                    s.sequence - now.get(a if isinstance(s, QuotaRequest) else b, (0, 0))[1],
-                    s.rate,
+                    sender,
+                    recipient,
+                    type(message).__name__,
+                    message.incarnation
+                    == current.get(sender if isinstance(message, QuotaRequest) else recipient, (0, 0))[0],
+                    message.sequence
+                    - current.get(sender if isinstance(message, QuotaRequest) else recipient, (0, 0))[1],
+                    message.rate,
                 )
-                for a, b, s in self.air
+                for sender, recipient, message in self.in_flight
             )
         )
-        return purses, air
-
-
-def search(kind: type[Quota], most: int) -> tuple[int, float]:
-    """Worlds seen until one is at fault, and the largest sum of rates in any of them; breadth first."""
-    world = World(kind)
-    for index in range(world.size):
-        world.born(index)
-    world.now_us = 2 * shared_quotas.LOAN_US  # nobody is wary any more
-    seen, edge, largest = {world.key()}, [world], world.whole()
-    while edge and len(seen) < most and largest <= WHOLE + 1e-9:
-        following = []
-        for one in edge:
-            for after in one.steps():
+        return quotas, in_flight
+
+
+def search(quota_type: type[Quota], max_states: int) -> tuple[int, float]:
+    """Search states breadth first until one exceeds the total.
+
+    Returns:
+        The number of states, and the largest sum of rates in any of them.
+    """
+    model = FleetModel(quota_type)
+    for index in range(model.size):
+        model.start_front(index)
+    model.now_us = 2 * shared_quotas.LOAN_US  # all fronts have finished recovering
+    seen, frontier, largest = {model.key()}, [model], model.total_rate()
+    while frontier and len(seen) < max_states and largest <= TOTAL_RATE + 1e-9:
+        next_frontier = []
+        for state in frontier:
+            for after in state.next_states():
                 key = after.key()
-                if key not in seen and len(seen) < most:
+                if key not in seen and len(seen) < max_states:
                     seen.add(key)
-                    following.append(after)
-                    largest = max(largest, after.whole())
-        edge = following
+                    next_frontier.append(after)
+                    largest = max(largest, after.total_rate())
+        frontier = next_frontier
     return len(seen), largest
 
 
-class FromReceipt(Quota):
-    """A planted fault: a loan counts from when it is heard."""
+class CountsLoanFromReceipt(Quota):
+    """A planted fault: a loan counts from when it is received."""
 
     def on_transfer(self, sender: int, loan: QuotaTransfer, now_us: int) -> None:
         if loan.incarnation == self.incarnation:
             self.borrowed[sender] = BorrowedQuota(loan.rate, now_us + shared_quotas.LOAN_US)
 
 
-class Unwary(Quota):
-    """A planted fault: a new life takes its whole part at once."""
+class IgnoresEarlierLoans(Quota):
+    """A planted fault: a new incarnation uses its full share at once."""
 
     @property
     def recovering_until_us(self) -> int:
         return self.started_us
 
 
-class TakesBack(Quota):
-    """A planted fault: what is lent is counted as its own again before the loan is over."""
+class ReclaimsLoanEarly(Quota):
+    """A planted fault: a lender counts a loan as its own again before the loan has ended."""
 
     def rate(self, now_us: int) -> float:
-        back = sum(lent.rate for lent in self.lent.values() if now_us >= lent.until_us - STEP_US)
-        return super().rate(now_us) + back
+        reclaimed = sum(loan.rate for loan in self.lent.values() if now_us >= loan.until_us - STEP_US)
+        return super().rate(now_us) + reclaimed
 
 
-class SearchTest(unittest.TestCase):
-    def test_in_no_small_world_do_rates_add_up_to_more_than_the_whole(self) -> None:
-        worlds, largest = search(Quota, 2000)
-        assert worlds >= 2000
-        assert largest <= WHOLE + 1e-09
+class ModelCheckTest(unittest.TestCase):
+    def test_rates_never_exceed_the_total_in_any_explored_state(self) -> None:
+        state_count, largest = search(Quota, 2000)
+        assert state_count >= 2000
+        assert largest <= TOTAL_RATE + 1e-09
 
     def test_planted_faults_are_found(self) -> None:
-        for fault in (FromReceipt, Unwary, TakesBack):
+        for fault in (CountsLoanFromReceipt, IgnoresEarlierLoans, ReclaimsLoanEarly):
             with self.subTest(fault.__name__):
-                assert search(fault, 6000)[1] > WHOLE + 1e-09
+                assert search(fault, 6000)[1] > TOTAL_RATE + 1e-09
 
 
-class PurseTest(unittest.TestCase):
+class QuotaTest(unittest.TestCase):
     @settings(max_examples=40, deadline=None)
     @given(st.integers(0, 1 << 30))
-    def test_what_is_spent_stays_within_the_whole_and_what_may_be_saved(self, seed: int) -> None:
-        chance, world = Random(seed), World(size=4)
+    def test_acquired_units_stay_within_the_total_rate_and_the_burst(self, seed: int) -> None:
+        rng, model = Random(seed), FleetModel(size=4)
         for index in range(4):
-            world.born(index)
-        spent: list[int] = []
-        births = 4
+            model.start_front(index)
+        acquired_us: list[int] = []
+        start_count = 4
         for _ in range(400):
-            world.now_us += 25_000
-            for index, purse in list(world.purses.items()):
-                while chance.random() < (0.8 if index == 0 else 0.1) and purse.try_acquire(world.now_us):
-                    spent.append(world.now_us)
-                world.air += [
-                    (index, to, said) for to, said in purse.next_requests(chance.random(), world.now_us)
+            model.now_us += 25_000
+            for index, quota in list(model.quotas.items()):
+                while rng.random() < (0.8 if index == 0 else 0.1) and quota.try_acquire(model.now_us):
+                    acquired_us.append(model.now_us)
+                model.in_flight += [
+                    (index, lender, message)
+                    for lender, message in quota.next_requests(rng.random(), model.now_us)
                 ]
-            if chance.random() < 0.01:
-                world.born(chance.randrange(4))
-                births += 1
-            chance.shuffle(world.air)
-            for _ in range(min(len(world.air), chance.randrange(4))):
-                if chance.random() < 0.3:
-                    world.air.pop()
+            if rng.random() < 0.01:
+                model.start_front(rng.randrange(4))
+                start_count += 1
+            rng.shuffle(model.in_flight)
+            for _ in range(min(len(model.in_flight), rng.randrange(4))):
+                if rng.random() < 0.3:
+                    model.in_flight.pop()
                 else:
-                    world.deliver(len(world.air) - 1, chance.random() < 0.1)
-        saved = max(4.0, shared_quotas.BURST_S * WHOLE)
-        for at, from_us in enumerate(spent):
-            within = [time for time in spent[at:] if time < from_us + 1_000_000]
-            assert len(within) <= WHOLE + saved + births
-
-    def test_the_idle_lend_to_the_busy(self) -> None:
-        world = World(size=3)
+                    model.deliver(len(model.in_flight) - 1, rng.random() < 0.1)
+        burst = max(4.0, shared_quotas.BURST_S * TOTAL_RATE)
+        for position, from_us in enumerate(acquired_us):
+            within_a_second = [at_us for at_us in acquired_us[position:] if at_us < from_us + 1_000_000]
+            assert len(within_a_second) <= TOTAL_RATE + burst + start_count
+
+    def test_idle_fronts_lend_to_a_busy_one(self) -> None:
+        model = FleetModel(size=3)
         for index in range(3):
-            world.born(index)
-        world.now_us = 2 * shared_quotas.LOAN_US
-        busy = world.purses[0]
-        busy.advance(world.now_us)
-        busy.demand = WHOLE
-        world.air = [(0, to, said) for to, said in busy.next_requests(0.0, world.now_us)]
-        while world.air:
-            world.deliver(0, keep=False)
-        assert busy.rate(world.now_us) > 2 * busy.equal_share
-        self.assertAlmostEqual(world.whole(), WHOLE)
-        assert busy.wait_us(world.now_us) == 0
-
-    def test_asks_and_loans_survive_their_bytes_and_cut_ones_are_refused(self) -> None:
-        for said in (
+            model.start_front(index)
+        model.now_us = 2 * shared_quotas.LOAN_US
+        busy = model.quotas[0]
+        busy.advance(model.now_us)
+        busy.demand = TOTAL_RATE
+        model.in_flight = [(0, lender, message) for lender, message in busy.next_requests(0.0, model.now_us)]
+        while model.in_flight:
+            model.deliver(0, keep=False)
+        assert busy.rate(model.now_us) > 2 * busy.equal_share
+        self.assertAlmostEqual(model.total_rate(), TOTAL_RATE)
+        assert busy.wait_us(model.now_us) == 0
+
+    def test_quota_messages_round_trip_and_truncated_ones_are_rejected(self) -> None:
+        for message in (
             QuotaRequest(1 << 40, 7, Resource.PROBE, 2.5),
             QuotaTransfer(1 << 41, 9, Resource.LIST_CALL, 0.125),
         ):
-            raw = messages.encode_quota_message(said)
-            assert messages.decode_quota_message(raw) == said
-            for cut in range(len(raw)):
-                assert messages.decode_quota_message(raw[:cut]) is None
-
-
-class WatchersTest(unittest.TestCase):
-    def test_only_the_chosen_probe_and_the_next_takes_over(self) -> None:
-        everyone = range(8)
-        first = chosen_checkers("box", everyone)
-        assert len(first) == health_checks.CHECKERS_PER_SERVER
-        rest = [front for front in everyone if front != first[0]]
-        after = chosen_checkers("box", rest)
-        assert after[:2] == first[1:]
-        book = HealthCheckAssignment(after[2], 8)
-        assert book.due_probes(["box"], everyone, 0.0, 1) == []
-        assert book.due_probes(["box"], rest, 0.0, 1) == ["box"]
-
-    def test_names_of_fronts_change_nothing_but_who_watches(self) -> None:
-        for names in (range(5), range(20, 25), (3, 1, 4, 15, 9)):
-            assert len(set(chosen_checkers("box", names))) == health_checks.CHECKERS_PER_SERVER
-            assert chosen_checkers("box", names) == chosen_checkers("box", reversed(list(names)))
-
-    def test_one_bad_path_shuts_a_box_for_nobody_else_and_two_words_do(self) -> None:
-        everyone = range(6)
-        one, two, _ = chosen_checkers("box", everyone)
-        other = next(front for front in everyone if front not in chosen_checkers("box", everyone))
-        book = HealthCheckAssignment(other, 6)
-        book.on_report(one, "box", True, 1, 0)
-        book.on_report(other, "box", True, 1, 0)  # its own voice from outside is nobody's
-        assert not book.is_down("box", everyone, 0)
-        book.on_report(two, "box", True, 1, 0)
-        assert book.is_down("box", everyone, 0)
-        assert not book.is_down("box", everyone, health_checks.REPORT_LIFETIME_US + 1)
-        book.on_report(two, "box", False, 2, 0)
-        book.on_report(two, "box", True, 1, 0)  # late
-        assert not book.is_down("box", everyone, 0)
-
-    def test_a_probe_that_fails_is_repeated_soon_and_a_dead_box_is_asked_ever_more_seldom(self) -> None:
-        book, now, asked = HealthCheckAssignment(0, 1), 1, []
-        book.due_probes(["box"], (0,), 0.0, now)
+            raw = messages.encode_quota_message(message)
+            assert messages.decode_quota_message(raw) == message
+            for length in range(len(raw)):
+                assert messages.decode_quota_message(raw[:length]) is None
+
+
+class HealthChecksTest(unittest.TestCase):
+    def test_only_the_chosen_fronts_probe_and_the_next_in_rank_takes_over(self) -> None:
+        all_fronts = range(8)
+        before = chosen_checkers("server", all_fronts)
+        assert len(before) == health_checks.CHECKERS_PER_SERVER
+        rest = [front for front in all_fronts if front != before[0]]
+        after = chosen_checkers("server", rest)
+        assert after[:2] == before[1:]
+        checks = HealthCheckAssignment(after[2], 8)
+        assert checks.due_probes(["server"], all_fronts, 0.0, 1) == []
+        assert checks.due_probes(["server"], rest, 0.0, 1) == ["server"]
+
+    def test_any_front_indices_in_any_order_give_the_same_number_of_checkers(self) -> None:
+        for indices in (range(5), range(20, 25), (3, 1, 4, 15, 9)):
+            assert len(set(chosen_checkers("server", indices))) == health_checks.CHECKERS_PER_SERVER
+            assert chosen_checkers("server", indices) == chosen_checkers("server", reversed(list(indices)))
+
+    def test_one_report_does_not_take_a_server_down_and_a_quorum_does(self) -> None:
+        all_fronts = range(6)
+        first, second, _ = chosen_checkers("server", all_fronts)
+        other = next(front for front in all_fronts if front not in chosen_checkers("server", all_fronts))
+        checks = HealthCheckAssignment(other, 6)
+        checks.on_report(first, "server", True, 1, 0)
+        checks.on_report(other, "server", True, 1, 0)  # received under the front's own index: ignored
+        assert not checks.is_down("server", all_fronts, 0)
+        checks.on_report(second, "server", True, 1, 0)
+        assert checks.is_down("server", all_fronts, 0)
+        assert not checks.is_down("server", all_fronts, health_checks.REPORT_LIFETIME_US + 1)
+        checks.on_report(second, "server", False, 2, 0)
+        checks.on_report(second, "server", True, 1, 0)  # older than the one before, and delayed
+        assert not checks.is_down("server", all_fronts, 0)
+
+    def test_a_failed_probe_is_repeated_soon_and_a_down_server_is_probed_with_backoff(self) -> None:
+        checks, now, probed_us = HealthCheckAssignment(0, 1), 1, []
+        checks.due_probes(["server"], (0,), 0.0, now)
         for _ in range(400):
             now += 100_000
-            if book.due_probes(["box"], (0,), 0.0, now):
-                asked.append(now)
-                book.on_probe_completed("box", ProbeResult.FAILED, now)
-        gaps = [b - a for a, b in pairwise(asked)]
-        assert gaps[0] < health_checks.HEALTHY_PROBE_INTERVAL_US
-        assert gaps[-1] == health_checks.MAX_PROBE_INTERVAL_US
-        assert gaps == sorted(gaps)
-        assert book.is_down("box", (0,), asked[-1])
-
-    def test_a_dead_box_stays_gone_for_others_between_two_probes(self) -> None:
-        # A word that ended before its watcher's next probe made the fleet join there again each time.
-        everyone = range(5)
-        one, two, _ = chosen_checkers("box", everyone)
-        other = next(front for front in everyone if front not in chosen_checkers("box", everyone))
-        books = {front: HealthCheckAssignment(front, 5) for front in (one, two)}
-        hearer, now = HealthCheckAssignment(other, 5), 1
-        gone = []
+            if checks.due_probes(["server"], (0,), 0.0, now):
+                probed_us.append(now)
+                checks.on_probe_completed("server", ProbeResult.FAILED, now)
+        intervals = [later - earlier for earlier, later in pairwise(probed_us)]
+        assert intervals[0] < health_checks.HEALTHY_PROBE_INTERVAL_US
+        assert intervals[-1] == health_checks.MAX_PROBE_INTERVAL_US
+        assert intervals == sorted(intervals)
+        assert checks.is_down("server", (0,), probed_us[-1])
+
+    def test_a_down_server_stays_down_for_others_between_two_probes(self) -> None:
+        # With reports that expired before the checker's next probe, the fleet sent attempts to the server
+        # again in each gap.
+        all_fronts = range(5)
+        first, second, _ = chosen_checkers("server", all_fronts)
+        other = next(front for front in all_fronts if front not in chosen_checkers("server", all_fronts))
+        checks_by_front = {front: HealthCheckAssignment(front, 5) for front in (first, second)}
+        observer, now = HealthCheckAssignment(other, 5), 1
+        down = []
         while now < 60_000_000:
-            for front, book in books.items():
-                if book.due_probes(["box"], everyone, 0.0, now):
-                    book.on_probe_completed("box", ProbeResult.FAILED, now)
-                    said = book.report("box", now)
-                    if said is not None and said.verdict is health_checks.HealthVerdict.UNHEALTHY:
-                        hearer.on_report(front, "box", True, said.sequence, now)
-            gone.append(hearer.is_down("box", everyone, now))
+            for front, checks in checks_by_front.items():
+                if checks.due_probes(["server"], all_fronts, 0.0, now):
+                    checks.on_probe_completed("server", ProbeResult.FAILED, now)
+                    message = checks.report("server", now)
+                    if message is not None and message.verdict is health_checks.HealthVerdict.UNHEALTHY:
+                        observer.on_report(front, "server", True, message.sequence, now)
+            down.append(observer.is_down("server", all_fronts, now))
             now += 100_000
-        first = gone.index(True)
-        assert first < 60
-        assert all(gone[first:])
-
-    def test_a_failed_join_brings_the_next_probe_forward_and_many_bring_no_more(self) -> None:
-        # Calm probes are seconds apart: most fronts had tried a box that stood still before it was found out.
-        book, now = HealthCheckAssignment(0, 1), 1
-        assert book.due_probes(["box"], (0,), 0.0, now) == ["box"]
-        book.on_probe_completed("box", ProbeResult.ANSWERED, now)
+        first_down = down.index(True)
+        assert first_down < 60
+        assert all(down[first_down:])
+
+    def test_a_failed_attempt_brings_the_next_probe_forward_and_many_do_so_only_once(self) -> None:
+        # Probes of healthy servers are seconds apart: with these alone, most fronts had sent an attempt to a
+        # server that hung before the outage was detected.
+        checks, now = HealthCheckAssignment(0, 1), 1
+        assert checks.due_probes(["server"], (0,), 0.0, now) == ["server"]
+        checks.on_probe_completed("server", ProbeResult.ANSWERED, now)
         now += health_checks.SUSPECT_PROBE_INTERVAL_US
-        word = book.on_attempt_failed("box", now)
-        assert word is not None
-        assert word == HealthReport(
-            health_checks.hash_address("box"), health_checks.HealthVerdict.ATTEMPT_FAILED, 1
+        probe_request = checks.on_attempt_failed("server", now)
+        assert probe_request is not None
+        assert probe_request == HealthReport(
+            health_checks.hash_address("server"), health_checks.HealthVerdict.ATTEMPT_FAILED, 1
         )
-        assert messages.decode_health_report(messages.encode_health_report(word)) == word
-        assert book.on_attempt_failed("box", now + 1) is None
-        assert book.due_probes(["box"], (0,), 0.0, now) == ["box"]
+        assert messages.decode_health_report(messages.encode_health_report(probe_request)) == probe_request
+        assert checks.on_attempt_failed("server", now + 1) is None
+        assert checks.due_probes(["server"], (0,), 0.0, now) == ["server"]
         for _ in range(100):
-            book.on_probe_requested("box", now)
+            checks.on_probe_requested("server", now)
             assert (
-                book.due_probes(["box"], (0,), 0.0, now + health_checks.SUSPECT_PROBE_INTERVAL_US - 1) == []
+                checks.due_probes(["server"], (0,), 0.0, now + health_checks.SUSPECT_PROBE_INTERVAL_US - 1)
+                == []
             )
-        book.on_probe_completed("box", ProbeResult.FAILED, now)
-        assert book.report("box", now) is None
-
-    def test_what_served_this_front_just_now_is_not_gone_for_it(self) -> None:
-        everyone = range(5)
-        other = next(front for front in everyone if front not in chosen_checkers("box", everyone))
-        book = HealthCheckAssignment(other, 5)
-        for front in chosen_checkers("box", everyone):
-            book.on_report(front, "box", True, 1, 0)
-        assert book.is_down("box", everyone, 0)
-        book.on_attempt_served("box", 0)
-        assert not book.is_down("box", everyone, health_checks.RECENTLY_SERVED_US)
-        assert book.is_down("box", everyone, health_checks.RECENTLY_SERVED_US + 1)
-
-    def test_a_box_that_is_well_again_is_told_for_as_long_as_an_ill_word_may_stand(self) -> None:
-        # A single word that it is well may be lost, and the ill one before it stood on.
-        book, now = HealthCheckAssignment(0, 1), 1
+        checks.on_probe_completed("server", ProbeResult.FAILED, now)
+        assert checks.report("server", now) is None
+
+    def test_a_server_that_served_this_front_recently_is_not_down_for_it(self) -> None:
+        all_fronts = range(5)
+        other = next(front for front in all_fronts if front not in chosen_checkers("server", all_fronts))
+        checks = HealthCheckAssignment(other, 5)
+        for front in chosen_checkers("server", all_fronts):
+            checks.on_report(front, "server", True, 1, 0)
+        assert checks.is_down("server", all_fronts, 0)
+        checks.on_attempt_served("server", 0)
+        assert not checks.is_down("server", all_fronts, health_checks.RECENTLY_SERVED_US)
+        assert checks.is_down("server", all_fronts, health_checks.RECENTLY_SERVED_US + 1)
+
+    def test_a_recovery_is_reported_for_as_long_as_an_unhealthy_report_may_be_valid(self) -> None:
+        # If a single healthy report is lost, the unhealthy one before it would remain valid.
+        checks, now = HealthCheckAssignment(0, 1), 1
         for _ in range(2):
-            book.due_probes(["box"], (0,), 0.0, now)
-            book.on_probe_completed("box", ProbeResult.FAILED, now)
-        assert book.report("box", now) is not None
-        book.on_probe_completed("box", ProbeResult.ANSWERED, now)
-        for after in (1, health_checks.REPORT_LIFETIME_US - 1):
-            said = book.report("box", now + after)
-            assert (said.verdict if said else None) is health_checks.HealthVerdict.HEALTHY
-        assert book.report("box", now + health_checks.REPORT_LIFETIME_US) is None
-
-    def test_words_that_were_altered_are_refused(self) -> None:
+            checks.due_probes(["server"], (0,), 0.0, now)
+            checks.on_probe_completed("server", ProbeResult.FAILED, now)
+        assert checks.report("server", now) is not None
+        checks.on_probe_completed("server", ProbeResult.ANSWERED, now)
+        for later_us in (1, health_checks.REPORT_LIFETIME_US - 1):
+            message = checks.report("server", now + later_us)
+            assert (message.verdict if message else None) is health_checks.HealthVerdict.HEALTHY
+        assert checks.report("server", now + health_checks.REPORT_LIFETIME_US) is None
+
+    def test_altered_health_reports_are_rejected(self) -> None:
         raw = messages.encode_health_report(HealthReport(7, health_checks.HealthVerdict.UNHEALTHY, 1 << 60))
         assert messages.decode_health_report(raw[:-1]) is None
         assert messages.decode_health_report(raw[:5] + b"\t" + raw[6:]) is None
         assert messages.decode_health_report(b"") is None
 
-    def test_with_all_watchers_dead_the_next_begin_within_a_look(self) -> None:
-        everyone = set(range(7))
+    def test_with_all_checkers_down_the_next_ones_probe_at_once(self) -> None:
+        all_fronts = set(range(7))
         now = 10_000_000
-        dead = set(chosen_checkers("box", everyone))
-        living = everyone - dead
-        begun = [
-            front for front in living if HealthCheckAssignment(front, 7).due_probes(["box"], living, 0.0, now)
+        original_checkers = set(chosen_checkers("server", all_fronts))
+        live_fronts = all_fronts - original_checkers
+        probing = [
+            front
+            for front in live_fronts
+            if HealthCheckAssignment(front, 7).due_probes(["server"], live_fronts, 0.0, now)
         ]
-        assert sorted(begun) == sorted(chosen_checkers("box", living))
+        assert sorted(probing) == sorted(chosen_checkers("server", live_fronts))
 
 
 if __name__ == "__main__":
