--- a/packages/decisions-clients/src/fennelcove/decisions/clients/__init__.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about clients: admission, tokens, sessions, waiting rooms, storms, seats and idempotency."""
+"""Decisions about clients: admission, tokens, sessions, waiting rooms, retry storms, seats, idempotency."""
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/access_tokens.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/access_tokens.py
@@ -1,6 +1,6 @@
-"""Access tokens of clients: who may open how many sessions, until when.
+"""Access tokens of clients, which state who may open how many sessions, and until when.
 
-They are signed, so that a front verifies them without asking anybody.
+Tokens are signed, so that a front can verify them without a request to another service.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 MAX_TOKEN_CHARS = 800
-RENEWAL_NOTICE_FRACTION = 0.25  # of a token's whole time: its holder is notified to renew it from then on
+RENEWAL_NOTICE_FRACTION = 0.25  # of a token's lifetime: its holder is notified to renew it in that last part
 MAX_RENEWAL_NOTICE_US = 60_000_000
 
 
@@ -25,31 +25,31 @@
     client: str
     from_us: int
     until_us: int
-    most: int = 8  # the maximum number of sessions at once
-    titles: tuple[str, ...] = ()  # the titles that its holder may play; none named is any
+    most: int = 8  # the maximum number of concurrent sessions
+    titles: tuple[str, ...] = ()  # the titles that its holder may play; empty for all titles
 
 
 class TokenStatus(Enum):
     """Whether a token is valid."""
 
     VALID = auto()
-    EXPIRING = auto()  # valid, and expires soon
+    EXPIRING = auto()  # valid, but expires soon
     NOT_YET = auto()
     EXPIRED = auto()
-    FORGED = auto()  # not signed by this front's keys, or altered
+    FORGED = auto()  # not signed with this front's keys, or altered
     MISSING = auto()
 
 
 class Permission(Enum):
     """What a client wants to do with its token."""
 
-    CREATE_SESSION = auto()  # open a session
+    CREATE_SESSION = auto()
     CLAIM_SESSION = auto()  # claim an established session
-    CONTINUE_SESSION = auto()  # go on with its sessions
+    CONTINUE_SESSION = auto()  # continue its own sessions
 
 
-# Whether it is allowed. A session goes on past the expiry of its token: the token states who may open
-# sessions, not for how long they last.
+# Whether each permission is granted. A session continues past the expiry of its token: the token states who
+# may open sessions, not how long they last.
 ACCESS_RULES: dict[tuple[TokenStatus, Permission], bool] = {
     (TokenStatus.VALID, Permission.CREATE_SESSION): True,
     (TokenStatus.VALID, Permission.CLAIM_SESSION): True,
@@ -89,17 +89,17 @@
     token: AccessToken | None = None
 
     def has_permission(self, demand: Permission) -> bool:
-        """Whether the token's holder is allowed to do this."""
+        """Whether the token's holder has this permission."""
         return ACCESS_RULES[self.status, demand]
 
 
 def sign_access_token(token: AccessToken, mac: Mac) -> str:
-    """The signed text of a token."""
+    """The token as signed text."""
     return signed_tokens.sign(msgspec.json.encode(token), mac)
 
 
 def verify_access_token(text: str | None, macs: Sequence[Mac], wall_us: int) -> PresentedToken:
-    """Verify the text that a client presents, at this wall time."""
+    """Verify the text that a client presents at this wall time."""
     if not text:
         return PresentedToken(TokenStatus.MISSING)
     token = _verify(text, macs)
@@ -134,8 +134,8 @@
 
 
 def may_replace(old: AccessToken | None, new: AccessToken) -> bool:
-    """Whether a token may replace another on a connection.
+    """Whether a token may replace another one on a connection.
 
-    It must be the same client's: otherwise the sessions of the connection would change hands.
+    Both must belong to the same client; otherwise the connection's sessions would pass to another client.
     """
     return old is None or old.client == new.client
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/admission.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/admission.py
@@ -1,6 +1,6 @@
 """Admission control of the front: bounds on connections, pending requests, sessions and buffered bytes.
 
-Past a bound the response is an immediate rejection with a Retry-After; nothing is queued without a bound.
+Beyond a bound, requests are rejected at once with a Retry-After; nothing is queued without a bound.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
     """Whether the front accepts new work; member names appear in the status response."""
 
     OPEN = auto()
-    DRAINING = auto()  # an operator wants no new work here; sessions go on, and the front may be opened again
+    DRAINING = auto()  # by an operator's command: no new work, sessions continue, and it can be undone
     STOPPING = auto()
 
 
 class AdmissionEvent(Enum):
-    """What an operator or the shutdown does with the front; member names appear in logs."""
+    """A command of an operator or of the shutdown; member names appear in logs."""
 
     DRAIN = auto()
     UNDRAIN = auto()
@@ -46,15 +46,15 @@
 
 
 class AdmissionRequest(Enum):
-    """What asks for admission; member names appear in counters."""
+    """What requires admission; member names appear in counters."""
 
     CONNECTION = auto()
-    REQUEST = auto()  # a set-up that will wait for its response
-    SUBSCRIPTION = auto()  # one more session, held for as long as it plays
+    REQUEST = auto()  # a set-up, which counts until it gets its response
+    SUBSCRIPTION = auto()  # a session, which counts for as long as it plays
 
 
 class AdmissionDecision(Enum):
-    """What becomes of it; member names appear in counters."""
+    """The decision on an admission request; member names appear in counters."""
 
     LET_IN = auto()
     FULL = auto()  # respond with 503 at once: a bound is reached
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    """The maximum of each that the front holds."""
+    """The upper bounds of a front."""
 
     connections: int
     pending_requests: int
@@ -72,12 +72,12 @@
     buffered_bytes: int
 
 
-# The decisions by the front's state, before any bound is looked at.
+# The decisions by the front's state, before any bound is checked.
 ADMISSION_RULES: dict[tuple[AdmissionState, AdmissionRequest], AdmissionDecision] = {
     (AdmissionState.OPEN, AdmissionRequest.CONNECTION): AdmissionDecision.LET_IN,
     (AdmissionState.OPEN, AdmissionRequest.REQUEST): AdmissionDecision.LET_IN,
     (AdmissionState.OPEN, AdmissionRequest.SUBSCRIPTION): AdmissionDecision.LET_IN,
-    # Clients with sessions here still poll, fetch and release.
+    # Clients with sessions at this front still poll, fetch and release.
     (AdmissionState.DRAINING, AdmissionRequest.CONNECTION): AdmissionDecision.LET_IN,
     (AdmissionState.DRAINING, AdmissionRequest.REQUEST): AdmissionDecision.DRAINING,
     (AdmissionState.DRAINING, AdmissionRequest.SUBSCRIPTION): AdmissionDecision.DRAINING,
@@ -86,19 +86,19 @@
     (AdmissionState.STOPPING, AdmissionRequest.SUBSCRIPTION): AdmissionDecision.CLOSING,
 }
 
-WAIT_SMOOTHING = 16  # requests over which the average wait is taken, as the policy does with its averages
-MIN_RETRY_AFTER_US = 1_000_000  # Retry-After counts whole seconds: not every client can be given less
-MIN_SETUP_US = 1000.0  # what one set-up costs a front at which nobody waits
+WAIT_SMOOTHING = 16  # requests over which the wait is averaged, as in the placement policy
+MIN_RETRY_AFTER_US = 1_000_000  # Retry-After counts whole seconds, so a shorter wait can't be expressed
+MIN_SETUP_US = 1000.0  # duration of a set-up at a front without other requests
 MAX_RECONNECT_SPAN_US = 30_000_000
-PRESSURE_THRESHOLD = 0.5  # from this fraction of the connections on, idle ones are given less time
+PRESSURE_THRESHOLD = 0.5  # above this fraction of the connections, idle ones get shorter time-outs
 MIN_TIMEOUT_FRACTION = 0.1
 US_PER_S = 1_000_000
 
 
 class AdmissionController:
-    """Counts what was admitted, and decides on what asks for admission.
+    """Decides on admission requests, and counts what was admitted.
 
-    The caller passes in times and holds the lock.
+    The caller supplies times and holds the lock.
     """
 
     def __init__(self, limits: AdmissionLimits) -> None:
@@ -112,7 +112,7 @@
         self.rejected_count = 0
 
     def admit(self, entry: AdmissionRequest) -> AdmissionDecision:
-        """Decide, and count what is admitted."""
+        """Decide on a request; an admitted one is counted."""
         decision = ADMISSION_RULES[self.state, entry]
         if decision is AdmissionDecision.LET_IN and not self._has_capacity(entry):
             decision = AdmissionDecision.FULL
@@ -144,7 +144,7 @@
         self.connections -= 1
 
     def on_request_answered(self, waited_us: int) -> None:
-        """Count an admitted request as answered, after this wait."""
+        """Count an admitted request as answered after this wait."""
         self.pending_requests -= 1
         self.average_wait_us += (waited_us - self.average_wait_us) / WAIT_SMOOTHING
 
@@ -153,22 +153,26 @@
         self.sessions -= 1
 
     def reserve_buffer(self, more_bytes: int) -> bool:
-        """Count bytes read and not yet processed (negative: processed); False where they must be dropped."""
+        """Count bytes that were read and are not yet processed; negative numbers count processed bytes.
+
+        Returns:
+            False where the bytes must be dropped, since they would exceed the bound.
+        """
         if more_bytes > 0 and self.buffered_bytes + more_bytes > self.limits.buffered_bytes:
             return False
         self.buffered_bytes += more_bytes
         return True
 
     def apply(self, event: AdmissionEvent) -> AdmissionState:
-        """Drain, reopen or stop the front; its state from now on."""
+        """Drain, reopen or stop the front; return its new state."""
         self.state = STATE_TRANSITIONS.apply(self.state, event).state
         return self.state
 
     def retry_after_us(self, draw: float, max_wait_us: int | None) -> int:
         """The Retry-After of a rejected request, in microseconds.
 
-        It is the time in which those that wait now will have been served, spread by as much again, so that
-        those rejected at one moment don't return at one.
+        It is the time in which the requests that wait now will have been served, spread at random over up to
+        twice that time, so that clients rejected at the same moment do not return at the same moment.
 
         Args:
             draw: a random number, from 0 up to 1.
@@ -180,10 +184,10 @@
         return round(wait_us)
 
     def connection_timeout_us(self, limit_us: int) -> int:
-        """How long an idle or slow connection may stay: less as the connections run out.
+        """The time-out of an idle or slow connection, which is shorter the more connections are in use.
 
-        Otherwise a few hundred connections that send a byte a second would keep out everybody else. The
-        time-out falls from the configured one, at half the connections, to a tenth of it at all of them.
+        Otherwise a few hundred connections that send a byte a second would exclude all other clients. The
+        time-out falls from the configured one, at half of the connections, to a tenth of it at all of them.
         """
         utilization = self.connections / self.limits.connections
         if utilization <= PRESSURE_THRESHOLD:
@@ -201,8 +205,8 @@
 def reconnect_window_us(connections: int, average_wait_us: float) -> WaitWindow:
     """When the clients of a stopping front should reconnect elsewhere.
 
-    The window is the time in which a front serves that many set-ups one after another, so that as many
-    resumptions do not overload it.
+    The window is as long as a front takes to serve that many set-ups one after another, so that the
+    resumed sessions do not overload it.
     """
     span_us = max(MIN_RETRY_AFTER_US, round(connections * max(average_wait_us, MIN_SETUP_US)))
     return WaitWindow(MIN_RETRY_AFTER_US, MIN_RETRY_AFTER_US + min(span_us, MAX_RECONNECT_SPAN_US))
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/conflating_queue.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/conflating_queue.py
@@ -1,7 +1,7 @@
-"""A bounded send queue of one connection, in which newer state replaces older (conflation).
+"""A bounded send queue of one connection, in which newer state replaces older state (conflation).
 
-A slow reader gets each response, and of states that change only the newest. Past the bound its connection is
-closed: it will not catch up, and its sessions wait for it to reconnect.
+A slow reader gets every response, but only the newest value of each state that changes. When the queue is
+full, the connection is closed: the reader will not catch up, and its sessions wait for it to reconnect.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 class PutResult(Enum):
-    """What became of an item."""
+    """The result of adding an item."""
 
     QUEUED = auto()
-    REPLACED = auto()  # it took the place of an older item with the same key
-    OVERFLOWED = auto()  # the queue has overflowed: the connection must be closed
+    REPLACED = auto()  # it replaced an older item with the same key
+    OVERFLOWED = auto()  # the queue is full: the connection must be closed
 
 
 class ConflatingQueue(Generic[Item]):
-    """One connection's items, in order; the caller holds the lock."""
+    """One connection's items in order; the caller holds the lock."""
 
     def __init__(self, max_items: int = MAX_ITEMS) -> None:
         self.max_items = max_items
@@ -34,7 +34,7 @@
         self.has_overflowed = False
 
     def put(self, item: Item, key: Hashable | None = None) -> PutResult:
-        """Enqueue an item; it replaces a waiting one with the same key, at the older one's position."""
+        """Enqueue an item; it takes the position of a queued one with the same key, which it replaces."""
         if self.has_overflowed:
             return PutResult.OVERFLOWED
         if key is not None and key in self.items:
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/count_min_sketch.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/count_min_sketch.py
@@ -1,6 +1,6 @@
-"""How often each client has made requests lately, in memory that does not grow with their number.
+"""Counts how often each client has made requests recently, in memory independent of the number of clients.
 
-Two count-min sketches take turns, so that the count covers the last one to two windows. A count is never too
+Two count-min sketches alternate, so that a count covers the last one to two windows. A count is never too
 low; it is too high by more than `2 * total / WIDTH` with a probability of 2**-DEPTH at most (Cormode and
 Muthukrishnan, 2005). Names are hashed under a key of this process, so that no client can choose names that
 collide with those of others.
@@ -33,7 +33,7 @@
         self.window_started_us = now_us
 
     def add(self, name: str, now_us: int) -> int:
-        """Count one more; how often the name came in the last one to two windows, this time included."""
+        """Count a name once more; return its count in the last one to two windows, including this time."""
         self._rotate(now_us)
         indexes = self._indexes(name)
         for index in indexes:
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/idempotency.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/idempotency.py
@@ -1,8 +1,9 @@
 """Idempotency keys of clients: a set-up sent twice under one key counts once, also across a restart.
 
-A client that gets no response can't know whether its set-up ran. With a key it may send the same one again:
-it gets the established session, or a response that this session is closed, and never a second one. A key
-stands for one set-up by one client. Times are wall time in microseconds, since a key outlives the process.
+A client that gets no response can't know whether its set-up was executed. With a key it may send the same
+set-up again: it gets the established session, or a response that this session is closed, but never a second
+session. A key identifies one set-up of one client. Times are wall time in microseconds, since a key outlives
+the process.
 """
 
 from __future__ import annotations
@@ -17,43 +18,43 @@
 from fennelcove.state_machine import Transition, TransitionTable
 from msgspec import Struct
 
-RETENTION_US = 120_000_000  # as long as any client comes back for the start of the same content
+RETENTION_US = 120_000_000  # as long as any client retries to start the same content
 MAX_KEYS = 50_000
-# How many of the oldest keys one request looks at, so that it never holds the lock for long.
+# How many of the oldest keys one request examines, so that it never holds the lock for long.
 EVICTION_SCAN = 2
 EVICTION_SCAN_WHEN_FULL = 64
 
 
 class KeyState(Enum):
-    """What became of the set-up under a key."""
+    """The state of the set-up under a key."""
 
-    UNUSED = auto()  # none, or one that provably did nothing
+    UNUSED = auto()  # no set-up, or one that provably had no effect
     IN_PROGRESS = auto()
     ESTABLISHED = auto()
-    CLOSED = auto()  # the session was established, and is closed
-    INDETERMINATE = auto()  # it may have run, and must not run again
+    CLOSED = auto()  # the session was established and is closed
+    INDETERMINATE = auto()  # the set-up may have been executed, and must not be repeated
 
 
 class KeyEvent(Enum):
-    """What happens to the set-up."""
+    """An event of the set-up."""
 
     REQUESTED = auto()
-    ESTABLISHED = auto()  # the session is established
-    FAILED_SAFELY = auto()  # it provably did nothing, or may be repeated
-    OUTCOME_UNKNOWN = auto()  # it may have run and must not be repeated
+    ESTABLISHED = auto()
+    FAILED_SAFELY = auto()  # it provably had no effect, or may be repeated
+    OUTCOME_UNKNOWN = auto()  # it may have been executed and must not be repeated
     CLOSED = auto()
     RESTARTED = auto()  # this front restarted, and the set-up may be repeated
     RESTARTED_NOT_REPEATABLE = auto()
 
 
 class KeyAction(Enum):
-    """How a request under a key is answered; member names appear in counters."""
+    """How to respond to a request under a key; member names appear in counters."""
 
-    RUN = auto()
-    COME_BACK = auto()  # with a Retry-After: the first one is in progress
-    SHOW = auto()  # with the established session
-    TELL_SPENT = auto()  # the session is closed
-    TELL_BARRED = auto()  # the first one may have run
+    RUN = auto()  # execute the set-up
+    COME_BACK = auto()  # respond with a Retry-After: the set-up is in progress
+    SHOW = auto()  # respond with the established session
+    TELL_SPENT = auto()  # respond that the session is closed
+    TELL_BARRED = auto()  # respond that the set-up may have been executed
 
 
 _NOT_REQUESTED = [event for event in KeyEvent if event is not KeyEvent.REQUESTED]
@@ -71,7 +72,7 @@
         (KeyState.IN_PROGRESS, KeyEvent.ESTABLISHED): Transition(KeyState.ESTABLISHED),
         (KeyState.IN_PROGRESS, KeyEvent.FAILED_SAFELY): Transition(KeyState.UNUSED),
         (KeyState.IN_PROGRESS, KeyEvent.OUTCOME_UNKNOWN): Transition(KeyState.INDETERMINATE),
-        # A set-up that was rejected or given up is closed as well: its response decides about the key.
+        # A set-up that was rejected or cancelled is closed as well; its response decides the key's state.
         (KeyState.IN_PROGRESS, KeyEvent.CLOSED): Transition(KeyState.IN_PROGRESS),
         (KeyState.IN_PROGRESS, KeyEvent.RESTARTED): Transition(KeyState.UNUSED),
         (KeyState.IN_PROGRESS, KeyEvent.RESTARTED_NOT_REPEATABLE): Transition(KeyState.INDETERMINATE),
@@ -80,7 +81,7 @@
         (KeyState.ESTABLISHED, KeyEvent.FAILED_SAFELY): Transition(KeyState.ESTABLISHED),
         (KeyState.ESTABLISHED, KeyEvent.OUTCOME_UNKNOWN): Transition(KeyState.ESTABLISHED),
         (KeyState.ESTABLISHED, KeyEvent.CLOSED): Transition(KeyState.CLOSED),
-        # Its server may still play it: then the session is adopted, and returned to the client.
+        # The server may still play the session: it is then adopted, and returned to the client.
         (KeyState.ESTABLISHED, KeyEvent.RESTARTED): Transition(KeyState.ESTABLISHED),
         (KeyState.ESTABLISHED, KeyEvent.RESTARTED_NOT_REPEATABLE): Transition(KeyState.ESTABLISHED),
         **{(KeyState.CLOSED, event): Transition(KeyState.CLOSED) for event in _NOT_REQUESTED},
@@ -92,7 +93,8 @@
     }
 )
 
-# The states in which a session belongs to the key: it is not evicted, and the session's end concerns it.
+# The states in which a session belongs to the key: the key is not evicted, and the session's close applies
+# to it.
 LIVE_STATES = frozenset({KeyState.IN_PROGRESS, KeyState.ESTABLISHED})
 
 
@@ -107,7 +109,7 @@
 
 
 class KeyName(NamedTuple):
-    """A key is known by the client that chose it."""
+    """The name of a key: keys of different clients are distinct."""
 
     client: str
     key: str
@@ -117,11 +119,11 @@
 class IdempotencyKey:
     """One key of one client."""
 
-    target: str  # what was requested under it: another set-up must not pass for it
+    target: str  # what was requested under it; a request for something else does not match the key
     state: KeyState = KeyState.UNUSED
-    session_id: str = ""  # the session's id
-    touched_wall_us: int = 0
-    is_repeatable: bool = True  # a set-up that may have run may be repeated
+    session_id: str = ""
+    touched_wall_us: int = 0  # when it was last used or changed
+    is_repeatable: bool = True  # whether a set-up that may have been executed may be repeated
 
     @property
     def is_live(self) -> bool:
@@ -129,13 +131,13 @@
         return self.state in LIVE_STATES
 
     def apply(self, event: KeyEvent) -> tuple[KeyAction, ...]:
-        """Apply an event; how a request is to be answered, where the event is one."""
+        """Apply an event; return how to respond, where the event is a request."""
         transition = TRANSITIONS.apply(self.state, event)
         self.state = transition.state
         return transition.actions
 
     def is_expired(self, wall_us: int) -> bool:
-        """Whether it was touched too long ago; a clock that went back makes nothing older."""
+        """Whether it was last used too long ago; a clock that was set back makes no key older."""
         return wall_us - self.touched_wall_us > RETENTION_US
 
     def encode(self) -> bytes:
@@ -147,7 +149,7 @@
 
 
 class KeyRequest(NamedTuple):
-    """How a request under a key is answered, and the key."""
+    """How to respond to a request under a key, and the key."""
 
     action: KeyAction
     key: IdempotencyKey
@@ -162,7 +164,7 @@
 
 @dataclass(slots=True)
 class IdempotencyTable:
-    """All keys, the least recently touched first; past the bound it is evicted, unless it is live.
+    """All keys, the least recently used first; beyond the bound that one is evicted, unless it is live.
 
     Names of keys are pairs of client and key, as `KeyName`.
     """
@@ -173,7 +175,7 @@
     def request(
         self, name: tuple[str, str], target: str, is_repeatable: bool, wall_us: int
     ) -> KeyRequest | None:
-        """Request a set-up under a key; None where the key stands for another one."""
+        """Request a set-up under a key; None where the key was used for a different one."""
         self._evict_expired(wall_us)
         key_name = KeyName(*name)
         key = self.keys.get(key_name)
@@ -190,7 +192,7 @@
         return KeyRequest(action, key)
 
     def attach_session(self, name: tuple[str, str], session_id: str) -> None:
-        """Attach a session to the key that its set-up came under."""
+        """Attach a session to the key under which it was requested."""
         key_name = KeyName(*name)
         self.keys[key_name].session_id = session_id
         self.names_by_session[session_id] = key_name
@@ -206,7 +208,7 @@
             self.names_by_session.pop(key.session_id, None)
 
     def on_session_closed(self, session_id: str, wall_us: int) -> None:
-        """Apply the close of a session to its key, where it has one."""
+        """Apply the close of a session to its key, if it has one."""
         name = self.names_by_session.get(session_id)
         if name is not None:
             self.apply(name, KeyEvent.CLOSED, wall_us)
@@ -219,7 +221,7 @@
                 del self.keys[name]
 
     def encode_entries(self) -> list[StoredEntry]:
-        """What is stored; unused keys stand for nothing."""
+        """The entries to store; unused keys are left out."""
         return [
             StoredEntry(name, key.encode())
             for name, key in self.keys.items()
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/keepalive.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/keepalive.py
@@ -1,4 +1,4 @@
-"""When a silent connection is pinged, and when it is closed."""
+"""Keepalive of connections: when a silent one is pinged, and when it is closed."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
     WAIT = auto()
     PING = auto()
-    CLOSE = auto()  # close it
+    CLOSE = auto()
 
 
 class KeepaliveCheck(NamedTuple):
-    """What is due now, and after what time to check again, in microseconds."""
+    """The action that is due now, and the time until the next check in microseconds."""
 
     action: KeepaliveAction
     delay_us: int
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class KeepaliveMonitor:
-    """When something was last received on one connection, and when it was last pinged."""
+    """The times of the last received bytes and of the last ping of one connection."""
 
     timeout_us: int
     last_received_us: int
@@ -39,7 +39,7 @@
         self.last_ping_us = NEVER_US
 
     def check(self, now_us: int) -> KeepaliveCheck:
-        """Decide what is due; a ping counts as sent."""
+        """Decide what is due; a ping that is due counts as sent."""
         interval_us = max(1, self.timeout_us // PINGS_PER_TIMEOUT)
         deadline_us = self.last_received_us + self.timeout_us
         if now_us >= deadline_us:
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/seat_leases.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/seat_leases.py
@@ -1,8 +1,8 @@
-"""Leases of seats: acquired once, renewed once under each key, kept through a migration, released once.
+"""Leases of seats: acquired once, renewed once under each key, retained in a migration, released once.
 
-The placement policy counts seats while sessions play (rule 5). This module decides for how long a client
-that does not renew may hold one: after that it is released and the session closed. Times are wall time in
-microseconds, since a lease outlives the process.
+The placement policy counts seats while sessions play (rule 5). This module decides how long a client that
+does not renew its lease may hold a seat: after that time the seat is released and the session closed. Times
+are wall time in microseconds, since a lease outlives the process.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from fennelcove.state_machine import Transition, TransitionTable
 from msgspec import Struct
 
-MAX_RENEWAL_KEYS = 8  # renewals of one seat whose keys are remembered
-# Seats released in one call: ten thousand at one moment must not hold the lock for a second.
+MAX_RENEWAL_KEYS = 8  # stored for each seat
+# Seats released in one call: ten thousand expiring at one moment must not hold the lock for a second.
 MAX_EXPIRED_PER_CALL = 200
 
 
@@ -31,24 +31,24 @@
 
 
 class SeatEvent(Enum):
-    """What happens to it."""
+    """An event of a seat."""
 
     ACQUIRED = auto()
     RENEWED = auto()
-    RENEWED_DUPLICATE = auto()  # under a key that it was renewed under already
+    RENEWED_DUPLICATE = auto()  # under a key that was already used to renew it
     MIGRATED = auto()  # its session plays at another server
     RELEASED = auto()
     EXPIRED = auto()
 
 
 class SeatAction(Enum):
-    """What follows; member names appear in counters."""
+    """The action to carry out; member names appear in counters."""
 
-    COUNT = auto()
-    EXTEND = auto()
-    KEEP = auto()  # nothing changes
-    FREE = auto()
-    REFUSE = auto()
+    COUNT = auto()  # count the seat as held
+    EXTEND = auto()  # extend the lease
+    KEEP = auto()  # change nothing
+    FREE = auto()  # count the seat as free
+    REFUSE = auto()  # refuse the renewal
 
 
 # Each transition has exactly one action.
@@ -60,14 +60,14 @@
         (SeatState.UNHELD, SeatEvent.MIGRATED): Transition(SeatState.UNHELD, (SeatAction.KEEP,)),
         (SeatState.UNHELD, SeatEvent.RELEASED): Transition(SeatState.UNHELD, (SeatAction.KEEP,)),
         (SeatState.UNHELD, SeatEvent.EXPIRED): Transition(SeatState.UNHELD, (SeatAction.KEEP,)),
-        # Notified twice, as by a server that reports its sessions again: the seat is the same.
+        # A repeated notification, as from a server that reports its sessions again, is about the same seat.
         (SeatState.HELD, SeatEvent.ACQUIRED): Transition(SeatState.HELD, (SeatAction.KEEP,)),
         (SeatState.HELD, SeatEvent.RENEWED): Transition(SeatState.HELD, (SeatAction.EXTEND,)),
         (SeatState.HELD, SeatEvent.RENEWED_DUPLICATE): Transition(SeatState.HELD, (SeatAction.KEEP,)),
         (SeatState.HELD, SeatEvent.MIGRATED): Transition(SeatState.HELD, (SeatAction.KEEP,)),
         (SeatState.HELD, SeatEvent.RELEASED): Transition(SeatState.RELEASED, (SeatAction.FREE,)),
         (SeatState.HELD, SeatEvent.EXPIRED): Transition(SeatState.RELEASED, (SeatAction.FREE,)),
-        # A renewal that crosses with the release: the seat may be somebody else's by now.
+        # A renewal that arrives after the release: another session may have the seat by now.
         **{
             (SeatState.RELEASED, event): Transition(SeatState.RELEASED, (SeatAction.REFUSE,))
             for event in SeatEvent
@@ -86,7 +86,7 @@
 
 
 class SeatPool(NamedTuple):
-    """Seats are counted by title and service class."""
+    """The title and service class by which seats are counted."""
 
     title: str
     service_class: str
@@ -102,7 +102,7 @@
     session_id: str
     pool: SeatPool
     duration_us: int
-    expires_wall_us: int  # the wall time at which it expires
+    expires_wall_us: int
     state: SeatState = SeatState.UNHELD
     renewal_keys: list[str] = field(default_factory=list)
 
@@ -119,7 +119,7 @@
 
 
 class SeatDeadline(NamedTuple):
-    """When to look at a seat again; the sequence number keeps seats from being compared."""
+    """When to check a seat again; the sequence number prevents comparisons between seats."""
 
     due_us: int
     sequence: int
@@ -128,9 +128,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SeatTransition:
-    """One entry of a ledger that can be replayed."""
+    """An entry of a ledger that can be replayed."""
 
-    session_id: str  # the session's
+    session_id: str
     pool: SeatPool
     event: SeatEvent
     action: SeatAction
@@ -155,7 +155,7 @@
         return self._apply(seat, SeatEvent.ACQUIRED, wall_us)
 
     def renew(self, session_id: str, key: str, wall_us: int) -> SeatTransition:
-        """Renew a seat; under one key it is renewed once."""
+        """Renew a seat; a repeated renewal under the same key has no effect."""
         seat = self.seats.get(session_id)
         if seat is None:
             return SeatTransition(session_id, NO_POOL, SeatEvent.RENEWED, SeatAction.REFUSE)
@@ -174,7 +174,7 @@
         return self._apply(seat, SeatEvent.RELEASED, wall_us)
 
     def pop_expired(self, wall_us: int) -> list[SeatTransition]:
-        """Release the seats whose time is up, a bounded number; the rest with the next call."""
+        """Release a bounded number of expired seats; the others are released with the next call."""
         expired: list[SeatTransition] = []
         while self.deadlines and self.deadlines[0].due_us <= wall_us and len(expired) < MAX_EXPIRED_PER_CALL:
             seat = heapq.heappop(self.deadlines).seat
@@ -193,7 +193,7 @@
         if action is SeatAction.COUNT:
             self._add(seat)
         elif action is SeatAction.EXTEND:
-            # Counted from now and not from the old end: frequent renewals must not save up time.
+            # The lease is extended from now and not from its previous end: frequent renewals must not add up.
             seat.expires_wall_us = max(seat.expires_wall_us, wall_us + seat.duration_us)
         elif action is SeatAction.FREE:
             self._remove(seat)
@@ -215,14 +215,14 @@
         heapq.heappush(self.deadlines, SeatDeadline(seat.expires_wall_us, self.push_count, seat))
 
     def encode_entries(self) -> list[StoredEntry]:
-        """What is stored."""
+        """The entries to store."""
         return [StoredEntry(seat.session_id, seat.encode()) for seat in self.seats.values()]
 
     def restore(self, session_id: str, raw: bytes, duration_us: int, wall_us: int) -> bool:
         """Restore a seat stored before a restart, whose session still plays; False where it is malformed.
 
-        It keeps its old expiry, limited to what it could have at this wall time, since the clock may have
-        gone back. A seat that is held already is the same one, and is not counted twice: also False.
+        The seat retains its expiry, limited to a full lease from this wall time, since the clock may have
+        been set back. A seat that is already held is not counted twice; the result is False as well.
         """
         try:
             stored: StoredSeat = msgspec.msgpack.decode(raw, type=StoredSeat)
@@ -238,7 +238,7 @@
 
 
 def replay_counts(ledger: list[SeatTransition]) -> Counter[SeatPool]:
-    """The seats held in each pool, counted again from the ledger."""
+    """The number of held seats in each pool, computed from the ledger."""
     counts: Counter[SeatPool] = Counter()
     for entry in ledger:
         if entry.action is SeatAction.COUNT:
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/session_expiry.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/session_expiry.py
@@ -1,4 +1,4 @@
-"""Expiry of silent sessions: a client that neither polls nor releases counts as gone after a time-out."""
+"""Expiry of silent sessions, whose clients have neither polled nor released them within a time-out."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-POLLS_PER_TIMEOUT = 3  # polls that must be missed in a row
+POLLS_PER_TIMEOUT = 3  # a session expires after this number of missed polls in a row
 
 
 @dataclass(slots=True, eq=False)
@@ -19,7 +19,7 @@
 
 
 class ExpiryDeadline(NamedTuple):
-    """When to look at an entry again; the sequence number keeps entries from being compared."""
+    """When to check an entry again; the sequence number prevents comparisons between entries."""
 
     due_us: int
     sequence: int
@@ -27,9 +27,10 @@
 
 
 class SessionExpiry:
-    """Finds silent sessions without a look at each one.
+    """Finds silent sessions without examining all of them.
 
-    Each entry waits in a heap for the time at which it would be due; activity only moves its own time.
+    A heap orders the entries by the time at which they would expire. Activity only updates the entry itself;
+    the heap is corrected when the entry reaches its top.
     """
 
     def __init__(self, timeout_us: int) -> None:
@@ -39,7 +40,7 @@
         self.push_count = 0
 
     def add(self, session_id: str, now_us: int) -> None:
-        """Add a session that is established from now on."""
+        """Add a session that has just been established."""
         entry = self.entries[session_id] = ExpiryEntry(session_id, now_us)
         self._schedule(entry)
 
@@ -74,5 +75,5 @@
         return expired
 
     def poll_interval_us(self) -> int:
-        """How often clients are to poll, so that a lost response or two expire nothing."""
+        """How often clients should poll, so that one or two lost responses do not expire a session."""
         return max(1, self.timeout_us // POLLS_PER_TIMEOUT)
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/session_ownership.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/session_ownership.py
@@ -1,8 +1,9 @@
-"""Which connection owns a session: claims, lost connections, and two connections that claim the same one.
+"""Which connection owns a session: claims, lost connections, and two connections that claim the same session.
 
-A session plays at a server, not on a connection. When a connection is lost, its sessions are orphaned; until
-their time-out a client that presents a session's id may claim it, and then owns it alone. Of two connections
-that claim one session the later owns it: the earlier is mostly dead and has not been noticed yet.
+A session plays at a server and does not depend on a connection. When a connection is lost, its sessions are
+orphaned. Until they time out, a client that presents a session's id may claim the session, and then is its
+only owner. If two connections claim one session, the later one owns it: the earlier one has mostly been lost
+without notice.
 """
 
 from __future__ import annotations
@@ -20,26 +21,26 @@
 class OwnershipState(Enum):
     """Who owns a session."""
 
-    UNOWNED = auto()  # never claimed: it was set up over HTTP, or before a restart of this front
+    UNOWNED = auto()  # never claimed: set up over HTTP, or before a restart of this front
     OWNED = auto()
     ORPHANED = auto()  # its connection was lost
     CLOSED = auto()
 
 
 class OwnershipEvent(Enum):
-    """What happens to the ownership."""
+    """An event that concerns the ownership."""
 
-    CLAIMED = auto()  # by a connection that does not own it
-    RECLAIMED = auto()  # by the connection that does
-    DISCONNECTED = auto()  # its connection was lost
+    CLAIMED = auto()  # by a connection that does not own the session
+    RECLAIMED = auto()  # by the connection that owns it
+    DISCONNECTED = auto()  # the owner's connection was lost
     CLOSED = auto()
 
 
 class OwnershipAction(Enum):
-    """What the caller carries out."""
+    """An action that the caller carries out."""
 
-    ASSIGN = auto()  # the claiming connection owns it from now on
-    NOTIFY_DISPLACED = auto()  # the previous owner loses it
+    ASSIGN = auto()  # make the claiming connection the owner
+    NOTIFY_DISPLACED = auto()  # notify the previous owner that it has lost the session
     NOTIFY_CLOSED = auto()
     REJECT = auto()
 
@@ -102,7 +103,7 @@
     def missed_updates(self, seen: int | None) -> int | None:
         """How many updates a client that reconnects has missed; None where that is unknown.
 
-        A number beyond the latest was given before this front restarted.
+        A number higher than the latest one was assigned before this front restarted.
         """
         if seen is None or seen > self.update_count:
             return None
@@ -111,15 +112,15 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipClaim(Generic[Owner]):
-    """What became of a claim."""
+    """The result of a claim."""
 
     is_granted: bool
-    reason: str = ""  # the reason of a rejection
-    displaced_owner: Owner | None = None  # the previous owner, where it loses the session
+    reason: str = ""  # of a rejection
+    displaced_owner: Owner | None = None  # the previous owner, if it loses the session
 
 
 class OwnershipUpdate(NamedTuple, Generic[Owner]):
-    """Whom to notify of an update of a session, and the update's number."""
+    """The owner to notify of an update of a session, and the update's number."""
 
     owner: Owner | None
     number: int
@@ -127,13 +128,13 @@
 
 @dataclass(slots=True)
 class SessionOwnerships(Generic[Owner]):
-    """All sessions that were ever claimed, and the sessions of each connection."""
+    """All sessions that have been claimed, and the sessions of each connection."""
 
     by_session: dict[str, SessionOwnership[Owner]] = field(default_factory=dict)
     by_owner: dict[Owner, set[str]] = field(default_factory=dict)
 
     def claim(self, session_id: str, owner: Owner, max_sessions: int) -> OwnershipClaim[Owner]:
-        """Let a connection, which may own `max_sessions`, claim an established session."""
+        """Claim an established session for a connection that may own up to `max_sessions`."""
         ownership = self.by_session.get(session_id) or SessionOwnership(session_id)
         previous_owner = ownership.owner
         is_reclaim = previous_owner == owner
@@ -156,7 +157,7 @@
         self.by_owner.setdefault(owner, set()).add(ownership.session_id)
 
     def on_disconnected(self, owner: Owner) -> list[str]:
-        """Remove a connection that was lost; the sessions that it orphans."""
+        """Remove a lost connection; return the sessions that it orphans."""
         orphans = sorted(self.by_owner.pop(owner, ()))
         for session_id in orphans:
             ownership = self.by_session[session_id]
@@ -165,7 +166,7 @@
         return orphans
 
     def on_session_closed(self, session_id: str) -> Owner | None:
-        """Remove a session that is closed; the owner to notify."""
+        """Remove a closed session; return the owner to notify."""
         ownership = self.by_session.pop(session_id, None)
         if ownership is None:
             return None
@@ -177,7 +178,7 @@
         return owner if OwnershipAction.NOTIFY_CLOSED in actions else None
 
     def on_update(self, session_id: str) -> OwnershipUpdate[Owner]:
-        """Number an update of a session."""
+        """Assign the next number to an update of a session; return it with the owner to notify."""
         ownership = self.by_session.get(session_id)
         if ownership is None:
             return OwnershipUpdate(None, 0)
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/signed_tokens.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/signed_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens signed with a keyed MAC: no state is kept for them, and a forged one is recognized."""
+"""Tokens signed with a keyed MAC, which need no stored state and can't be forged."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def sign(raw: bytes, mac: Mac) -> str:
-    """A token of the bytes and their MAC; it has only letters, digits, `-`, `_` and one point."""
+    """A token of the bytes and their MAC; it consists of letters, digits, `-`, `_` and one full stop."""
     return f"{_encode(raw)}.{_encode(mac(raw))}"
 
 
 def verify(token: str, macs: Sequence[Mac], max_chars: int) -> bytes | None:
-    """The bytes of a token signed under one of these keys; None for any other text.
+    """The bytes of a token signed with one of these keys; None for any other text.
 
-    Every key is tried and compared in constant time, so that the time taken shows nothing about a MAC.
+    Every key is tried and compared in constant time, so that the duration reveals nothing about a MAC.
     """
     if len(token) > max_chars:
         return None
--- a/packages/decisions-clients/src/fennelcove/decisions/clients/wait_window.py
+++ b/packages/decisions-clients/src/fennelcove/decisions/clients/wait_window.py
@@ -1,4 +1,4 @@
-"""The time within which a client is to come back, as waits from now."""
+"""The time window in which a client should retry or reconnect, as waits from now."""
 
 from __future__ import annotations
 
