--- a/packages/decisions-servers/src/fennelcove/decisions/servers/__init__.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about media servers: their list, load, attempts, commands, event streams and lost connections."""
+"""Decisions about servers: endpoint list, load, attempts, commands, event streams and lost connections."""
--- a/packages/decisions-servers/src/fennelcove/decisions/servers/aimd_limit.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/aimd_limit.py
@@ -1,7 +1,7 @@
 """How many set-ups a server may have in flight from this front: additive increase, multiplicative decrease.
 
-The limit follows outcomes and not delays (docs/design/12-retry-storms.md weighs both): the delay of a set-up
-hardly changes until the server has no capacity left, while a time-out or a rejection shows that at once.
+The limit follows outcomes and not delays (docs/design/12-retry-storms.md compares both): the delay of a
+set-up hardly changes until the server has no capacity left, while a time-out or a rejection shows it at once.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
         """Raise the limit after a success.
 
         Until the first decrease it grows by one for each success, so that a front that has just started
-        reaches its rate soon; after that by one for each full window.
+        reaches its rate soon; after that it grows by one for each full window.
         """
         is_first_growth = self.decreased_at_us == NEVER_DECREASED_US
         step = 1.0 if is_first_growth else 1 / max(1.0, self.limit)
         self.limit = min(MAX_LIMIT, self.limit + step)
 
     def decrease(self, now_us: int) -> None:
-        """Lower the limit after a sign of overload."""
+        """Lower the limit after an outcome that indicates overload."""
         self.limit = max(MIN_LIMIT, self.limit * DECREASE_FACTOR)
         self.decreased_at_us = now_us
 
@@ -47,14 +47,14 @@
 class AimdLimits:
     """The limits of all servers; times in microseconds.
 
-    The number of servers is bounded: past it the idle one that was used longest ago is evicted.
+    The number of servers is bounded: beyond it, the least recently used idle server is evicted.
     """
 
     def __init__(self) -> None:
         self.servers: OrderedDict[str, AimdLimit] = OrderedDict()
 
     def try_acquire(self, server: str) -> bool:
-        """Count one more set-up in flight; False where the limit is reached and it must not be sent."""
+        """Count another set-up in flight; False where the limit is reached and it must not be sent."""
         server_limit = self.servers.get(server)
         if server_limit is None:
             server_limit = self.servers[server] = AimdLimit()
@@ -68,7 +68,8 @@
     def release(self, server: str, outcome: Outcome, sent_us: int, now_us: int) -> None:
         """Count a set-up as completed, and adjust the limit by its outcome.
 
-        A set-up sent before the last decrease does not decrease the limit again: it met the same overload.
+        A set-up sent before the last decrease does not decrease the limit again: its cause is the same
+        overload.
         """
         server_limit = self.servers.get(server)
         if server_limit is None:
--- a/packages/decisions-servers/src/fennelcove/decisions/servers/attempt_exchange.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/attempt_exchange.py
@@ -1,8 +1,8 @@
-"""What the socket events of one attempt prove: from each event to an outcome of the policy interface.
+"""Derives the outcome of an attempt, as the policy interface defines it, from socket events.
 
-An attempt counts as never run only where the server provably never had the whole request: the connection was
-never made, the last byte of the request was never handed to the kernel, or the server rejected it. In every
-other case it may have run.
+An attempt counts as not executed only if the server provably did not receive the complete request or did not
+process it: the connection was not established, the last byte of the request was not passed to the kernel, or
+the server rejected the request. In every other case it may have been executed.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 from fennelcove.interface import Effect, Outcome
 from fennelcove.state_machine import Transition, TransitionTable, Unlisted
 
-CONNECT_FRACTION = 2  # a half of the attempt's time may go into the connection
-LAST_BYTES_FRACTION = 8  # an eighth of it is left between the first byte of the response and the last
+CONNECT_FRACTION = 2  # divisor: half of the attempt's time may be used for the connection
+LAST_BYTES_FRACTION = 8  # divisor: an eighth of it is left between the first and the last response byte
 
 
 class ExchangeState(Enum):
-    """How far the exchange has come."""
+    """The progress of the exchange."""
 
     CONNECTING = auto()
     WRITING = auto()
-    WAITING = auto()  # the whole request is sent, no byte of the response has come
+    WAITING = auto()  # the complete request is sent, no byte of the response has arrived
     READING = auto()
     COMPLETED = auto()
 
 
 class ExchangeEvent(Enum):
-    """What happened on the socket."""
+    """An event of the socket, or a response."""
 
     CONNECTED = auto()
-    CONNECT_FAILED = auto()  # refused, unreachable, or no descriptor left
-    REQUEST_WRITTEN = auto()  # the last byte of the request was handed to the kernel
-    RESPONSE_STARTED = auto()  # the first bytes of a response
+    CONNECT_FAILED = auto()  # refused, unreachable, or no file descriptor left
+    REQUEST_WRITTEN = auto()  # the last byte of the request was passed to the kernel
+    RESPONSE_STARTED = auto()  # the first bytes of a response arrived
     CLOSED = auto()  # closed or reset by the server
     TIMED_OUT = auto()
-    MALFORMED_RESPONSE = auto()  # a response that is not HTTP
+    MALFORMED_RESPONSE = auto()  # the response is not HTTP
     PLAYBACK_STARTED = auto()  # the server plays
-    REJECTED = auto()  # the server rejected the attempt without looking at it
+    REJECTED = auto()  # the server rejected the attempt without processing it
     SERVER_ERROR = auto()  # any other response
 
 
@@ -46,7 +46,7 @@
     return Transition(ExchangeState.COMPLETED, (outcome,))
 
 
-# A completed transition's only action is to report the attempt's outcome.
+# A transition to `COMPLETED` has the outcome of the attempt as its only action.
 TRANSITIONS: TransitionTable[ExchangeState, ExchangeEvent, Outcome] = TransitionTable(
     {
         (ExchangeState.CONNECTING, ExchangeEvent.CONNECTED): Transition(ExchangeState.WRITING),
@@ -54,7 +54,7 @@
         (ExchangeState.CONNECTING, ExchangeEvent.TIMED_OUT): _completed(Outcome.NO_CONNECTION),
         (ExchangeState.CONNECTING, ExchangeEvent.CLOSED): _completed(Outcome.NO_CONNECTION),
         (ExchangeState.WRITING, ExchangeEvent.REQUEST_WRITTEN): Transition(ExchangeState.WAITING),
-        # The server has a part of the request at most, and its framing shows that: it can't have acted on it.
+        # The server has at most a part of the request, as its framing shows, so it can't have executed it.
         (ExchangeState.WRITING, ExchangeEvent.CLOSED): _completed(Outcome.NO_CONNECTION),
         (ExchangeState.WRITING, ExchangeEvent.TIMED_OUT): _completed(Outcome.NO_CONNECTION),
         (ExchangeState.WAITING, ExchangeEvent.RESPONSE_STARTED): Transition(ExchangeState.READING),
@@ -80,7 +80,7 @@
         self.outcome: Outcome | None = None
 
     def apply(self, event: ExchangeEvent) -> Outcome | None:
-        """Apply a socket event; the attempt's outcome once there is one."""
+        """Apply an event; return the attempt's outcome, or None while there is none."""
         transition = TRANSITIONS.apply(self.state, event)
         self.state = transition.state
         if transition.actions:
@@ -103,8 +103,8 @@
     """Whether an attempt may be sent on a pooled connection.
 
     The server can close a pooled connection at the moment of writing, and then it is unknown whether the
-    attempt ran. For a free or guarded service class that costs a retry; a single-shot one could not be tried
-    again.
+    attempt was executed. For a free or guarded service class that costs a retry; a single-shot attempt could
+    not be retried.
     """
     return effect is not Effect.SINGLE_SHOT
 
@@ -121,9 +121,9 @@
 def attempt_timeouts(allowed_us: int) -> AttemptTimeouts:
     """Divide the time that an attempt may take.
 
-    Half of it is for the connection: on the networks that a front serves, a connection that takes longer is
-    not made at all, and failing it early proves that nothing ran. An eighth is left between the first byte of
-    the response and the last.
+    Half of it is for the connection: on the networks between fronts and servers, a connection that takes
+    longer is not established at all, and an early failure proves that nothing was executed. An eighth is left
+    between the first and the last byte of the response.
     """
     total_us = max(1, allowed_us)
     connect_us = max(1, total_us // CONNECT_FRACTION)
--- a/packages/decisions-servers/src/fennelcove/decisions/servers/command_queue.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/command_queue.py
@@ -1,7 +1,7 @@
-"""Commands that wait to be sent to media servers: bitrate changes, resume tokens and releases.
+"""Commands that wait to be sent to servers: bitrate changes, resume tokens and releases.
 
-A server has one command in flight at a time, so that one that hangs blocks a single sender, and servers take
-turns. A later bitrate change for an attempt replaces an earlier one, and a release makes all of them moot.
+Each server has at most one command in flight, so that a server that hangs blocks a single sender; servers are
+served in turn. A later bitrate change for an attempt replaces an earlier one, and a release replaces both.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 INITIAL_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 2_000_000
 MAX_TRIES = 6
-COMMAND_TIMEOUT_US = 1_000_000  # a server that needs longer for a command is tried again later
+COMMAND_TIMEOUT_US = 1_000_000  # a command that takes longer is retried later
 BACKOFF = Backoff(INITIAL_BACKOFF_US, MAX_BACKOFF_US)
 
 
 @dataclass(frozen=True, slots=True)
 class CommandKey:
-    """What a command is about: the later of two commands with one key replaces the earlier."""
+    """The subject of a command: the later of two commands with the same key replaces the earlier."""
 
     session_id: str
     attempt: int
@@ -29,9 +29,9 @@
 
 @dataclass(slots=True, eq=False)
 class Command:
-    """One command to a server about one attempt of a session.
+    """A command to a server about one attempt of a session.
 
-    It stores a resume token, plays a rung of the bitrate ladder, or with neither releases the attempt.
+    It sets a resume token or the rung of the bitrate ladder; a command with neither releases the attempt.
     """
 
     server: str
@@ -43,7 +43,7 @@
 
     @property
     def key(self) -> CommandKey:
-        """What the command is about."""
+        """The subject of the command."""
         return CommandKey(self.session_id, self.attempt, self.resume_token is not None)
 
     @property
@@ -52,7 +52,7 @@
         return self.rung is None and self.resume_token is None
 
     def replace_with(self, newer: Command) -> None:
-        """Take over what a newer command with the same key asks for; a release changes nothing."""
+        """Adopt the values of a newer command with the same key; a release is not changed."""
         if newer.resume_token is not None:
             self.resume_token, self.tries = newer.resume_token, 0
         elif self.rung is not None:
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, eq=False)
 class ServerCommands:
-    """One server's commands, the oldest first."""
+    """The commands for one server, the oldest first."""
 
     commands: OrderedDict[CommandKey, Command] = field(default_factory=OrderedDict)
     is_in_flight: bool = False
@@ -83,11 +83,11 @@
         self.dropped_count = 0
 
     def add(self, command: Command) -> None:
-        """Enqueue a command, or let it replace the one with the same key.
+        """Enqueue a command, or let it replace the queued one with the same key.
 
-        Past the bound the longest queue drops its oldest command that is no release: a rung is sent again
-        with the next load report, a release is not. Where only releases are left the oldest is dropped, and
-        the server's own time limit ends the session that it names.
+        Beyond the bound, the longest queue drops its oldest command that is not a release: a rung is sent
+        again with the next load report, a release is not. If the queue has only releases, the oldest one is
+        dropped, and the server's own time limit ends the session.
         """
         queue = self.by_server.setdefault(command.server, ServerCommands())
         waiting = queue.commands.get(command.key)
@@ -108,7 +108,7 @@
         self.dropped_count += 1
 
     def pop_ready(self, now_us: int) -> Command | None:
-        """The next command to send, which is in flight from now on; None where all must wait."""
+        """Remove and return the next command to send, which then is in flight; None where all must wait."""
         for server, queue in self.by_server.items():
             if queue.is_ready(now_us):
                 queue.is_in_flight = True
@@ -119,7 +119,7 @@
         return None
 
     def wait_us(self, now_us: int) -> int | None:
-        """How long until some command may be sent; None while none waits for its time."""
+        """The time until a command may be sent; None if none is queued for a server without one in flight."""
         times = [
             queue.not_before_us
             for queue in self.by_server.values()
@@ -128,9 +128,9 @@
         return max(0, min(times) - now_us) if times else None
 
     def complete(self, command: Command, has_succeeded: bool, now_us: int) -> None:
-        """Complete a command that was in flight: it succeeded, or is tried again after a backoff.
+        """Complete a command that was in flight: it has succeeded, or is retried after a backoff.
 
-        It is dropped after `MAX_TRIES` tries, and where a newer command with its key waits.
+        It is dropped after `MAX_TRIES` tries, or if a newer command with its key is queued.
         """
         queue = self.by_server[command.server]
         queue.is_in_flight = False
@@ -141,7 +141,7 @@
             queue.not_before_us = now_us + BACKOFF.delay_us(queue.failures - 1)
             self._retry(queue, command)
         if not queue.commands:
-            del self.by_server[command.server]  # servers come and go: an idle one must leave nothing behind
+            del self.by_server[command.server]  # servers come and go: an idle one must not occupy memory
 
     def _retry(self, queue: ServerCommands, command: Command) -> None:
         command.tries += 1
--- a/packages/decisions-servers/src/fennelcove/decisions/servers/connection_loss.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/connection_loss.py
@@ -1,9 +1,9 @@
-"""Whether the sessions at a server that reports nothing about them are lost, by how dials to it end.
+"""Decides whether the sessions at a silent server are lost, from the results of connection attempts (dials).
 
-A refused connection comes from the machine itself: the process there is gone, and its sessions with it. A
-connection that is not made in time shows only that the path is silent: behind a partition the sessions may
-go on. Such a server's sessions are lost once the endpoint list no longer names it, or once nothing has been
-received from it for as long as clients may go without notice of an end.
+A refused connection shows that the machine is reachable and the server process has ended, and its sessions
+with it. A connection that times out shows only that the path is interrupted: behind a partition the sessions
+may continue. Sessions at such a server count as lost once the endpoint list no longer contains it, or once
+nothing has been received from it for the time within which clients must be notified of a session's end.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 
 from fennelcove.state_machine import Transition, TransitionTable, Unlisted
 
-# Of the 8 s within which a client must be notified of an end, counted from the last byte received.
+# Counted from the last byte received; a client must be notified of a session's end within 8 s.
 UNCONFIRMED_LOSS_US = 7_000_000
 
 
 class DialResult(Enum):
-    """How a dial ended."""
+    """The result of a dial."""
 
     CONNECTED = auto()
     REFUSED = auto()
-    TIMED_OUT = auto()  # it timed out
+    TIMED_OUT = auto()
 
 
 class EndpointKnowledge(Enum):
-    """What else is known of the server."""
+    """What else is known about the server."""
 
-    LISTED = auto()  # listed, and something was received from it before: its path may be cut
-    NEVER_REACHED = auto()  # nothing was received that a time could be counted from
-    DELISTED = auto()  # the endpoint list no longer names it
+    LISTED = auto()  # listed, and reached before: its path may be interrupted
+    NEVER_REACHED = auto()  # nothing was ever received, so there is no time to count from
+    DELISTED = auto()  # no longer in the endpoint list
 
 
 class LossState(Enum):
-    """What the latest dials show."""
+    """The server's state according to the latest dials."""
 
     REACHABLE = auto()
-    SUSPECTED = auto()  # one dial has failed, or an open connection has gone silent, which may be chance
+    SUSPECTED = auto()  # one dial has failed, or an open connection has gone silent; it may be accidental
     REFUSING = auto()
     UNRESPONSIVE = auto()
 
@@ -56,7 +56,7 @@
     unlisted=Unlisted.IGNORE,
 )
 
-# The states in which sessions are lost, and how long after the last byte received (None: at once).
+# The states in which sessions are lost, and the time after the last byte received (None: at once).
 LOST_AFTER_US: dict[tuple[LossState, EndpointKnowledge], int | None] = {
     **{(LossState.REFUSING, knowledge): None for knowledge in EndpointKnowledge},
     (LossState.UNRESPONSIVE, EndpointKnowledge.DELISTED): None,
@@ -67,24 +67,24 @@
 
 @dataclass(slots=True)
 class ConnectionLossTracker:
-    """One server's dials; times in microseconds."""
+    """Tracks the dials to one server; times in microseconds."""
 
     state: LossState = LossState.REACHABLE
     last_received_us: int | None = None
 
     def on_dial_completed(self, result: DialResult, now_us: int) -> None:
-        """Record how a dial ended."""
+        """Record the result of a dial."""
         self.state = TRANSITIONS.apply(self.state, result).state
         if result is DialResult.CONNECTED:
             self.last_received_us = now_us
 
     def on_keepalive_timeout(self) -> None:
-        """Record that an open connection has gone silent: as much evidence as a dial that timed out."""
+        """Record that an open connection has gone silent, which counts as a dial that timed out."""
         self.state = TRANSITIONS.apply(self.state, DialResult.TIMED_OUT).state
 
     @property
     def is_suspected(self) -> bool:
-        """Whether one more dial decides whether the server is there."""
+        """Whether the next dial decides if the server is reachable."""
         return self.state is LossState.SUSPECTED
 
     def on_received(self, now_us: int) -> None:
@@ -93,7 +93,7 @@
         self.last_received_us = now_us
 
     def is_lost(self, listed: bool, now_us: int) -> bool:
-        """Whether the sessions at the server are to be treated as lost."""
+        """Whether the sessions at the server count as lost."""
         reason = (self.state, self._knowledge(is_listed=listed))
         if reason not in LOST_AFTER_US:
             return False
--- a/packages/decisions-servers/src/fennelcove/decisions/servers/endpoint_list.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/endpoint_list.py
@@ -1,7 +1,7 @@
-"""Which messages of the endpoint list service count: versions in order, complete, and not plainly wrong.
+"""Validation of the messages of the endpoint list service: ordered versions, no gaps, and plausible contents.
 
-The placement policy takes lists as they come. This module checks them first, because a stream can be cut or
-repeat itself, or bring a list that would remove every server.
+The placement policy applies every list that it receives. This module checks messages first, because a stream
+can be interrupted, repeat messages, or deliver a list that would remove every server.
 """
 
 from __future__ import annotations
@@ -13,20 +13,19 @@
 from fennelcove.interface import ListEntry, ListMode, ListUpdate, ServerState
 
 MAX_SERVERS = 10_000
-STREAM_IDLE_TIMEOUT_US = (
-    10_000_000  # the service sends a heartbeat every second: the connection is dead by then
-)
+# The service sends a heartbeat every second, so a connection that is silent for this long is broken.
+STREAM_IDLE_TIMEOUT_US = 10_000_000
 INITIAL_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 5_000_000
 BACKOFF = Backoff(INITIAL_BACKOFF_US, MAX_BACKOFF_US)
 
-# How far a server has left the fleet: of two entries for one server, the further counts.
+# The progress of a server's removal from the fleet: of two entries for one server, the more advanced counts.
 _DRAIN_PROGRESS = {ServerState.ACTIVE: 0, ServerState.LEAVING: 1, ServerState.LEFT: 2}
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """One message of the list service: a full list, or changes on top of the version before it."""
+    """A message of the list service: a full list, or changes relative to the previous version."""
 
     version: int
     base_version: int | None  # None for a full list
@@ -39,17 +38,17 @@
 
 
 class ListDecision(Enum):
-    """What became of a message; member names appear in counters."""
+    """The decision on a message; member names appear in counters."""
 
     TAKEN = auto()
-    OLD = auto()  # not newer than the version in force
+    OLD = auto()  # not newer than the current version
     GAP = auto()  # changes in between are missing: the full list is needed
     REFUSED = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class ListVerdict:
-    """The decision on a message, with the reason of a refusal or the update to pass on."""
+    """The decision on a message, with the reason for a refusal or the update for the policy."""
 
     decision: ListDecision
     reason: str = ""
@@ -58,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerPlacement:
-    """Where a server belongs; it never changes while the server is listed."""
+    """The cell and kind of a server, which never change while it is listed."""
 
     cell: int
     kind: str
@@ -69,9 +68,9 @@
 
 
 def merge_entries(entries: tuple[ListEntry, ...]) -> tuple[ListEntry, ...]:
-    """Each server once: of two entries the state further from active and the later start count.
+    """Merge the entries for each server into one, with the state furthest from active and the latest start.
 
-    The later start counts because restarts that arrive out of order must not make a server look older.
+    The latest start counts because restarts that arrive out of order must not make a server seem older.
     """
     merged: dict[str, ListEntry] = {}
     for entry in entries:
@@ -86,14 +85,14 @@
 
 
 class EndpointListTracker:
-    """Keeps which version of the endpoint list is in force."""
+    """Tracks the current version of the endpoint list."""
 
     def __init__(self) -> None:
         self.version: int | None = None
         self.placements: dict[str, ServerPlacement] = {}
 
     def apply(self, message: EndpointListUpdate) -> ListVerdict:
-        """Decide on a message; only one that is taken changes anything."""
+        """Decide on a message; one that is refused or ignored changes nothing."""
         for check in (self._check_order, _check_size, _check_has_active, self._check_placements):
             verdict = check(message)
             if verdict is not None:
@@ -107,7 +106,7 @@
         return ListVerdict(ListDecision.TAKEN, update=ListUpdate(mode, entries))
 
     def kind_of(self, address: str) -> str:
-        """The listed kind of a server; empty where it was never listed."""
+        """The listed kind of a server; empty if it was never listed."""
         placement = self.placements.get(address)
         return placement.kind if placement is not None else ""
 
@@ -134,18 +133,18 @@
 
 
 def _check_has_active(message: EndpointListUpdate) -> ListVerdict | None:
-    # A full list without an active server would end every session. A fault of the list service is far
-    # likelier than a fleet that is gone, and attempts will show it if it is.
+    # A full list without an active server would end every session. A fault of the list service is far more
+    # likely than the loss of the whole fleet, which failed attempts would show anyway.
     if message.is_full and not any(entry.state is ServerState.ACTIVE for entry in message.entries):
         return _refused("a full list without an active server; the last list stays in force")
     return None
 
 
 def backoff_us(failures: int, draw: float) -> int:
-    """How long to wait before calling the list service again.
+    """The delay before the next call of the list service.
 
     Args:
-        failures: calls failed in a row.
-        draw: a random number, from 0 up to 1, as jitter.
+        failures: the number of calls that failed in a row.
+        draw: a random number, from 0 up to 1, for jitter.
     """
     return BACKOFF.jittered_delay_us(failures, draw)
--- a/packages/decisions-servers/src/fennelcove/decisions/servers/event_stream.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/event_stream.py
@@ -1,9 +1,9 @@
 """The life cycle of one server's event stream, and when its failures prove that sessions there are lost.
 
 A front keeps one event stream open to each server at which it has sessions (docs/design/10-running-front.md
-weighs the options). A stream that breaks proves nothing about the server: the network may have cut it. A loss
-is proven by a server that reports that it restarted or does not know a session, by a connection refused
-repeatedly, or by a silence longer than the retention of marks.
+compares the options). A broken stream proves nothing about the server, since the network may have interrupted
+it. A loss is proven if the server reports a restart or does not know a session, if it repeatedly refuses
+connections, or if it is silent for longer than the policy's observations of it are retained (`MARK_US`).
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 MAX_BACKOFF_US = 2_000_000
 BACKOFF = Backoff(INITIAL_BACKOFF_US, MAX_BACKOFF_US)
 REFUSALS_PROVING_LOSS = 3
-LINGER_US = MARK_US  # a stream without sessions is still worth reading while its observations are kept
-REPORTS_PER_TIMEOUT = 3  # load reports in a row that must be missing
+LINGER_US = MARK_US  # a stream without sessions is still useful while observations are retained
+REPORTS_PER_TIMEOUT = 3  # consecutive load reports that must be missing
 MIN_REPORT_INTERVAL_US = 100_000
 
 
@@ -31,31 +31,31 @@
     OPENING = auto()
     OPEN = auto()
     BROKEN = auto()  # to be opened again after a backoff
-    LINGERING = auto()  # open without sessions: else short sessions would open and close it all the time
+    LINGERING = auto()  # open without sessions, so that short sessions do not open and close it repeatedly
 
 
 class StreamEvent(Enum):
-    """What happens to the stream."""
+    """An event of the stream."""
 
     SESSIONS_HELD = auto()  # the first session is established at the server
     NO_SESSIONS_HELD = auto()  # the last session is closed
-    HELLO = auto()  # the server's first message: same process as before
-    HELLO_RESTARTED = auto()  # the server's first message: another process
+    HELLO = auto()  # the server's first message, from the same process as before
+    HELLO_RESTARTED = auto()  # the server's first message, from another process
     REFUSED = auto()
-    DISCONNECTED = auto()  # it broke, or was silent past its limit
-    RETRY_DUE = auto()  # the backoff is over
-    EXPIRED = auto()  # there have been no sessions for a while
+    DISCONNECTED = auto()  # the stream broke, or was silent for longer than its time-out
+    RETRY_DUE = auto()  # the backoff has passed
+    EXPIRED = auto()  # the linger time has passed
 
 
 class StreamAction(Enum):
-    """What the caller carries out."""
+    """An action that the caller carries out."""
 
     OPEN_STREAM = auto()
     CLOSE_STREAM = auto()
-    SCHEDULE_RETRY = auto()  # schedule a retry
+    SCHEDULE_RETRY = auto()
     SCHEDULE_CLOSE = auto()  # schedule the end of lingering
-    DISCARD = auto()  # discard what is held about the server: no sessions and no stream
-    FAIL_UNLISTED_SESSIONS = auto()  # sessions that the server's first message does not name are lost
+    DISCARD = auto()  # discard the state of the server, which has no sessions and no stream
+    FAIL_UNLISTED_SESSIONS = auto()  # fail the sessions that the server's first message does not list
     FAIL_ALL_SESSIONS = auto()
 
 
@@ -114,21 +114,21 @@
     disconnected_since_us: int = 0
 
     def apply(self, event: StreamEvent, now_us: int) -> tuple[StreamAction, ...]:
-        """Apply an event; the actions to carry out, in order. An event out of place changes nothing."""
+        """Apply an event; return the actions to carry out, in order. An unexpected event changes nothing."""
         transition = TRANSITIONS.find(self.state, event)
         if transition is None:
             return ()
         self._count(event, now_us)
         self.state = transition.state
         if self.state is StreamState.BROKEN and self._proves_loss(now_us):
-            # It is still tried again: sessions that are placed there later need their stream.
+            # Retries go on, because sessions that are placed there later need the stream.
             self.refusals = 0
             self.disconnected_since_us = now_us
             return (*transition.actions, StreamAction.FAIL_ALL_SESSIONS)
         return transition.actions
 
     def _count(self, event: StreamEvent, now_us: int) -> None:
-        """Count failures, and note since when nothing was received; before the state changes."""
+        """Count failures and record the start of a silence; called before the state changes."""
         is_first_session = event is StreamEvent.SESSIONS_HELD and self.state is StreamState.CLOSED
         if is_first_session or event in (StreamEvent.HELLO, StreamEvent.HELLO_RESTARTED):
             self.refusals = 0
@@ -146,23 +146,23 @@
         return self.refusals >= REFUSALS_PROVING_LOSS or now_us - self.disconnected_since_us >= MARK_US
 
     def on_hello(self, incarnation: str, now_us: int) -> tuple[StreamAction, ...]:
-        """Apply the server's first message on the stream, which names the incarnation of its process."""
+        """Apply the server's first message on the stream, which states the incarnation of its process."""
         has_restarted = self.incarnation is not None and incarnation != self.incarnation
         self.incarnation = incarnation
         event = StreamEvent.HELLO_RESTARTED if has_restarted else StreamEvent.HELLO
         return self.apply(event, now_us)
 
     def backoff_us(self, draw: float) -> int:
-        """How long to wait before opening the stream again, with `draw` from 0 up to 1 as jitter."""
+        """The delay before the stream is opened again, with a `draw` from 0 up to 1 for jitter."""
         return BACKOFF.jittered_delay_us(self.failures - 1, draw)
 
 
 def idle_timeout_us(report_interval_us: int, report_delay_us: int) -> int:
-    """How long a stream may bring nothing before it counts as broken.
+    """How long a stream may be silent before it counts as broken.
 
     Args:
-        report_interval_us: time between two of the server's load reports.
-        report_delay_us: how much later than sent a report may be seen.
+        report_interval_us: the time between two load reports of the server.
+        report_delay_us: the maximum delay between sending and receiving a report.
     """
     interval_us = max(report_interval_us, MIN_REPORT_INTERVAL_US)
     return REPORTS_PER_TIMEOUT * interval_us + report_delay_us
--- a/packages/decisions-servers/src/fennelcove/decisions/servers/load_signals.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/load_signals.py
@@ -1,8 +1,8 @@
-"""Load signals from CMSD and CMCD hints, turned into the events that the placement policy knows.
+"""Conversion of CMSD and CMCD hints into inputs of the placement policy.
 
-Hints count with the smallest departure from the policy's own inputs (docs/design.md, 'Hints'): a server's
-CMSD counts as a load report, a client's CMCD bounds its own highest rung, and several starving clients of one
-server count as the short-delivery report that the server did not send.
+Hints are mapped to the policy's existing inputs (docs/design.md, 'Hints'): a server's CMSD counts as a load
+report, a client's CMCD limits its own highest rung, and several starving clients of one server count as the
+short-delivery report that the server did not send.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from fennelcove.interface import LoadReport
 from fennelcove.placement import FULL_DELIVERY, RAISE_MARGIN, RESERVE
 
-KBIT_PER_KB = 8  # kilobits in a kilobyte: hints count kilobits, the bitrate ladder counts kilobytes
+KBIT_PER_KB = 8  # hints count kilobits, the bitrate ladder counts kilobytes
 FULL_UTILIZATION = 1.0
-MAX_CLIENTS = 256  # remembered for each server
-MIN_STARVING_CLIENTS = 2  # one client alone may be short because of its own last mile
+MAX_CLIENTS = 256  # observed at each server
+MIN_STARVING_CLIENTS = 2  # a single client may starve because of its own last mile
 MAX_STARVING_FRACTION = FULL_DELIVERY * (1 - RESERVE)
 MIN_STARVING_FRACTION = RESERVE
 
 
 @dataclass(frozen=True, slots=True)
 class ServerHints:
-    """The CMSD of one response, of the hop nearest the server; rates in kilobits a second."""
+    """The CMSD of one response, from the hop nearest to the server; rates in kilobits a second."""
 
     link_utilization: float | None = None
     uplink_utilization: float | None = None
@@ -43,10 +43,10 @@
 
 
 def load_report(hints: ServerHints) -> LoadReport | None:
-    """The load report that a server's hints amount to; None where they hold no load.
+    """The load report equivalent to a server's hints; None where they contain no load.
 
-    A server in duress asks for no further requests (CTA-5006), so it counts as a full link whatever
-    utilization it reports: otherwise it would go on drawing work.
+    A server in duress asks for no further requests (CTA-5006), so its link counts as full, whatever
+    utilization it reports: otherwise it would still receive work.
     """
     link = hints.link_utilization
     if hints.is_in_duress:
@@ -57,9 +57,9 @@
 
 
 def highest_fitting_rung(rates_kb: Sequence[float], kbit: float, floor: int) -> int:
-    """The highest rung that fits into a rate; the floor where none does.
+    """The highest rung that fits into a rate; the floor if none does.
 
-    A service class is never played under its floor.
+    A service class is never played below its floor.
     """
     fitting = [rung for rung, rate_kb in enumerate(rates_kb) if rate_kb * KBIT_PER_KB <= kbit]
     highest = fitting[-1] if fitting else 0
@@ -67,13 +67,13 @@
 
 
 def top_rung(rates_kb: Sequence[float], stated: int, floor: int, hints: ClientHints) -> int:
-    """The highest rung that a client can use, by its own hints.
+    """The highest rung that a client can use according to its hints.
 
-    A tenth of the measured throughput is held back, as everywhere in the policy. The result is never under
-    the floor, which is set by the service class and not by hints.
+    A tenth of the measured throughput is reserved, as everywhere in the policy. The result is never below the
+    floor, which is set by the service class and not by hints.
 
     Args:
-        rates_kb: rates of the bitrate ladder, in kilobytes a second.
+        rates_kb: the rates of the bitrate ladder in kilobytes a second.
         stated: the highest rung that the client's request states.
         floor: the lowest rung of its service class.
         hints: its CMCD.
@@ -90,10 +90,10 @@
 def adjusted_top_rung(
     rates_kb: Sequence[float], stated: int, current: int, floor: int, hints: ClientHints
 ) -> int:
-    """An established session's highest rung after new hints.
+    """The highest rung of an established session after new hints.
 
-    It is lowered at once, and raised only with the margin that the policy keeps for raising: otherwise the
-    spread of the client's measurements would move it up and down.
+    It is lowered at once, but raised only with the margin that the policy requires for raising: otherwise the
+    variation of the client's measurements would move it up and down.
     """
     top = top_rung(rates_kb, stated, floor, hints)
     if top <= current or hints.measured_kbit is None:
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryObservation:
-    """What one client's hints show: the delivered fraction of its rate, or None while it does not starve."""
+    """One client's delivered fraction of its rate according to its hints; None while it does not starve."""
 
     at_us: int
     delivered_fraction: float | None
@@ -117,20 +117,20 @@
     observations: OrderedDict[str, DeliveryObservation] = field(default_factory=OrderedDict)
 
     def observe(self, session_id: str, delivered_fraction: float | None, now_us: int) -> None:
-        """Record that a client starves at this fraction of its rate, or with None that it does not."""
+        """Record a starving client's delivered fraction of its rate, or None where it does not starve."""
         self.observations[session_id] = DeliveryObservation(now_us, delivered_fraction)
         self.observations.move_to_end(session_id)
         while len(self.observations) > MAX_CLIENTS:
             self.observations.popitem(last=False)
 
     def forget(self, session_id: str) -> None:
-        """Drop the observation of a session that is closed."""
+        """Drop the observation of a closed session."""
         self.observations.pop(session_id, None)
 
     def delivered_fraction(self, since_us: int) -> float | None:
-        """The delivered fraction, where the server and not its clients' own links must be the cause.
+        """The delivered fraction, if the server and not its clients' own links must be the cause; else None.
 
-        That is where more than half of the clients observed since then starve, and more than one.
+        That is so if more than half of the clients observed since then starve, and more than one.
         """
         recent = [
             observation.delivered_fraction
@@ -148,6 +148,6 @@
     if not hints.is_starved:
         return None
     if hints.measured_kbit is None or rate_kb <= 0:
-        return MAX_STARVING_FRACTION  # it does not report how much it receives: short by the tenth held back
+        return MAX_STARVING_FRACTION  # its throughput is unknown: assumed short by the reserved tenth
     fraction = hints.measured_kbit / (rate_kb * KBIT_PER_KB)
     return max(MIN_STARVING_FRACTION, min(MAX_STARVING_FRACTION, fraction))
