--- a/packages/decisions-recovery/src/fennelcove/decisions/recovery/background_scheduler.py
+++ b/packages/decisions-recovery/src/fennelcove/decisions/recovery/background_scheduler.py
@@ -1,9 +1,9 @@
-"""Scheduling of background work: priorities, deadlines, and a limit on the time that all of it takes.
+"""Scheduling of background work: priorities, deadlines, and a limit on its total running time.
 
-Sweeps, snapshots and certificate checks share one thread. Each task has an interval and a deadline. Until its
-deadline a due task waits for the budget, a share of the time that passes; past it, it runs whatever the
-budget is, and the other tasks wait for what that cost. So the limit holds on the whole, and no task starves.
-Times are in microseconds.
+Sweeps, snapshots and certificate checks share one thread. Each task has an interval and a deadline. Before
+its deadline a due task waits for the time budget, which is a share of the elapsed time. After the deadline it
+runs regardless of the budget, and the other tasks wait until the budget has recovered. The limit thus holds
+on average, and no task starves. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-TIME_SHARE = 0.1  # that background work may take from the threads that answer clients
-MAX_SAVED_US = 50_000  # of budget, while nothing is due
-MAX_DEBT_US = 1_000_000  # of budget: a task that hung once must not stop the rest for long
+TIME_SHARE = 0.1  # of the elapsed time, which background work may take from the threads that serve clients
+MAX_SAVED_US = 50_000  # of budget that is saved up while nothing is due
+MAX_DEBT_US = 1_000_000  # of budget: a task that hung once must not block the others for long
 RUN_TIME_SMOOTHING = 8
 MAX_WAIT_US = 60_000_000
 
 
 class TaskPriority(IntEnum):
-    """The order of tasks that may run: the lowest number goes first."""
+    """The order of tasks that may run: the lowest number runs first."""
 
     CLIENT_FACING = 0  # a client waits for it
     SNAPSHOT = 1
@@ -28,27 +28,27 @@
 
 @dataclass(slots=True, eq=False)
 class BackgroundTask:
-    """Work that is repeated at an interval."""
+    """A task that is repeated at an interval."""
 
     name: str
     priority: TaskPriority
     interval_us: int
-    max_delay_us: int  # past its time by so much, it runs whatever the budget is
+    max_delay_us: int  # with a longer delay it runs regardless of the budget
     due_us: int = 0
     mean_run_us: float = 0.0  # smoothed duration of a run
     run_count: int = 0
-    skipped_count: int = 0  # times that it was due again before it had run
+    skipped_count: int = 0  # runs that became due before the previous one had started
     max_lateness_us: int = 0  # the longest delay of a run
 
     @property
     def deadline_us(self) -> int:
-        """When it runs whatever the budget is."""
+        """The time from which it runs regardless of the budget."""
         return self.due_us + self.max_delay_us
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledTask:
-    """The task to run now, or how long to wait."""
+    """The task to run now, or the time to wait."""
 
     task: BackgroundTask | None
     wait_us: int = 0
@@ -64,7 +64,7 @@
         self.accrued_at_us = now_us
 
     def add(self, task: BackgroundTask, now_us: int) -> None:
-        """Add a task, which is due at once."""
+        """Add a task; its first run is due at once."""
         task.due_us = now_us
         self.tasks.append(task)
 
@@ -74,7 +74,7 @@
         self.budget_us = min(float(MAX_SAVED_US), self.budget_us + passed_us * self.time_share)
 
     def next_task(self, now_us: int) -> ScheduledTask:
-        """The next task to run: one past its deadline, or else one that the budget permits."""
+        """The next task to run: one past its deadline, else one that the budget permits."""
         self._accrue(now_us)
         due = [task for task in self.tasks if task.due_us <= now_us]
         overdue = [task for task in due if now_us >= task.deadline_us]
@@ -93,7 +93,7 @@
         return max(1, min([*waits_us, MAX_WAIT_US]))
 
     def on_run_completed(self, task: BackgroundTask, started_us: int, now_us: int) -> None:
-        """Handle the end of a run; runs that were missed meanwhile are skipped, as catching up adds load."""
+        """Handle the end of a run; runs missed meanwhile are skipped, since catching up would add load."""
         self._accrue(now_us)
         run_us = max(0, now_us - started_us)
         self.budget_us = max(-float(MAX_DEBT_US), self.budget_us - run_us)
--- a/packages/decisions-recovery/src/fennelcove/decisions/recovery/reconciliation.py
+++ b/packages/decisions-recovery/src/fennelcove/decisions/recovery/reconciliation.py
@@ -1,9 +1,9 @@
-"""Reconciliation of the sessions that servers name after a front has restarted.
+"""Reconciliation of the sessions that servers report after a front has restarted.
 
-Sessions stay established while a front is away, and servers name the sessions that they hold when it greets
-them. Each attempt that a server names is kept, adopted under its old id, or released, so that clients' polls
-are answered, seats are counted once, and no session is served that nobody watches. In which order service is
-resumed meanwhile is decided in `fennelcove.decisions.fleet.recovery_admission`.
+Sessions stay established while a front is down, and servers report the sessions that they hold when the front
+connects to them. Each reported attempt is retained, adopted under its old id, or released, so that clients'
+polls get a response, seats are counted once, and no session is served without a client. The order in which
+service is resumed meanwhile is decided in `fennelcove.decisions.fleet.recovery_admission`.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 
 class SessionClaim(Enum):
-    """What an attempt that a server names is to this front; status counters show the names."""
+    """The classification of a reported attempt; status counters show the names of the members."""
 
-    CURRENT = auto()  # established there, by this front's own state
+    CURRENT = auto()  # established at that server according to this front's own state
     IN_FLIGHT = auto()  # the attempt that is in flight now
-    OVERTAKEN = auto()  # an attempt that was given up and followed by another
+    OVERTAKEN = auto()  # an attempt that was cancelled and followed by another one
     ENDED_HERE = auto()  # of this incarnation, and closed
     ORPHAN = auto()  # of an earlier incarnation
     ORPHAN_OLDER = auto()  # of an earlier incarnation, and a later attempt of its session is known
     ORPHAN_NEWER = auto()  # of an earlier incarnation, and an older attempt of its session was adopted
     UNFIT = auto()  # of an earlier incarnation, and no longer permitted by the settings
-    SURPLUS = auto()  # of an earlier incarnation, and all seats are taken
+    SURPLUS = auto()  # of an earlier incarnation, and all seats are occupied
 
 
 class ClaimAction(Enum):
-    """What to do with a claim."""
+    """What to do with a reported attempt."""
 
     KEEP = auto()
     ADOPT = auto()
-    ADOPT_INSTEAD = auto()  # adopt it, and release the older attempt first
+    ADOPT_INSTEAD = auto()  # release the older attempt first, then adopt this one
     RELEASE = auto()
 
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownSession:
-    """What this front knows of the session that a server names."""
+    """What this front knows about a session that a server reports."""
 
     state: SessionState
     attempt: int
@@ -67,15 +67,15 @@
     is_servable: bool,
     has_free_seat: bool,
 ) -> SessionClaim:
-    """Classify one attempt that a server names.
+    """Classify an attempt that a server reports.
 
     Args:
-        server: the address of the server that names it.
-        attempt: its number.
-        known: what this front knows of its session, if anything.
-        is_own_incarnation: the session's id was made in this incarnation.
-        is_servable: the settings have its title and service class, and permit its bitrate rung.
-        has_free_seat: one more session of its title and service class may be held.
+        server: the address of the server that reports it.
+        attempt: the number of the attempt.
+        known: what this front knows about its session, if anything.
+        is_own_incarnation: whether the session's id was created in this incarnation.
+        is_servable: whether the settings contain its title and service class, and permit its rung.
+        has_free_seat: whether another session of its title and service class may be held.
     """
     if known is not None and known.attempt == attempt and known.server == server:
         is_established = known.state is SessionState.ESTABLISHED
--- a/packages/decisions-recovery/src/fennelcove/decisions/recovery/snapshot.py
+++ b/packages/decisions-recovery/src/fennelcove/decisions/recovery/snapshot.py
@@ -1,13 +1,13 @@
 """The records of a front's snapshot: their format, and which of them are still used after a restart.
 
-A snapshot holds how often each server failed and when it last got an attempt, what was spent of the retry
-budget, and the usual arrival rate. All times are wall times, since the monotonic clock may start anew; what
-is read back is an age. Loads are not saved: servers name the sessions that they hold, and these are counted
-again; together with a saved load that included them they counted twice (0.70 of answers were served within
-two seconds of a restart, 0.75 without a store, 0.77 with one that saves no loads).
-
-The records are stored by position (`array_like`). The attribute names of `ServerMemory` and `FrontMemory` are
-keys of the JSON lines of `fennelcove store export`, and so are fixed as well.
+A snapshot contains how often each server failed and when it last got an attempt, the used part of the retry
+budget, and the usual arrival rate. All times are wall times, since the monotonic clock may start again from
+zero; they are converted to ages when the snapshot is read. Loads are not stored: servers report the sessions
+that they hold, and with a stored load these were counted twice (0.70 of the responses within two seconds of a
+restart were successful, 0.75 without a store, 0.77 with a store that contains no loads).
+
+The records are stored by position (`array_like`). The attribute names of `ServerRecord` and `FrontRecord` are
+keys in the JSON lines of `fennelcove store export`, and so must not change either.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from fennelcove.decisions.recovery.write_behind import Change
 from msgspec import Struct
 
-FORMAT_VERSION = 2  # of the records; a snapshot without a format has the first
+FORMAT_VERSION = 2  # of the records; a snapshot without a version has format 1
 UNSUPPORTED_FORMAT = 0
 FORMAT_KEY = b"format"
 MAX_BUDGET_TIMES = 4096  # of each kind in a front's record
@@ -33,11 +33,11 @@
 class ServerRecord(Struct, frozen=True, array_like=True):
     """The record of a server; wall times in microseconds, 0 for never."""
 
-    started_us: int  # its process
-    strikes: int
-    shut_until_us: int  # until when it is excluded
+    started_us: int  # when its process started
+    strikes: int  # how often it failed
+    shut_until_us: int  # when its exclusion ends
     joined_us: int  # when this front last sent it an attempt
-    heard_us: int  # when any of this was last known
+    heard_us: int  # when this record was last known to be valid
 
 
 class FrontRecord(Struct, frozen=True, array_like=True):
@@ -45,29 +45,29 @@
 
     written_us: int
     taken_us: list[int]  # requests in the retry budget's window
-    further_us: list[int]  # retries in it
-    usual: float  # arrivals in half a second
-    seen: int  # windows that the usual arrival rate was learned from
-    # From here on of format 2; a record of format 1 ends before.
-    life: int = 0  # the incarnation of this front; 0 where it has no peers
-    lives: list[int] = []  # the incarnations of all fronts by index, as last heard
-    list_version: int = -1
+    further_us: list[int]  # retries in that window
+    usual: float  # the usual number of arrivals in half a second
+    seen: int  # the number of windows from which the usual rate was derived
+    # The following fields were added in format 2.
+    life: int = 0  # the incarnation of this front; 0 if it has no peers
+    lives: list[int] = []  # the incarnations of all fronts by index, as last received
+    list_version: int = -1  # the version of the endpoint list
 
 
 class EndpointRecord(Struct, frozen=True, array_like=True):
-    """A server of the endpoint list in force."""
+    """A server of the current endpoint list."""
 
     address: str
     zone: str
     kind: str
     cell: int
-    standing: str
+    standing: str  # its state in the list
     weight: float
     started_us: int  # wall time; 0 for long ago
 
 
 class EndpointListRecord(Struct, frozen=True, array_like=True):
-    """The endpoint list in force, for a start at which no discovery service answers."""
+    """The current endpoint list, for a start at which no discovery service responds."""
 
     version: int
     servers: list[EndpointRecord]
@@ -83,10 +83,10 @@
 
 
 def migrate_records(values: Mapping[bytes, bytes]) -> dict[bytes, bytes]:
-    """A snapshot's records in the present format.
+    """A snapshot's records in the current format.
 
-    Records of format 1 stay as they are: the fields that format 2 adds are at their end, and are read as
-    unknown. A snapshot of a newer program is not used at all: what it learned is learned anew.
+    Records of format 1 are not changed: the fields that format 2 adds are at their end and get their default
+    values. A snapshot of a newer program version is not used at all.
     """
     if format_of(values) == UNSUPPORTED_FORMAT:
         return {}
@@ -101,50 +101,50 @@
 
 
 def read_server(raw: bytes) -> ServerRecord | None:
-    """Decode the record of a server; None for what is none."""
+    """Decode the record of a server; None for invalid bytes."""
     return _decode(raw, ServerRecord)
 
 
 def read_front(raw: bytes) -> FrontRecord | None:
-    """Decode the record of the front; None for what is none."""
+    """Decode the record of the front; None for invalid bytes."""
     return _decode(raw, FrontRecord)
 
 
 def read_list(raw: bytes) -> EndpointListRecord | None:
-    """Decode the record of the endpoint list; None for what is none."""
+    """Decode the record of the endpoint list; None for invalid bytes."""
     return _decode(raw, EndpointListRecord)
 
 
 class RecordVerdict(Enum):
-    """Whether the record of a server is used, and if not, why; logs show the names."""
+    """Whether a server's record is used, and the reason if it is not; logs show the names of the members."""
 
     USED = auto()
     NOT_LISTED = auto()
-    NEW_LIFE = auto()  # its process has restarted, and has nothing of the previous one
+    NEW_LIFE = auto()  # the server's process has restarted, and retains nothing of the previous one
     TOO_OLD = auto()
-    CLOCK_BACK = auto()  # it was written later than now: its age is unknown
+    CLOCK_BACK = auto()  # the time of the record is in the future: its age is unknown
     UNREADABLE = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveredServer:
-    """The record of a server as ages in microseconds; None for never."""
+    """A server's record with relative times in microseconds; None for never."""
 
     strikes: int
-    shut_for_us: int
+    shut_for_us: int  # how long its exclusion still lasts
     last_attempt_ago_us: int | None
 
 
 def evaluate_record(
     record: ServerRecord | None, started_us: int | None, wall_us: int
 ) -> tuple[RecordVerdict, RecoveredServer | None]:
-    """Whether the record of a server is used, and what it yields.
+    """Whether the record of a server is used, and the values to use.
 
     Args:
-        record: the record; None for one that can't be read.
-        started_us: the wall time at which the server's process started by the endpoint list; None where the
-            list has no such server, 0 where that is long ago.
-        wall_us: the present wall time.
+        record: the record; None for one that can't be decoded.
+        started_us: the wall time at which the server's process started according to the endpoint list; None
+            if the list does not contain the server, 0 for long ago.
+        wall_us: the current wall time.
     """
     if record is None:
         return RecordVerdict.UNREADABLE, None
@@ -167,16 +167,17 @@
 
 
 def budget_ages_us(times_us: Sequence[int], wall_us: int, window_us: int) -> list[int]:
-    """The ages, in microseconds, of what still counts in a budget's window; the oldest first.
+    """The ages in microseconds of the entries within a budget's window, the oldest first.
 
-    What a clock that went back puts into the future counts as spent now: a budget must not refill by it.
+    An entry in the future, after the clock was set back, counts as spent now, so that the budget does not
+    refill.
     """
     ages_us = [max(0, wall_us - time_us) for time_us in times_us]
     return sorted((age_us for age_us in ages_us if age_us < window_us), reverse=True)
 
 
 def record_changes(new: Iterable[tuple[bytes, bytes]], saved: dict[bytes, bytes]) -> list[Change]:
-    """The changes that turn the saved records into the new ones; None deletes a key."""
+    """The changes that turn the stored records into the new ones; None deletes a key."""
     wanted = dict(new)
     changes: list[Change] = [(key, raw) for key, raw in wanted.items() if saved.get(key) != raw]
     changes += [(key, None) for key in saved if key not in wanted]
--- a/packages/decisions-recovery/src/fennelcove/decisions/recovery/write_behind.py
+++ b/packages/decisions-recovery/src/fennelcove/decisions/recovery/write_behind.py
@@ -1,7 +1,7 @@
-"""The queue between a store and its writer thread, and what the writer does when its disk is full or broken.
+"""The queue between a store and its writer thread, and its behaviour when the disk is full or fails.
 
-Nothing that answers a client waits for the disk. Changes wait in a bounded table in which the newest value of
-a key replaces the older one; once the disk works again, the newest value is what is written. Times are in
+No response to a client waits for the disk. Changes wait in a bounded table in which the newest value of a key
+replaces the older one; once the disk works again, only the newest values are written. Times are in
 microseconds.
 """
 
@@ -23,11 +23,11 @@
 
 
 class WriterState(Enum):
-    """The state of the disk, as far as the last write shows."""
+    """The state of the disk according to the last write."""
 
     WRITING = auto()
-    DISK_FULL = auto()  # retried after a pause
-    FAILING = auto()  # any other error: retried as well, as an operator may mend it
+    DISK_FULL = auto()  # the write is retried after a backoff
+    FAILING = auto()  # any other error: retried as well, since an operator may repair it
 
 
 class WriterEvent(Enum):
@@ -44,7 +44,7 @@
     LOG_DISK_FULL = auto()
     LOG_WRITE_FAILED = auto()
     LOG_RECOVERED = auto()
-    BACK_OFF = auto()  # each pause is twice as long as the one before
+    BACK_OFF = auto()  # each delay is twice as long as the one before
 
 
 _DISK_FULL = Transition(WriterState.DISK_FULL, (WriterAction.LOG_DISK_FULL, WriterAction.BACK_OFF))
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class WriteBehindQueue:
-    """The changes to write, and when; the caller holds the lock and supplies times."""
+    """The pending changes and when to write them; the caller holds the lock and supplies times."""
 
     state: WriterState = WriterState.WRITING
     pending: OrderedDict[bytes, bytes | None] = field(default_factory=OrderedDict)
@@ -80,7 +80,7 @@
     dropped_count: int = 0
 
     def put(self, key: bytes, value: bytes | None, now_us: int) -> None:
-        """Add a change; beyond the limit, the key that has waited longest is dropped."""
+        """Add a change; beyond the bound, the key that has waited longest is dropped."""
         if not self.pending:
             self.pending_since_us = now_us
         self.pending[key] = value
@@ -106,7 +106,7 @@
         return batch
 
     def requeue(self, batch: list[Change]) -> None:
-        """Put back a batch that was not written, except for keys with a newer change."""
+        """Return a batch that was not written to the queue, except for keys with a newer change."""
         for key, value in reversed(batch):
             if key not in self.pending:
                 self.pending[key] = value
@@ -114,7 +114,7 @@
         self._drop_excess()
 
     def on_write_completed(self, event: WriterEvent, now_us: int) -> tuple[WriterAction, ...]:
-        """Handle the result of a write; the actions to carry out, in order."""
+        """Handle the result of a write; return the actions to carry out, in order."""
         transition = TRANSITIONS.apply(self.state, event)
         self.state = transition.state
         if WriterAction.BACK_OFF in transition.actions:
