--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""Background work: what runs first, what it may take, and that nothing starves."""
+"""Background tasks: their order, the time that they may use, and that none starves."""
 
 from __future__ import annotations
 
@@ -21,34 +21,36 @@
 MS = 1000
 
 
-def played(schedule: BackgroundScheduler, costs: dict[str, int], for_us: int) -> tuple[int, int]:
-    """Run a schedule in simulated time; the time passed and the time taken."""
-    now_us = taken = 0
-    while now_us < for_us:
-        pick = schedule.next_task(now_us)
-        if pick.task is None:
-            now_us += pick.wait_us
+def run_schedule(
+    scheduler: BackgroundScheduler, run_us_by_name: dict[str, int], duration_us: int
+) -> tuple[int, int]:
+    """Run a scheduler in simulated time; return the elapsed time and the time used by tasks."""
+    now_us = used_us = 0
+    while now_us < duration_us:
+        scheduled = scheduler.next_task(now_us)
+        if scheduled.task is None:
+            now_us += scheduled.wait_us
             continue
-        began_us = now_us
-        now_us += costs[pick.task.name]
-        taken += costs[pick.task.name]
-        schedule.on_run_completed(pick.task, began_us, now_us)
-    return now_us, taken
+        started_us = now_us
+        now_us += run_us_by_name[scheduled.task.name]
+        used_us += run_us_by_name[scheduled.task.name]
+        scheduler.on_run_completed(scheduled.task, started_us, now_us)
+    return now_us, used_us
 
 
-class ScheduleTest(unittest.TestCase):
-    def made(self, *tasks: BackgroundTask) -> BackgroundScheduler:
-        schedule = BackgroundScheduler(0)
+class BackgroundSchedulerTest(unittest.TestCase):
+    def new_scheduler(self, *tasks: BackgroundTask) -> BackgroundScheduler:
+        scheduler = BackgroundScheduler(0)
         for task in tasks:
-            schedule.add(task, 0)
-        return schedule
+            scheduler.add(task, 0)
+        return scheduler
 
-    def test_what_somebody_waits_for_goes_first_and_what_is_past_its_time_before_that(self) -> None:
-        viewers = BackgroundTask("v", TaskPriority.CLIENT_FACING, 100 * MS, 100 * MS)
-        house = BackgroundTask("h", TaskPriority.HOUSEKEEPING, 100 * MS, 50 * MS)
-        schedule = self.made(house, viewers)
-        assert schedule.next_task(0).task is viewers
-        assert schedule.next_task(60 * MS).task is house
+    def test_client_facing_tasks_run_first_and_overdue_tasks_before_them(self) -> None:
+        client_facing = BackgroundTask("v", TaskPriority.CLIENT_FACING, 100 * MS, 100 * MS)
+        housekeeping = BackgroundTask("h", TaskPriority.HOUSEKEEPING, 100 * MS, 50 * MS)
+        scheduler = self.new_scheduler(housekeeping, client_facing)
+        assert scheduler.next_task(0).task is client_facing
+        assert scheduler.next_task(60 * MS).task is housekeeping
 
     @given(
         st.lists(
@@ -63,50 +65,54 @@
         )
     )
     @settings(max_examples=150, deadline=None)
-    def test_nothing_starves_and_the_whole_keeps_to_its_share_where_deadlines_allow(
-        self, told: list[tuple[TaskPriority, int, int, int]]
+    def test_no_task_starves_and_the_time_share_holds_unless_deadlines_pass(
+        self, given_tasks: list[tuple[TaskPriority, int, int, int]]
     ) -> None:
         tasks = [
-            BackgroundTask(f"t{i}", p, every * MS, late * MS) for i, (p, every, late, _) in enumerate(told)
+            BackgroundTask(f"t{i}", priority, interval * MS, max_delay * MS)
+            for i, (priority, interval, max_delay, _) in enumerate(given_tasks)
         ]
-        costs = {f"t{i}": cost * MS for i, (*_, cost) in enumerate(told)}
-        schedule = self.made(*tasks)
-        passed, taken = played(schedule, costs, 20_000 * MS)
-        longest = sum(costs.values())
+        run_us_by_name = {f"t{i}": cost * MS for i, (*_, cost) in enumerate(given_tasks)}
+        scheduler = self.new_scheduler(*tasks)
+        elapsed_us, used_us = run_schedule(scheduler, run_us_by_name, 20_000 * MS)
+        total_run_us = sum(run_us_by_name.values())
         for task in tasks:
             assert task.run_count > 0
-            # Past its deadline it goes before all that are not; only others as late can be before it.
-            assert task.max_lateness_us <= task.max_delay_us + longest
-        assert schedule.budget_us >= -MAX_DEBT_US
+            # After its deadline a task runs before all that are not overdue, so only other overdue tasks can
+            # delay it further.
+            assert task.max_lateness_us <= task.max_delay_us + total_run_us
+        assert scheduler.budget_us >= -MAX_DEBT_US
         if not any(task.max_lateness_us >= task.max_delay_us for task in tasks):
-            assert taken <= schedule.time_share * passed + MAX_SAVED_US + longest
+            assert used_us <= scheduler.time_share * elapsed_us + MAX_SAVED_US + total_run_us
 
-    def test_a_dear_task_waits_for_its_budget_and_a_cheap_one_does_not(self) -> None:
-        dear = BackgroundTask("dear", TaskPriority.CLIENT_FACING, 100 * MS, 10_000 * MS)
+    def test_an_expensive_task_waits_for_the_budget_and_a_cheap_one_does_not(self) -> None:
+        expensive = BackgroundTask("expensive", TaskPriority.CLIENT_FACING, 100 * MS, 10_000 * MS)
         cheap = BackgroundTask("cheap", TaskPriority.HOUSEKEEPING, 100 * MS, 10_000 * MS)
-        schedule = self.made(dear, cheap)
-        passed, taken = played(schedule, {"dear": 40 * MS, "cheap": MS // 10}, 30_000 * MS)
-        assert taken / passed < 0.12
-        assert cheap.run_count > 2 * dear.run_count
-        assert dear.skipped_count > 0
-
-    def test_one_that_hung_once_does_not_stop_the_rest_for_long(self) -> None:
-        hung, other = (
-            BackgroundTask("hung", TaskPriority.SNAPSHOT, 1000 * MS, 500 * MS),
+        scheduler = self.new_scheduler(expensive, cheap)
+        elapsed_us, used_us = run_schedule(scheduler, {"expensive": 40 * MS, "cheap": MS // 10}, 30_000 * MS)
+        assert used_us / elapsed_us < 0.12
+        assert cheap.run_count > 2 * expensive.run_count
+        assert expensive.skipped_count > 0
+
+    def test_a_task_that_stalled_once_does_not_block_the_others_for_long(self) -> None:
+        stalled, other = (
+            BackgroundTask("stalled", TaskPriority.SNAPSHOT, 1000 * MS, 500 * MS),
             BackgroundTask("o", TaskPriority.SNAPSHOT, 1000 * MS, 500 * MS),
         )
-        schedule = self.made(hung, other)
-        schedule.on_run_completed(hung, 0, 60_000 * MS)
+        scheduler = self.new_scheduler(stalled, other)
+        scheduler.on_run_completed(stalled, 0, 60_000 * MS)
         now_us = 60_000 * MS
-        assert schedule.next_task(now_us).task is other
-        schedule.on_run_completed(other, now_us, now_us + MS)
-        assert schedule.next_task(now_us + 2 * MS).wait_us < 1000 * MS
+        assert scheduler.next_task(now_us).task is other
+        scheduler.on_run_completed(other, now_us, now_us + MS)
+        assert scheduler.next_task(now_us + 2 * MS).wait_us < 1000 * MS
 
 
 class BackgroundTest(unittest.TestCase):
-    def test_one_that_fails_is_told_and_the_others_go_on(self) -> None:
-        told, runs = list[str](), list[int]()
-        background = Background(SystemClock(), lambda event, **fields: told.append(str(fields["task"])))
+    def test_a_failing_task_is_logged_and_the_others_continue(self) -> None:
+        logged_tasks, runs = list[str](), list[int]()
+        background = Background(
+            SystemClock(), lambda event, **fields: logged_tasks.append(str(fields["task"]))
+        )
 
         def fail() -> None:
             raise ValueError("no")
@@ -114,9 +120,9 @@
         background.add("bad", TaskPriority.CLIENT_FACING, MS, MS, fail)
         background.add("good", TaskPriority.SNAPSHOT, MS, MS, lambda: runs.append(1))
         background.start()
-        wait_for(lambda: len(runs) > 3 and len(told) > 3, "both")
+        wait_for(lambda: len(runs) > 3 and len(logged_tasks) > 3, "runs of both tasks")
         background.stop()
-        assert set(told) == {"bad"}
+        assert set(logged_tasks) == {"bad"}
         assert not background.thread.is_alive()
         assert set(background.status()) == {"bad", "good"}
 
