--- a/packages/decisions-operators/src/fennelcove/decisions/operators/__init__.py
+++ b/packages/decisions-operators/src/fennelcove/decisions/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators may do, and how a front ends."""
+"""Decisions about operators' commands, and about the shutdown of a front."""
--- a/packages/decisions-operators/src/fennelcove/decisions/operators/command_authorization.py
+++ b/packages/decisions-operators/src/fennelcove/decisions/operators/command_authorization.py
@@ -1,7 +1,7 @@
 """Authorization of operators' commands: signed, for this front, fresh, not replayed, and permitted.
 
-A command is signed with a key that both sides hold, over everything in it: the front it is for, method, path,
-body, when it was made, and a nonce. So it can't be altered, sent to another front, or sent again.
+A command is signed with a shared key. The signature covers the addressed front, the method, the path, the
+body, the time and a nonce, so that a command can't be altered, sent to another front, or replayed.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
     GRANTED = "granted"
     UNSIGNED = "unsealed"  # no signature, or a malformed one
-    WRONG_KEY = "wrong-key"  # signed under no key of this front, or altered, or for another front
-    STALE = "stale"  # made too long ago, or in the future
+    WRONG_KEY = "wrong-key"  # signed with no key of this front, or altered, or for another front
+    STALE = "stale"  # its time is too far in the past or in the future
     REPLAYED = "replayed"
     NOT_PERMITTED = "not-permitted"
-    BUSY = "busy"  # more commands than nonces can be remembered
+    BUSY = "busy"  # more commands in a short time than nonces can be stored
 
 
 REMEDIES: dict[CommandVerdict, str] = {
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SignedCommand:
-    """Everything that the signature covers."""
+    """A command, consisting of everything that the signature covers."""
 
     front: str
     method: str
@@ -60,19 +60,19 @@
     nonce: str
 
     def signed_bytes(self) -> bytes:
-        """The bytes that are signed; their lengths keep two fields from being read as one."""
+        """The bytes that are signed; the length of each field makes them unambiguous."""
         texts = (self.front, self.method, self.path, str(self.wall_us), self.nonce)
         parts = [text.encode() for text in texts]
         parts.append(self.body)
         return b"".join(b"%d:%b" % (len(part), part) for part in parts)
 
     def signature(self, mac: Mac) -> str:
-        """The signature under a key's MAC, as text."""
+        """The signature with a key's MAC, as text."""
         return base64.urlsafe_b64encode(mac(self.signed_bytes())).decode().rstrip("=")
 
 
 def sign_command(command: SignedCommand, key_name: str, mac: Mac) -> str:
-    """The header field of a command, under the key of this name."""
+    """The header field of a command, signed with the key of this name."""
     return f"{key_name}:{command.wall_us}:{command.nonce}:{command.signature(mac)}"
 
 
@@ -80,7 +80,7 @@
     """A key that signs commands."""
 
     mac: Mac
-    may_change: bool  # whether it permits commands that change anything
+    may_change: bool  # whether it permits commands that change state
 
 
 class CommandCheck(NamedTuple):
@@ -91,7 +91,7 @@
 
 
 class _Signature(NamedTuple):
-    """The header field of a command."""
+    """The parsed header field of a command."""
 
     key_name: str
     wall_us: int
@@ -104,9 +104,9 @@
 
 @dataclass(slots=True)
 class CommandAuthorizer:
-    """One front's keys and the nonces of recent commands; the caller holds the lock.
+    """Authorizes commands by one front's keys and the nonces of recent commands; the caller holds the lock.
 
-    Keys are by name: a MAC, and whether it permits changes, as `CommandKey`.
+    `keys` has, for each key name, the fields of a `CommandKey`: the MAC, and whether it permits changes.
     """
 
     front: str
@@ -123,7 +123,7 @@
             method: its HTTP method.
             path: its path.
             body: its body.
-            changes: whether it changes anything.
+            changes: whether it changes state.
             wall_us: the wall time in microseconds.
         """
         signature = _parse(header or "")
@@ -142,17 +142,17 @@
         return CommandCheck(verdict, signature.key_name)
 
     def _verified_key(self, command: SignedCommand, signature: _Signature) -> CommandKey | None:
-        """The key under which the command is signed; None where it is not."""
+        """The key with which the command is signed; None if the signature is wrong."""
         pair = self.keys.get(signature.key_name)
         key = CommandKey(*pair) if pair is not None else None
-        # Without such a key another one is used, so that the response takes as long.
+        # For an unknown key name another MAC is computed, so that the response takes as long.
         mac = key.mac if key is not None else _unknown_key_mac
         expected = command.signature(mac).encode()
         presented = signature.signature.encode("utf-8", "replace")
         return key if hmac.compare_digest(expected, presented) else None
 
     def _use_nonce(self, signature: _Signature, wall_us: int) -> CommandVerdict:
-        """Remember the command's nonce: granted where it is new."""
+        """Store the command's nonce; the command is granted if the nonce is new."""
         self._evict_expired(wall_us)
         nonce = f"{signature.key_name}:{signature.nonce}"
         if nonce in self.nonces:
@@ -165,14 +165,14 @@
     def _evict_expired(self, wall_us: int) -> None:
         while self.nonces:
             nonce, made_wall_us = next(iter(self.nonces.items()))
-            # Remembered for twice the skew: a command made a minute ahead is fresh for two.
+            # Stored for twice the skew: a command with a time one minute ahead is fresh for two minutes.
             if wall_us - made_wall_us <= 2 * MAX_CLOCK_SKEW_US:
                 return
             del self.nonces[nonce]
 
 
 def _parse(header: str) -> _Signature | None:
-    """The parts of a header field; None where it is malformed."""
+    """The parts of a header field; None if it is malformed."""
     parts = header.split(":")
     if len(parts) != HEADER_PARTS:
         return None
--- a/packages/decisions-operators/src/fennelcove/decisions/operators/convergence.py
+++ b/packages/decisions-operators/src/fennelcove/decisions/operators/convergence.py
@@ -1,4 +1,4 @@
-"""Waiting for many fronts to reach a state: which have, which have not yet, and when to stop polling."""
+"""Waiting until many fronts have reached a state: the progress of each, and when to stop polling."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from fennelcove.state_machine import Transition, TransitionTable
 
 POLL_INTERVAL_US = 500_000
-# Responses in a row that must match: a front about to be given work may be empty for a moment.
+# Consecutive responses that must match: a front may be empty for a moment before it gets new work.
 CONFIRMATIONS = 2
 
 
@@ -21,11 +21,11 @@
     UNSEEN = auto()
     NOT_YET = auto()
     THERE = auto()
-    MUTE = auto()  # the last poll got no response
+    MUTE = auto()  # no response to the last poll
 
 
 class ConvergenceEvent(Enum):
-    """What the latest poll of a front shows."""
+    """The result of a poll of a front."""
 
     MATCHED = auto()
     DIFFERED = auto()
@@ -42,7 +42,7 @@
         (ConvergenceState.NOT_YET, ConvergenceEvent.NO_RESPONSE): Transition(ConvergenceState.MUTE),
         (ConvergenceState.THERE, ConvergenceEvent.MATCHED): Transition(ConvergenceState.THERE),
         (ConvergenceState.THERE, ConvergenceEvent.DIFFERED): Transition(ConvergenceState.NOT_YET),
-        # A front that had converged and no longer responds may have changed: its state is unknown.
+        # A front that had converged and no longer responds may have changed, so its state is unknown.
         (ConvergenceState.THERE, ConvergenceEvent.NO_RESPONSE): Transition(ConvergenceState.MUTE),
         (ConvergenceState.MUTE, ConvergenceEvent.MATCHED): Transition(ConvergenceState.THERE),
         (ConvergenceState.MUTE, ConvergenceEvent.DIFFERED): Transition(ConvergenceState.NOT_YET),
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredState:
-    """The state waited for; None where it does not matter."""
+    """The state to wait for; a value of None matches any."""
 
     phase: str | None = None
     max_sessions: int | None = None
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class ConvergenceWait:
-    """All fronts that are waited for; times in microseconds."""
+    """The wait for all fronts; times in microseconds."""
 
     desired: DesiredState
     deadline_us: int
@@ -95,12 +95,12 @@
 
     @property
     def has_converged(self) -> bool:
-        """Whether every front has reached the desired state, in enough polls in a row."""
+        """Whether every front has matched the desired state in `CONFIRMATIONS` consecutive polls."""
         matches = self.consecutive_matches.values()
         return bool(matches) and all(count >= CONFIRMATIONS for count in matches)
 
     def poll_delay_us(self, now_us: int) -> int | None:
-        """How long until the next round; None where the wait is over."""
+        """The time until the next round of polls; None if the wait is over."""
         if self.has_converged or now_us >= self.deadline_us:
             return None
         return min(POLL_INTERVAL_US, self.deadline_us - now_us)
--- a/packages/decisions-operators/src/fennelcove/decisions/operators/graceful_shutdown.py
+++ b/packages/decisions-operators/src/fennelcove/decisions/operators/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown of a front: no new work, a response to everything pending, and an end by a set time.
+"""Graceful shutdown of a front: no new work, a response to every pending request, and a time limit.
 
-Sessions go on at their servers. Pending requests are given the time that is left, less what their responses
-need.
+Sessions continue at their servers. Pending requests may use the remaining time, less the part that is
+reserved for their responses.
 """
 
 from __future__ import annotations
@@ -11,33 +11,33 @@
 
 from fennelcove.state_machine import Transition, TransitionTable, Unlisted
 
-# The fraction of the time limit that is kept for responses after the last attempt is given up.
+# The fraction of the time limit that is reserved for responses after the last attempt is cancelled.
 RESPONSE_FRACTION = 0.25
 
 
 class ShutdownState(Enum):
-    """How far the shutdown has come."""
+    """The progress of the shutdown."""
 
     RUNNING = auto()
     DRAINING = auto()  # no new work, attempts in flight may complete
-    RESPONDING = auto()  # attempts are given up, responses are sent
-    STOPPED = auto()  # stopped
+    RESPONDING = auto()  # attempts are cancelled, responses are sent
+    STOPPED = auto()
 
 
 class ShutdownEvent(Enum):
-    """What advances it."""
+    """An event that advances the shutdown."""
 
-    REQUESTED = auto()  # requested, by a signal or an operator
+    REQUESTED = auto()  # by a signal or an operator
     IDLE = auto()  # no response is pending any more
-    DEADLINE_REACHED = auto()  # the time limit of the state is reached
+    DEADLINE_REACHED = auto()  # the time limit of the state
 
 
 class ShutdownAction(Enum):
-    """What the caller carries out."""
+    """An action that the caller carries out."""
 
     STOP_ACCEPTING = auto()
-    CANCEL_ATTEMPTS = auto()  # cancel the attempts in flight
-    CLOSE_CONNECTIONS = auto()  # close all connections
+    CANCEL_ATTEMPTS = auto()  # those in flight
+    CLOSE_CONNECTIONS = auto()  # all of them
 
 
 TRANSITIONS: TransitionTable[ShutdownState, ShutdownEvent, ShutdownAction] = TransitionTable(
@@ -51,7 +51,7 @@
         (ShutdownState.DRAINING, ShutdownEvent.DEADLINE_REACHED): Transition(
             ShutdownState.RESPONDING, (ShutdownAction.CANCEL_ATTEMPTS,)
         ),
-        # A second signal comes from an operator who will wait no longer.
+        # A second signal comes from an operator who does not want to wait any longer.
         (ShutdownState.DRAINING, ShutdownEvent.REQUESTED): Transition(
             ShutdownState.RESPONDING, (ShutdownAction.CANCEL_ATTEMPTS,)
         ),
@@ -68,20 +68,20 @@
     unlisted=Unlisted.IGNORE,
 )
 
-# The fraction of the time limit at which a state ends; the other states have no time.
+# The fraction of the time limit at which a state ends; the other states have no time limit.
 _END_FRACTIONS = {ShutdownState.DRAINING: 1 - RESPONSE_FRACTION, ShutdownState.RESPONDING: 1.0}
 
 
 @dataclass(slots=True)
 class GracefulShutdown:
-    """The shutdown of one front, which may take `stop_us`; times in microseconds."""
+    """The shutdown of one front within a time limit; times in microseconds."""
 
     time_limit_us: int
     state: ShutdownState = ShutdownState.RUNNING
     requested_us: int = 0  # when it was requested
 
     def apply(self, event: ShutdownEvent, now_us: int) -> tuple[ShutdownAction, ...]:
-        """Apply an event; the actions to carry out, in order. An event out of place changes nothing."""
+        """Apply an event; return the actions to carry out, in order. An unexpected event changes nothing."""
         transition = TRANSITIONS.apply(self.state, event)
         if self.state is ShutdownState.RUNNING and event is ShutdownEvent.REQUESTED:
             self.requested_us = now_us
@@ -89,6 +89,6 @@
         return transition.actions
 
     def remaining_us(self, now_us: int) -> int:
-        """How long the current state may still take."""
+        """How long the current state may still last."""
         end_us = self.requested_us + round(self.time_limit_us * _END_FRACTIONS.get(self.state, 0.0))
         return max(0, end_us - now_us)
--- a/packages/decisions-operators/src/fennelcove/decisions/operators/reachability.py
+++ b/packages/decisions-operators/src/fennelcove/decisions/operators/reachability.py
@@ -1,7 +1,7 @@
-"""What became of a call to one front, with a status for each way in which it can fail.
+"""The outcome of a call to one front, with a status for each way in which a call can fail.
 
-Whether a command took effect is known only from a response. Where no complete response came after it was
-sent, it may have: such a call is indeterminate, and never counts as done or as failed.
+Only a response shows whether a command took effect. If a command was sent and no complete response arrived,
+it may have taken effect: such a call is indeterminate, and counts neither as done nor as failed.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 
     DONE = "done"
     UNRESOLVED = "unresolved"  # no such host
-    REFUSED = "refused"  # nothing listens there
-    UNREACHABLE = "unreachable"  # no connection within its time
-    SILENT = "silent"  # connected, and no response
-    CUT_SHORT = "cut-short"  # a response began and was not completed
-    GARBLED = "garbled"  # the response is malformed
+    REFUSED = "refused"  # the connection was refused
+    UNREACHABLE = "unreachable"  # the connection timed out
+    SILENT = "silent"  # connected, but no response
+    CUT_SHORT = "cut-short"  # an incomplete response
+    GARBLED = "garbled"  # a malformed response
     WRONG_KEY = "wrong-key"
     NOT_PERMITTED = "not-permitted"
-    OTHER_FRONT = "other-front"  # it has another name than in the inventory
-    DECLINED = "declined"  # it responded with an error
-    NOT_ASKED = "not-asked"  # the time for all calls was over before its turn
+    OTHER_FRONT = "other-front"  # the front's name differs from the one in the inventory
+    DECLINED = "declined"  # the front responded with an error
+    NOT_ASKED = "not-asked"  # the time limit of all calls passed before this call started
 
 
 class CallProgress(Enum):
-    """How far the call came."""
+    """The progress of a call when it failed."""
 
     RESOLVING = auto()
     CONNECTING = auto()
     SENT = auto()
-    RESPONSE_STARTED = auto()  # a response began
+    RESPONSE_STARTED = auto()
 
 
 class CallFailure(Enum):
-    """What ended it."""
+    """The cause of a failed call."""
 
     HOST_NOT_FOUND = auto()
     CONNECTION_REFUSED = auto()
-    TIMED_OUT = auto()  # it timed out
-    CONNECTION_CLOSED = auto()  # the front closed the connection
+    TIMED_OUT = auto()
+    CONNECTION_CLOSED = auto()  # by the front
     MALFORMED_RESPONSE = auto()
 
 
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOutcome:
-    """What became of one call: the front's name, the status, and the body of its response."""
+    """The outcome of one call: the front's name, the status, and the body of its response."""
 
     front: str
     status: CallStatus
@@ -93,7 +93,7 @@
 
     @property
     def is_indeterminate(self) -> bool:
-        """Whether the front may have carried out the command."""
+        """Whether the command may have taken effect."""
         return self.status in INDETERMINATE_STATUSES
 
 
@@ -112,7 +112,7 @@
 
 
 class ExitCode(Enum):
-    """The exit status of a command line call to many fronts."""
+    """The exit status of a command that calls many fronts."""
 
     ALL_DONE = 0
     SOME_FAILED = 1
@@ -122,7 +122,7 @@
 def exit_code(outcomes: Iterable[CallOutcome], is_command: bool) -> ExitCode:
     """The exit status of calls to many fronts.
 
-    A query without a response has failed; a command without one may have taken effect.
+    A query without a response has failed, while a command without one may have taken effect.
     """
     found = list(outcomes)
     if is_command and any(outcome.is_indeterminate for outcome in found):
--- a/packages/decisions-operators/src/fennelcove/decisions/operators/shadow_policy.py
+++ b/packages/decisions-operators/src/fennelcove/decisions/operators/shadow_policy.py
@@ -1,7 +1,8 @@
-"""What another shape of settings would decide, beside what is decided: counted by kind, never carried out.
+"""A shadow policy: counts how other settings would decide, without carrying out their decisions.
 
-A second front is told all that the first is told, with the chance of the same moment, and then set to what
-was really decided: so that each count is of one decision, and none of what would have followed from it.
+The shadow policy receives the same events as the actual one, with the same state of the random source. After
+each event its sessions are set to what was actually decided, so that each count is about a single decision
+and not about its consequences.
 """
 
 from __future__ import annotations
@@ -13,45 +14,45 @@
 from fennelcove.interface import Effects, Event, Settings, TimerFired
 from fennelcove.placement import Attempt, PlacementPolicy, Session
 
-MOST_KEPT = 256  # decisions of one event that are compared; more come only with a whole fleet's end
+MAX_RECORDED_DECISIONS = 256  # per event; only the loss of a whole fleet leads to more
 
 
 class DecisionKind(Enum):
-    """How two decisions on one subscription differ."""
+    """How the shadow decision on a session differs from the actual one; the values are names of counters."""
 
     SAME = "same"
-    OTHER_BOX = "other_box"
+    OTHER_SERVER = "other_box"
     OTHER_RUNG = "other_rung"
-    WOULD_JOIN = "would_join"
-    WOULD_THROTTLE = "would_throttle"
+    WOULD_JOIN = "would_join"  # would start an attempt, where the request was not served
+    WOULD_THROTTLE = "would_throttle"  # would not serve the request, where an attempt was started
     WOULD_RAISE = "would_raise"
     WOULD_LOWER = "would_lower"
-    WOULD_KEEP = "would_keep"  # the rung, which is changed now
-    WOULD_ASK = "would_ask"  # boxes or fronts, first
+    WOULD_KEEP = "would_keep"  # would not change the rung, which was changed
+    WOULD_ASK = "would_ask"  # would query servers or fronts first
 
 
 class RecordedDecision:
-    """Effects that are kept, by subscription, and handed on where there is somebody to carry them out."""
+    """Records the effects of one event by session, and passes them on if effects are given."""
 
     def __init__(self, effects: Effects | None = None) -> None:
         self.effects = effects
-        self.attempts: dict[str, str | None] = {}  # the box, or None for an answer without any
+        self.attempts: dict[str, str | None] = {}  # the server's address, or None for a response without one
         self.rungs: dict[str, int] = {}
-        self.asked = 0
+        self.query_count = 0
 
     def clear(self) -> None:
-        """Forget the last event's decisions."""
+        """Discard the recorded decisions of the last event."""
         self.attempts.clear()
         self.rungs.clear()
-        self.asked = 0
+        self.query_count = 0
 
     def __getattr__(self, name: str) -> Any:
         def effect(*args: Any) -> None:
-            if name in ("start_attempt", "reject", "fail") and len(self.attempts) < MOST_KEPT:
+            if name in ("start_attempt", "reject", "fail") and len(self.attempts) < MAX_RECORDED_DECISIONS:
                 self.attempts[args[0]] = args[1] if name == "start_attempt" else None
-            elif name == "set_rung" and len(self.rungs) < MOST_KEPT:
+            elif name == "set_rung" and len(self.rungs) < MAX_RECORDED_DECISIONS:
                 self.rungs[args[0]] = args[1]
-            self.asked += name in ("probe", "send_peer_message")
+            self.query_count += name in ("probe", "send_peer_message")
             if self.effects is not None:
                 getattr(self.effects, name)(*args)
 
@@ -59,71 +60,85 @@
 
 
 class ShadowedPolicy(PlacementPolicy):
-    """A front that decides as ever, with one of other settings beside it."""
-
-    def __init__(self, now: Settings, other: Settings, seed: int, effects: Effects, now_us: int) -> None:
-        self.decided, self.would = RecordedDecision(effects), RecordedDecision()
-        super().__init__(now, seed, self.decided, now_us)
-        self.other = PlacementPolicy(other, seed, self.would, now_us)
+    """A placement policy that decides as usual, with a shadow policy of other settings beside it."""
+
+    def __init__(
+        self, settings: Settings, shadow_settings: Settings, seed: int, effects: Effects, now_us: int
+    ) -> None:
+        self.actual_decision, self.shadow_decision = RecordedDecision(effects), RecordedDecision()
+        super().__init__(settings, seed, self.actual_decision, now_us)
+        self.other = PlacementPolicy(shadow_settings, seed, self.shadow_decision, now_us)
         self.counts = dict.fromkeys(DecisionKind, 0)
 
     def handle(self, event: Event, now_us: int) -> None:
-        """As ever; what the other settings make of the same moment is counted."""
-        for decided in (self.decided, self.would):
-            decided.clear()
-        rng = random_of(self).getstate()
+        """Handle an event as usual, and count how the shadow policy decides on the same event."""
+        for decision in (self.actual_decision, self.shadow_decision):
+            decision.clear()
+        random_state = _random_source(self).getstate()
         super().handle(event, now_us)
         if isinstance(event, TimerFired):
-            return  # each front has timers of its own, and only this one's are run
-        random_of(self.other).setstate(rng)
+            return  # each policy has its own timers, and only those of the actual policy fire
+        _random_source(self.other).setstate(random_state)
         self.other.handle(event, now_us)
-        if self.would.asked:
+        if self.shadow_decision.query_count:
             self.counts[DecisionKind.WOULD_ASK] += 1
-            # No reply will come: it decides by what it knows, as it would where a reply is lost.
+            # Its queries are not sent, so it decides by what it knows, as if the responses were lost.
             self.other.now_us = max(
                 (self.other.poll_deadline_us(session) for session in self.other.polling_sessions),
                 default=now_us,
             )
             self.other.on_poll_timeout()
             self.other.now_us = now_us
-        decisions = (self.decided.attempts, self.decided.rungs, self.would.attempts, self.would.rungs)
-        for id in dict.fromkeys(id for decided in decisions for id in decided):
-            self.counts[self.kind(id)] += 1
-            self.align(id)
+        decisions = (
+            self.actual_decision.attempts,
+            self.actual_decision.rungs,
+            self.shadow_decision.attempts,
+            self.shadow_decision.rungs,
+        )
+        for session_id in dict.fromkeys(session_id for decision in decisions for session_id in decision):
+            self.counts[self.compare(session_id)] += 1
+            self.align(session_id)
 
     def told(self) -> dict[str, int]:
-        """The counts, by kind."""
+        """The counts by the values of `DecisionKind`, as the status response has them."""
         return {kind.value: count for kind, count in self.counts.items()}
 
-    def kind(self, id: str) -> DecisionKind:
-        """How the decisions of one event differ for one subscription."""
-        did, would = self.decided, self.would
-        if id in did.attempts or id in would.attempts:
-            server, other = did.attempts.get(id), would.attempts.get(id)
-            if server is None or other is None:
+    def compare(self, session_id: str) -> DecisionKind:
+        """How the two decisions of one event differ for one session."""
+        actual, shadow = self.actual_decision, self.shadow_decision
+        if session_id in actual.attempts or session_id in shadow.attempts:
+            server, shadow_server = actual.attempts.get(session_id), shadow.attempts.get(session_id)
+            if server is None or shadow_server is None:
                 return (
                     DecisionKind.SAME
-                    if server == other
+                    if server == shadow_server
                     else DecisionKind.WOULD_JOIN
                     if server is None
                     else DecisionKind.WOULD_THROTTLE
                 )
-            if server != other:
-                return DecisionKind.OTHER_BOX
-            return DecisionKind.SAME if did.rungs.get(id) == would.rungs.get(id) else DecisionKind.OTHER_RUNG
-        if id not in would.rungs:
+            if server != shadow_server:
+                return DecisionKind.OTHER_SERVER
+            return (
+                DecisionKind.SAME
+                if actual.rungs.get(session_id) == shadow.rungs.get(session_id)
+                else DecisionKind.OTHER_RUNG
+            )
+        if session_id not in shadow.rungs:
             return DecisionKind.WOULD_KEEP
-        rung = did.rungs.get(id, self.sessions[id].rung if id in self.sessions else would.rungs[id])
-        if rung == would.rungs[id]:
+        rung = actual.rungs.get(
+            session_id,
+            self.sessions[session_id].rung if session_id in self.sessions else shadow.rungs[session_id],
+        )
+        if rung == shadow.rungs[session_id]:
             return DecisionKind.SAME
-        return DecisionKind.WOULD_RAISE if rung < would.rungs[id] else DecisionKind.WOULD_LOWER
-
-    def align(self, id: str) -> None:
-        """Set the other front's subscription to what it really is, on the box where it really is."""
-        theirs, session = self.other.sessions.pop(id, None), self.sessions.get(id)
-        for attempt in theirs.attempts if theirs is not None else ():
-            if theirs in attempt.server.sessions:
-                self.other.close_attempt(theirs, attempt)
+        return DecisionKind.WOULD_RAISE if rung < shadow.rungs[session_id] else DecisionKind.WOULD_LOWER
+
+    def align(self, session_id: str) -> None:
+        """Set the shadow policy's session to the actual state, at the server where it actually is."""
+        shadow_session, session = self.other.sessions.pop(session_id, None), self.sessions.get(session_id)
+        for attempt in shadow_session.attempts if shadow_session is not None else ():
+            if shadow_session in attempt.server.sessions:
+                self.other.close_attempt(shadow_session, attempt)
         if session is None:
             return
         copy = Session(
@@ -137,20 +152,21 @@
         )
         copy.expected_play_us, copy.state, copy.rung = session.expected_play_us, session.state, session.rung
         copy.has_report, copy.started_us, copy.awaited = session.has_report, session.started_us, {}
-        copy.quota_share = theirs.quota_share if theirs is not None else session.quota_share
-        self.other.sessions[id] = copy
+        copy.quota_share = shadow_session.quota_share if shadow_session is not None else session.quota_share
+        self.other.sessions[session_id] = copy
         for attempt in session.attempts:
             server = self.other.servers.get(attempt.server.address)
             if server is not None and session in attempt.server.sessions:
                 self.other.open_attempt(copy, server)
             else:
-                # Over, and its box may be on no list: looked up there, it broke the front that decides.
+                # The attempt is closed, and its server may no longer be listed: looking it up there made the
+                # actual policy fail.
                 copy.attempts.append(Attempt(server or attempt.server, attempt.sent_us))
             copy.attempts[-1].sent_us, copy.attempts[-1].may_have_run = attempt.sent_us, attempt.may_have_run
 
 
-def random_of(front: PlacementPolicy) -> Random:
-    """The one source of chance of a front."""
-    source = getattr(front.draw_uniform, "__self__")  # noqa: B009
+def _random_source(policy: PlacementPolicy) -> Random:
+    """The random source of a policy."""
+    source = getattr(policy.draw_uniform, "__self__")  # noqa: B009
     assert isinstance(source, Random)
     return source
