--- a/packages/clock/src/fennelcove/clock/__init__.py
+++ b/packages/clock/src/fennelcove/clock/__init__.py
@@ -1,4 +1,4 @@
-"""The one source of time: whole microseconds since some fixed moment, never going back."""
+"""Clocks: the source of monotonic and wall time for all other code, in whole microseconds."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
     """A source of time."""
 
     def now_us(self) -> int:
-        """Microseconds since some fixed moment; never goes back."""
+        """The monotonic time: microseconds since an arbitrary fixed moment, which never decreases."""
         ...
 
     def wall_us(self) -> int:
-        """Microseconds since 1970, for what people and manifests call a time; it may be set back."""
+        """The wall time: microseconds since 1970, for people and manifests; it may be set back."""
         ...
 
 
 class SystemClock:
-    """The machine's monotonic clock; every process of one machine reads the same.
+    """The machine's monotonic clock, which is the same for all processes of a machine, and its wall clock.
 
-    Its wall clock may be set off by some microseconds, for scenarios that try what a wrong clock does.
+    The wall clock may have an offset in microseconds, for scenarios with a wrong clock.
     """
 
-    def __init__(self, wall_off_us: int = 0) -> None:
-        self.wall_off_us = wall_off_us
+    def __init__(self, wall_offset_us: int = 0) -> None:
+        self.wall_offset_us = wall_offset_us
 
     def now_us(self) -> int:
         """As `Clock.now_us`."""
         return time.monotonic_ns() // 1000
 
     def wall_us(self) -> int:
-        """As `Clock.wall_us`, with the set-off added."""
-        return time.time_ns() // 1000 + self.wall_off_us
+        """As `Clock.wall_us`, with the offset added."""
+        return time.time_ns() // 1000 + self.wall_offset_us
 
 
 class ManualClock:
-    """A clock that moves only when told, for tests and emulation."""
+    """A clock that only moves when `advance` is called, for tests and emulators."""
 
     def __init__(self, now_us: int = 0, wall_from_us: int = 0) -> None:
         self._now_us = now_us
@@ -48,11 +48,11 @@
         return self._now_us
 
     def wall_us(self) -> int:
-        """As `Clock.wall_us`, moved with the monotonic time."""
+        """As `Clock.wall_us`; it advances with the monotonic time."""
         return self._wall_from_us + self._now_us
 
     def advance(self, by_us: int) -> None:
-        """Move on by so many microseconds."""
+        """Advance the clock by this number of microseconds."""
         if by_us < 0:
-            raise ValueError(f"a clock never goes back: {by_us} us")
+            raise ValueError(f"a monotonic clock can't be set back: {by_us} us")
         self._now_us += by_us
--- a/packages/clock/src/fennelcove/clock/timers.py
+++ b/packages/clock/src/fennelcove/clock/timers.py
@@ -1,4 +1,4 @@
-"""The timers of one front: what is due when, and one thread that waits for it."""
+"""The timers of one front: scheduled calls, and the thread that runs them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,21 @@
 
 
 class Timers:
-    """A heap of calls, each due once. `run` belongs to the thread that owns it; `stop` ends it."""
+    """A heap of one-time calls. `run` is called by the thread that runs them; `stop` ends it.
 
-    def __init__(self, clock: Clock, failed: Callable[[Exception], None] | None = None) -> None:
+    `on_failure` gets the exception of a call that fails; without it, the exception ends `run`.
+    """
+
+    def __init__(self, clock: Clock, on_failure: Callable[[Exception], None] | None = None) -> None:
         self.clock = clock
-        self.failed = failed
-        self.due: list[tuple[int, int, Callable[[], None]]] = []
+        self.on_failure = on_failure
+        self.due: list[tuple[int, int, Callable[[], None]]] = []  # a heap of time, sequence number and call
         self.count = 0
         self.stopped = False
         self.changed = threading.Condition()
 
     def after(self, delay_us: int, call: Callable[[], None]) -> bool:
-        """Call once, so much later; False where the bound is reached and the call will not come."""
+        """Schedule a call after this delay; False where the bound is reached and it is not scheduled."""
         with self.changed:
             if len(self.due) >= MOST_TIMERS:
                 return False
@@ -33,7 +36,7 @@
             return True
 
     def ready(self) -> list[Callable[[], None]]:
-        """Take out what is due."""
+        """Remove and return the calls that are due."""
         now_us, calls = self.clock.now_us(), list[Callable[[], None]]()
         with self.changed:
             while self.due and self.due[0][0] <= now_us:
@@ -41,22 +44,22 @@
         return calls
 
     def run(self) -> None:
-        """Make the calls as they fall due, until stopped."""
+        """Run the calls when they are due, until `stop` is called."""
         while not self.stopped:
             for call in self.ready():
                 try:
                     call()
-                except Exception as error:  # one call's fault must not end the timers of all
-                    if self.failed is None:
+                except Exception as error:  # a call that fails must not prevent the others
+                    if self.on_failure is None:
                         raise
-                    self.failed(error)
+                    self.on_failure(error)
             with self.changed:
                 if not self.stopped and (not self.due or self.due[0][0] > self.clock.now_us()):
                     wait_us = self.due[0][0] - self.clock.now_us() if self.due else 1_000_000
                     self.changed.wait(min(1.0, max(0.0, wait_us / 1e6)))
 
     def stop(self) -> None:
-        """End `run` soon; what is not due yet never comes."""
+        """End `run` soon; calls that are not due by then are not made."""
         with self.changed:
             self.stopped = True
             self.changed.notify_all()
--- a/packages/state-machine/src/fennelcove/state_machine/__init__.py
+++ b/packages/state-machine/src/fennelcove/state_machine/__init__.py
@@ -1,8 +1,7 @@
 """Finite-state machines as typed transition tables.
 
 A `TransitionTable` is built once, at import, from rows that map a state and an event to the next state and
-the actions to carry out. It holds no state of its own: the caller keeps the state and carries out the
-actions.
+the actions to carry out. It is stateless: the caller stores the current state and carries out the actions.
 """
 
 from __future__ import annotations
@@ -18,19 +17,19 @@
 
 
 class UnknownTransitionError(KeyError):
-    """The table has no row for this state and event, and does not ignore unlisted pairs."""
+    """The table has no row for this state and event, and rejects unlisted pairs."""
 
 
 class Unlisted(Enum):
-    """What a table does with a pair of state and event that has no row."""
+    """How a table handles a pair of state and event that has no row."""
 
-    REJECT = auto()  # raise UnknownTransitionError
-    IGNORE = auto()  # stay in the state and do nothing
+    REJECT = auto()  # raise `UnknownTransitionError`
+    IGNORE = auto()  # stay in the state, without actions
 
 
 @dataclass(frozen=True, slots=True)
 class Transition(Generic[StateT, ActionT]):
-    """The next state, and the actions to carry out on the way there, in order."""
+    """The next state, and the actions to carry out, in order."""
 
     state: StateT
     actions: tuple[ActionT, ...] = ()
@@ -58,14 +57,14 @@
         return len(self._rows)
 
     def find(self, state: StateT, event: EventT) -> Transition[StateT, ActionT] | None:
-        """The listed transition, or None where the table has no row for the pair."""
+        """The listed transition, or None if the table has no row for the pair."""
         return self._rows.get((state, event))
 
     def apply(self, state: StateT, event: EventT) -> Transition[StateT, ActionT]:
         """The transition for a state and an event.
 
         Raises:
-            UnknownTransitionError: the pair has no row and the table does not ignore unlisted pairs.
+            UnknownTransitionError: the pair has no row and the table rejects unlisted pairs.
         """
         transition = self._rows.get((state, event))
         if transition is not None:
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The typed transition table that all state machines share."""
+"""The typed transition table of all state machines."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from fennelcove.state_machine import Transition, TransitionTable, UnknownTransitionError, Unlisted
 
 
-class Door(Enum):
+class State(Enum):
     OPEN = auto()
     CLOSED = auto()
 
 
-class Push(Enum):
-    PUSHED = auto()
-    LOCKED = auto()
+class Event(Enum):
+    CLOSE = auto()
+    LOCK = auto()
 
 
-ROWS = {(Door.OPEN, Push.PUSHED): Transition(Door.CLOSED, ("latch",))}
+ROWS = {(State.OPEN, Event.CLOSE): Transition(State.CLOSED, ("notify",))}
 
 
 def test_a_listed_pair_gives_the_next_state_and_its_actions() -> None:
-    assert TransitionTable(ROWS).apply(Door.OPEN, Push.PUSHED) == Transition(Door.CLOSED, ("latch",))
+    assert TransitionTable(ROWS).apply(State.OPEN, Event.CLOSE) == Transition(State.CLOSED, ("notify",))
 
 
 def test_an_unlisted_pair_is_an_error_that_names_state_and_event() -> None:
-    with pytest.raises(UnknownTransitionError, match=r"Door\.CLOSED on Push\.LOCKED"):
-        TransitionTable(ROWS).apply(Door.CLOSED, Push.LOCKED)
+    with pytest.raises(UnknownTransitionError, match=r"State\.CLOSED on Event\.LOCK"):
+        TransitionTable(ROWS).apply(State.CLOSED, Event.LOCK)
 
 
-def test_a_table_that_ignores_unlisted_pairs_stays_and_does_nothing() -> None:
+def test_a_table_that_ignores_unlisted_pairs_stays_in_the_state_without_actions() -> None:
     table = TransitionTable(ROWS, unlisted=Unlisted.IGNORE)
-    assert table.apply(Door.CLOSED, Push.LOCKED) == Transition(Door.CLOSED)
-    assert table.find(Door.CLOSED, Push.LOCKED) is None
+    assert table.apply(State.CLOSED, Event.LOCK) == Transition(State.CLOSED)
+    assert table.find(State.CLOSED, Event.LOCK) is None
 
 
 def test_a_table_lists_its_pairs() -> None:
     table = TransitionTable(ROWS)
-    assert (list(table), len(table)) == ([(Door.OPEN, Push.PUSHED)], 1)
-    assert (Door.OPEN, Push.PUSHED) in table and (Door.CLOSED, Push.PUSHED) not in table
+    assert (list(table), len(table)) == ([(State.OPEN, Event.CLOSE)], 1)
+    assert (State.OPEN, Event.CLOSE) in table and (State.CLOSED, Event.CLOSE) not in table
