--- a/packages/errors/src/fennelcove/errors/__init__.py
+++ b/packages/errors/src/fennelcove/errors/__init__.py
@@ -1,8 +1,8 @@
-"""What an operator may have to act on: what happened, where, and what can be done about it.
+"""The base type of errors that an operator may have to act on: what happened, where, and the remedy.
 
-A type stands beside what raises it and has a code of its own that stays what it is over versions: alarms and
-pages go by it. Errors that never reach an operator, because whoever calls acts on them, are no troubles;
-`python -m fennelcove.errors` lists both.
+Each error type is defined in the module that raises it, and has a code that never changes its meaning, since
+alarms and documentation refer to it. Errors that callers handle, and that never reach an operator, do not
+derive from this type; `python -m fennelcove.errors` lists both.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 
 class OperatorError(Exception):
-    """The base of all.
+    """The base type of all errors for operators.
 
     Attributes:
-        code: the type's name for alarms and pages; a released one is never given another meaning.
-        advice: what an operator can do about any of its kind.
-        happened: what was found, for this one.
-        where: the file, line, field or address; "" where the type tells.
-        cure: what would do for this one; "" where it is the advice.
+        code: identifies the type in alarms and documentation; a released code never gets another meaning.
+        advice: what an operator can do about any error of the type.
+        happened: what was found in this case.
+        where: the file, line, field or address; "" if the type implies it.
+        cure: the remedy for this case; "" if `advice` is all there is.
     """
 
     code: ClassVar[str] = ""
@@ -32,18 +32,18 @@
 
     @property
     def sentence(self) -> str:
-        """Where, and what happened."""
+        """The location, if there is one, and what happened."""
         return f"{self.where}: {self.happened}" if self.where else self.happened
 
     @property
     def remedy(self) -> str:
-        """What can be done: for this one where that is known, and for any of its kind."""
+        """What can be done: the remedy for this case, if there is one, and the advice for the type."""
         return f"{self.cure}. {self.advice}" if self.cure else self.advice
 
     def fields(self) -> dict[str, str]:
-        """As fields of a log line: `reason` is the sentence."""
+        """The fields of a log line; `reason` is the sentence."""
         return {"reason": self.sentence, "code": self.code, "advice": self.remedy}
 
     def lines(self) -> str:
-        """As lines for a terminal."""
+        """The text for a terminal, in two lines."""
         return f"{self.sentence}\n  what can be done: {self.remedy} [{self.code}]"
