--- a/packages/decisions-fleet/src/fennelcove/decisions/fleet/membership.py
+++ b/packages/decisions-fleet/src/fennelcove/decisions/fleet/membership.py
@@ -9,8 +9,8 @@
 Any two majorities have a front in common, and that front acknowledges no heartbeat of a peer while its own
 report that the peer departed is still valid. The shares of all running fronts therefore never add up to more
 than the whole resource, even if messages are lost, delayed, duplicated or cut off by a partition, and no
-front needs to know how the others see it. A front that has restarted acknowledges nothing and reports nobody
-as departed until all acknowledgements and reports of its previous incarnation have expired.
+front needs to know how the others see it. A front that has restarted acknowledges nothing and reports no
+front as departed until all acknowledgements and reports of its previous incarnation have expired.
 
 A heartbeat acknowledges the newest heartbeat received from its recipient, so that each front measures the age
 of a message with its own clock. Times are in microseconds of one front's monotonic clock.
--- a/packages/errors/src/fennelcove/errors/__main__.py
+++ b/packages/errors/src/fennelcove/errors/__main__.py
@@ -66,7 +66,7 @@
 
 
 def page() -> str:
-    """The text of the complete page."""
+    """The text of the page."""
     rows = []
     for error_type in operator_errors():
         happened = (error_type.__doc__ or "").strip().splitlines()[0]
