--- a/packages/core/src/fennelcove/core/snapshot_records.py
+++ b/packages/core/src/fennelcove/core/snapshot_records.py
@@ -49,7 +49,7 @@
     record = ServerRecord(
         to_wall_us(server.started_us),
         server.strikes,
-        to_wall_us(server.shut_until_us) if server.shut_until_us > now_us else 0,
+        to_wall_us(server.suspended_until_us) if server.suspended_until_us > now_us else 0,
         to_wall_us(last_attempt_us) if last_attempt_us is not None else 0,
         # Whole minutes: with the exact time every server's record would change each second.
         wall_us // MINUTE_US * MINUTE_US,
--- a/packages/daemon/src/fennelcove/daemon/rollouts.py
+++ b/packages/daemon/src/fennelcove/daemon/rollouts.py
@@ -233,7 +233,7 @@
         load_kb = min(size_kb, (server.link.report or 0.0) * size_kb)
         place = Location(zone(server.zone), size_kb, load_kb, titles, warm)
         attempted_us = self.joined_us.get(server.address)
-        well = warm and server.state is ServerState.ACTIVE and now_us >= server.shut_until_us
+        well = warm and server.state is ServerState.ACTIVE and now_us >= server.suspended_until_us
         if well and attempted_us is not None and attempted_us >= server.started_us:
             return ServerObservation(place, True, attempted_us)
         # Nothing but an answer to what was sent tells of a time: a report may have lain anywhere.
--- a/packages/decisions-servers/src/fennelcove/decisions/servers/event_stream.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/event_stream.py
@@ -12,14 +12,16 @@
 from enum import Enum, auto
 
 from fennelcove.decisions.servers.backoff import Backoff
-from fennelcove.placement import MARK_US
+from fennelcove.placement import SHORT_DELIVERY_WINDOW_US
 from fennelcove.state_machine import Transition, TransitionTable, Unlisted
 
 INITIAL_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 2_000_000
 BACKOFF = Backoff(INITIAL_BACKOFF_US, MAX_BACKOFF_US)
 REFUSALS_PROVING_LOSS = 3
-LINGER_US = MARK_US  # a stream without sessions is still useful while observations are retained
+LINGER_US = (
+    SHORT_DELIVERY_WINDOW_US  # a stream without sessions is still useful while observations are retained
+)
 REPORTS_PER_TIMEOUT = 3  # consecutive load reports that must be missing
 MIN_REPORT_INTERVAL_US = 100_000
 
@@ -143,7 +145,10 @@
                 self.disconnected_since_us = now_us
 
     def _proves_loss(self, now_us: int) -> bool:
-        return self.refusals >= REFUSALS_PROVING_LOSS or now_us - self.disconnected_since_us >= MARK_US
+        return (
+            self.refusals >= REFUSALS_PROVING_LOSS
+            or now_us - self.disconnected_since_us >= SHORT_DELIVERY_WINDOW_US
+        )
 
     def on_hello(self, incarnation: str, now_us: int) -> tuple[StreamAction, ...]:
         """Apply the server's first message on the stream, which states the incarnation of its process."""
--- a/packages/placement/src/fennelcove/placement/__init__.py
+++ b/packages/placement/src/fennelcove/placement/__init__.py
@@ -2,11 +2,17 @@
 
 from fennelcove.placement.policy import PlacementPolicy
 from fennelcove.placement.records import Attempt, Health, Server, Session, SessionEvent, SessionState
-from fennelcove.placement.state import FULL_DELIVERY, MARK_US, RAISE_MARGIN, RESERVE, LinkLoad
+from fennelcove.placement.state import (
+    FULL_DELIVERY,
+    RAISE_MARGIN,
+    RESERVE,
+    SHORT_DELIVERY_WINDOW_US,
+    LinkLoad,
+)
 
 __all__ = [
     "FULL_DELIVERY",
-    "MARK_US",
+    "SHORT_DELIVERY_WINDOW_US",
     "RAISE_MARGIN",
     "RESERVE",
     "Attempt",
--- a/packages/placement/src/fennelcove/placement/health.py
+++ b/packages/placement/src/fennelcove/placement/health.py
@@ -16,7 +16,7 @@
 
 def is_healthy(state: PolicyState, server: Server) -> bool:
     """Whether an attempt may be sent to a server; a suspension that has run out is ended."""
-    if server.health is Health.SHUT and state.now_us >= server.shut_until_us:
+    if server.health is Health.SHUT and state.now_us >= server.suspended_until_us:
         server.health = Health.TRIAL
     is_trial_pending = any(session.state is SessionState.JOINING for session in server.sessions)
     return server.health is Health.WELL or (server.health is Health.TRIAL and not is_trial_pending)
@@ -38,7 +38,7 @@
 def suspend(state: PolicyState, server: Server) -> None:
     """Suspend a server, for twice as long with each strike, and report it as full to other fronts."""
     base_pause_us = min(item.latency_objective_us for item in state.settings.service_classes.values())
-    server.shut_until_us = state.now_us + min(
+    server.suspended_until_us = state.now_us + min(
         base_pause_us * 2 ** (server.strikes + 1), state.settings.warm_up_us
     )
     server.strikes = min(server.strikes + 1, MAX_STRIKES)
--- a/packages/placement/src/fennelcove/placement/load_polling.py
+++ b/packages/placement/src/fennelcove/placement/load_polling.py
@@ -2,7 +2,7 @@
 
 from fennelcove.interface import CellLoad, PeerMessage, TimerName
 from fennelcove.placement.records import Loads, SentRates, Server, Session
-from fennelcove.placement.state import MARK_US, RESERVE, PolicyState
+from fennelcove.placement.state import RESERVE, SHORT_DELIVERY_WINDOW_US, PolicyState
 
 MAX_PROBES = 2  # per session: the better of two replicas is nearly as good as the best of all
 MAX_POLLED_CELLS = 8  # per message: a title may be on all servers, and thousands of sessions may be requested
@@ -81,7 +81,7 @@
     recent_servers = [
         server
         for server in state.contacted
-        if state.now_us - max(server.link.as_of_us, server.link.full_until_us) < MARK_US
+        if state.now_us - max(server.link.as_of_us, server.link.full_until_us) < SHORT_DELIVERY_WINDOW_US
     ]
     full_count = sum(
         state.residual_link(server) <= 0 or state.uplink_utilization(server.rack) >= 1 - RESERVE
--- a/packages/placement/src/fennelcove/placement/load_reports.py
+++ b/packages/placement/src/fennelcove/placement/load_reports.py
@@ -5,7 +5,14 @@
 from fennelcove.placement.load_polling import MAX_POLLED_CELLS, cell_load, notify_shard_owner, schedule_probe
 from fennelcove.placement.records import Rack, Server, Session, SessionEvent, SessionState
 from fennelcove.placement.session_transitions import apply_event
-from fennelcove.placement.state import FULL_DELIVERY, MARK_US, RESERVE, PolicyState, observe_load, record_sent
+from fennelcove.placement.state import (
+    FULL_DELIVERY,
+    RESERVE,
+    SHORT_DELIVERY_WINDOW_US,
+    PolicyState,
+    observe_load,
+    record_sent,
+)
 
 
 def on_session_report(state: PolicyState, session: Session, event: SessionReport) -> None:
@@ -38,7 +45,7 @@
     """Mark a link as full; without a recent report, take the load of the link or uplink from the delivery."""
     other_fronts, rack = state.settings.front_count - 1, server.rack
     load, seen_us = 1 / max(delivered, RESERVE), state.now_us - state.settings.report_delay_us
-    server.link.full_until_us = state.now_us + MARK_US
+    server.link.full_until_us = state.now_us + SHORT_DELIVERY_WINDOW_US
     if server.link.as_of_us < seen_us - state.settings.report_interval_us:
         server.link.observe(load, seen_us)  # no report is recent: this is the only measurement
         relieve_link(state, server, load, other_fronts)
--- a/packages/placement/src/fennelcove/placement/quotas.py
+++ b/packages/placement/src/fennelcove/placement/quotas.py
@@ -4,7 +4,7 @@
 
 from fennelcove.interface import Request
 from fennelcove.placement.records import Session
-from fennelcove.placement.state import MARK_US, PolicyState, record_sent
+from fennelcove.placement.state import SHORT_DELIVERY_WINDOW_US, PolicyState, record_sent
 
 MAX_TRACKED_TITLES = 4096
 SURGE_REQUESTS = 3  # requests for a title within the usual age of a report that make a surge
@@ -16,9 +16,14 @@
         return 1.0
     if not event.is_repeat:
         times_us.append(state.now_us)
-    while times_us and times_us[0] < state.now_us - MARK_US:
+    while times_us and times_us[0] < state.now_us - SHORT_DELIVERY_WINDOW_US:
         times_us.popleft()
-    quota = state.settings.quotas[event.tenant] / state.settings.front_count * MARK_US / 1_000_000
+    quota = (
+        state.settings.quotas[event.tenant]
+        / state.settings.front_count
+        * SHORT_DELIVERY_WINDOW_US
+        / 1_000_000
+    )
     share_within_quota = min(1.0, (quota + 1) / (len(times_us) + 1))
     return share_within_quota + (1 - share_within_quota) * state.settings.over_quota_utility
 
--- a/packages/placement/src/fennelcove/placement/records.py
+++ b/packages/placement/src/fennelcove/placement/records.py
@@ -76,7 +76,7 @@
     last_attempt_us: int | None = None
     health: Health = Health.WELL
     strikes: int = 0  # faults less later successes; each doubles the suspension
-    shut_until_us: int = 0  # end of the suspension
+    suspended_until_us: int = 0  # end of the suspension
     sessions: dict[Session, None] = field(default_factory=dict)  # of this front, by start of their attempt
     own_kb: float = 0.0  # rate of this front's sessions
     is_in_rack: bool = False  # whether its rack's servers include it
--- a/packages/placement/src/fennelcove/placement/server_list.py
+++ b/packages/placement/src/fennelcove/placement/server_list.py
@@ -100,6 +100,6 @@
     if server := state.servers.get(event.server):
         server.strikes = event.strikes
         if event.suspended_for_us:
-            server.health, server.shut_until_us = Health.SHUT, state.now_us + event.suspended_for_us
+            server.health, server.suspended_until_us = Health.SHUT, state.now_us + event.suspended_for_us
         if event.last_attempt_ago_us is not None and server.last_attempt_us is None:
             server.last_attempt_us = state.now_us - event.last_attempt_ago_us
--- a/packages/placement/src/fennelcove/placement/state.py
+++ b/packages/placement/src/fennelcove/placement/state.py
@@ -13,7 +13,9 @@
 RAISE_MARGIN = 1.5 * RESERVE  # share also kept free when raising rungs, to prevent oscillation
 FULL_DELIVERY = 0.98  # a smaller delivered share costs utility; the reports use the same bound
 MAX_SAMPLED_LINKS = 256  # gives a standard error of the mean of a sixteenth of the standard deviation
-MARK_US = 10_000_000  # how long a report of short delivery marks a link as full (see the design page)
+SHORT_DELIVERY_WINDOW_US = (
+    10_000_000  # how long a report of short delivery marks a link as full (see the design page)
+)
 
 
 class LinkLoad(LinkReport):
@@ -65,7 +67,9 @@
         self.racks = [Rack(LinkLoad(uplink_kb)) for _ in range(settings.rack_count)]
         self.tenant_request_times_us = {tenant: deque[int](maxlen=1024) for tenant in settings.quotas}
         self.may_probe = settings.probe_price is not None and not settings.has_unsolicited_reports
-        self.typical_play_us = float(settings.warm_up_us or MARK_US)  # must not be 0: ages are divided by it
+        self.typical_play_us = float(
+            settings.warm_up_us or SHORT_DELIVERY_WINDOW_US
+        )  # must not be 0: ages are divided by it
         # A host may replace these: which slow-start turns are its own, and which servers a session may use.
         self.owns_turn: Callable[[int], bool] = lambda n: n % settings.front_count == settings.front_index
         self.may_use: Callable[[str, str], bool] = lambda session_id, address: True
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -89,12 +89,12 @@
     return policy, effects
 
 
-def ask(policy: PlacementPolicy, id: str = "a", at: int | None = None, **changes: Any) -> None:
+def request_session(policy: PlacementPolicy, id: str = "a", at: int | None = None, **changes: Any) -> None:
     request = replace(Request(id, "standard", 5, 0, 3, 2, 3 * SECOND), **changes)
     policy.handle(request, policy.now_us if at is None else at)
 
 
-def end(
+def complete_attempt(
     policy: PlacementPolicy,
     outcome: Outcome,
     id: str = "a",
@@ -105,12 +105,14 @@
     policy.handle(AttemptCompleted(id, attempt, outcome, finished, None), policy.now_us + after)
 
 
-def play(policy: PlacementPolicy, id: str = "a", **changes: Any) -> None:
-    ask(policy, id, **changes)
+def establish_session(policy: PlacementPolicy, id: str = "a", **changes: Any) -> None:
+    request_session(policy, id, **changes)
     policy.handle(
         SessionStarted(id, len(policy.sessions[id].attempts) - 1, SECOND // 10), policy.now_us + SECOND // 10
     )
 
 
-def note(policy: PlacementPolicy, kind: ReportKind, level: float, id: str = "a", after: int = SECOND) -> None:
+def report_measurement(
+    policy: PlacementPolicy, kind: ReportKind, level: float, id: str = "a", after: int = SECOND
+) -> None:
     policy.handle(SessionReport(id, policy.sessions[id].server.address, kind, level), policy.now_us + after)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -21,7 +21,7 @@
 from fennelcove.decisions.servers.attempt_exchange import ExchangeEvent, ExchangeState
 from fennelcove.decisions.servers.load_signals import ClientHints, ServerHints
 from fennelcove.interface import Effect, ListEntry, ListMode, Outcome, ServerState
-from fennelcove.placement import MARK_US
+from fennelcove.placement import SHORT_DELIVERY_WINDOW_US
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -279,11 +279,11 @@
         stream = event_stream.StreamLifecycle()
         stream.apply(event_stream.StreamEvent.SESSIONS_HELD, 0)
         assert event_stream.StreamAction.FAIL_ALL_SESSIONS not in stream.apply(
-            event_stream.StreamEvent.DISCONNECTED, MARK_US - 1
+            event_stream.StreamEvent.DISCONNECTED, SHORT_DELIVERY_WINDOW_US - 1
         )
-        stream.apply(event_stream.StreamEvent.RETRY_DUE, MARK_US)
+        stream.apply(event_stream.StreamEvent.RETRY_DUE, SHORT_DELIVERY_WINDOW_US)
         assert event_stream.StreamAction.FAIL_ALL_SESSIONS in stream.apply(
-            event_stream.StreamEvent.DISCONNECTED, MARK_US
+            event_stream.StreamEvent.DISCONNECTED, SHORT_DELIVERY_WINDOW_US
         )
 
     def test_a_restarted_server_fails_the_sessions_that_it_does_not_list(self) -> None:
--- a/tests/test_placement_policy.py
+++ b/tests/test_placement_policy.py
@@ -38,7 +38,16 @@
 from fennelcove.placement.session_transitions import apply_event
 from fennelcove.placement.slow_start import has_slow_start_turn
 
-from tests.helpers import SECOND, Recorder, ask, end, entry, front, note, play
+from tests.helpers import (
+    SECOND,
+    Recorder,
+    complete_attempt,
+    entry,
+    establish_session,
+    front,
+    report_measurement,
+    request_session,
+)
 
 
 class UtilizationTest(unittest.TestCase):
@@ -63,7 +72,7 @@
         policy, effects = front(3, streams_by_kind={"kind": 4})
         for server in policy.servers.values():
             server.link.report = None
-        ask(policy)
+        request_session(policy)
         assert effects.calls[-1][0] == "start_attempt"
 
     def test_network_takes_the_uplink(self) -> None:
@@ -78,10 +87,10 @@
         # Otherwise a host that knows of full slots or an unreachable server has to refuse the attempt itself.
         policy, effects = front(3)
         policy.may_use = lambda id, address: address == "s2"
-        ask(policy)
+        request_session(policy)
         assert [call[2] for call in effects.named("start_attempt")] == ["s2"]
         policy.may_use = lambda id, address: False
-        ask(policy, "b")
+        request_session(policy, "b")
         assert effects.calls[-1][:2] == ("reject", "b")
 
 
@@ -104,33 +113,33 @@
         policy, effects = front()
         for server in policy.servers.values():
             server.link.observe(0.6, policy.now_us)
-        ask(policy)
+        request_session(policy)
         assert effects.named("set_rung") == [("set_rung", "a", 1)]
 
     def test_rung_is_limited_by_the_top_rung_of_the_client(self) -> None:
         policy, effects = front()
-        ask(policy, top_rung=0)
+        request_session(policy, top_rung=0)
         assert effects.named("set_rung") == [("set_rung", "a", 0)]
 
     def test_one_front_one_server_and_an_uplink_without_a_stated_capacity(self) -> None:
         policy, effects = front(1, front_count=1, uplink_kb=0.0)
-        ask(policy)
+        request_session(policy)
         assert effects.named("set_rung") == [("set_rung", "a", 2)]
-        ask(policy, "no-replica", first_cell=3, cell_count=1)
+        request_session(policy, "no-replica", first_cell=3, cell_count=1)
         assert effects.calls[-1][0] == "reject"
 
     def test_rejected_at_once_without_capacity(self) -> None:
         policy, effects = front()
         for server in policy.servers.values():
             server.link.observe(1.0, policy.now_us)
-        ask(policy)
+        request_session(policy)
         assert effects.calls == [("reject", "a", 2 * SECOND)]
 
     def test_new_session_leaves_out_steps_while_others_wait_for_better_ones(self) -> None:
         policy, effects = front(1, rung_utilities=(0.5, 0.9, 1.0))
-        play(policy)
+        establish_session(policy)
         policy.sessions["a"].rung = 0
-        ask(policy, "b")
+        request_session(policy, "b")
         assert effects.named("set_rung")[-1] == ("set_rung", "b", 1)
 
     def test_crosses_zones_only_for_more_than_the_price(self) -> None:
@@ -139,7 +148,7 @@
             policy.servers["s1"].zone = "there"
             policy.servers["s0"].link.observe(0.7, policy.now_us)
             policy.mean_offered_utility = 1.0
-            ask(policy)
+            request_session(policy)
             assert policy.servers[effects.named("start_attempt")[0][2]].zone == zone
 
 
@@ -148,14 +157,14 @@
         # Where servers failed, the retries of one request counted as a surge and kept its title at low rungs.
         policy, _ = front(3, front_count=10)
         sent_kb = lambda: sum(s.link.unreported_kb - s.own_kb for s in policy.servers.values())  # noqa: E731
-        ask(policy)
+        request_session(policy)
         for attempt in range(2):
-            end(policy, Outcome.SERVER_ERROR, attempt=attempt, after=SECOND // 100)
+            complete_attempt(policy, Outcome.SERVER_ERROR, attempt=attempt, after=SECOND // 100)
         assert len(policy.sessions["a"].attempts) == 3
         self.assertAlmostEqual(sent_kb(), 0.0)
-        ask(policy, "b")
+        request_session(policy, "b")
         self.assertAlmostEqual(sent_kb(), 0.0)
-        ask(policy, "c")
+        request_session(policy, "c")
         assert sent_kb() > 100.0
 
 
@@ -176,8 +185,8 @@
 
     def test_the_first_report_does_not_include_the_new_session(self) -> None:
         policy, _ = front(1)
-        play(policy)
-        note(policy, ReportKind.LINK, 0.3, after=0)
+        establish_session(policy)
+        report_measurement(policy, ReportKind.LINK, 0.3, after=0)
         self.assertAlmostEqual(policy.servers["s0"].link.utilization(), 0.3 + 400 / 3000)
 
     def test_a_link_without_a_report_counts_as_average_and_above_it_if_servers_never_reject(self) -> None:
@@ -192,13 +201,13 @@
         policy, effects = front(2)  # a front that stalled handles both at once
         update = (entry("s0", 0, state=ServerState.LEAVING),)
         policy.handle(ListUpdate(ListMode.INCREMENTAL, update), policy.now_us)
-        ask(policy, timeout_us=SECOND // 10)
+        request_session(policy, timeout_us=SECOND // 10)
         ((_, _, server, timeout_us),) = effects.named("start_attempt")
         assert (server, timeout_us) == ("s1", SECOND // 10)
 
     def test_servers_that_left_the_list_are_deleted(self) -> None:
         policy, _ = front(3)
-        play(policy, first_cell=1, cell_count=1)
+        establish_session(policy, first_cell=1, cell_count=1)
         departed = tuple(entry(f"s{i}", i, state=ServerState.LEFT) for i in (0, 1))
         policy.handle(ListUpdate(ListMode.INCREMENTAL, departed), policy.now_us)
         assert list(policy.servers) == ["s1", "s2"]  # its session must still be able to end
@@ -207,62 +216,62 @@
     def test_handed_over_session_uses_capacity_at_its_rung(self) -> None:
         policy, _ = front()
         policy.handle(Handover(Request("old", "standard", 5, 0, 3, 2, 0), "s0"), policy.now_us)
-        note(policy, ReportKind.RUNG, 2.0, "old")
+        report_measurement(policy, ReportKind.RUNG, 2.0, "old")
         self.assertAlmostEqual(policy.residual_link(policy.servers["s0"]), 0.9 - 0.4)
 
     def test_short_delivery_marks_the_link_full_until_delivery_is_full(self) -> None:
         policy, _ = front()
-        play(policy)
+        establish_session(policy)
         server = policy.sessions["a"].server
-        note(policy, ReportKind.DELIVERED, 0.9)
+        report_measurement(policy, ReportKind.DELIVERED, 0.9)
         assert policy.residual_link(server) == 0.0
-        note(policy, ReportKind.DELIVERED, 0.99)
+        report_measurement(policy, ReportKind.DELIVERED, 0.99)
         assert policy.residual_link(server) > 0.0
 
 
 class RungChangeTest(unittest.TestCase):
     def test_short_delivery_counts_as_a_report_while_reports_are_missing(self) -> None:
         policy, _ = front(1)
-        play(policy)
+        establish_session(policy)
         policy.servers["s0"].link.observe(0.95, policy.now_us)
-        note(policy, ReportKind.DELIVERED, 0.8)
+        report_measurement(policy, ReportKind.DELIVERED, 0.8)
         assert policy.sessions["a"].rung == 2  # the recent report takes precedence
-        note(policy, ReportKind.DELIVERED, 0.8, after=6 * SECOND)
+        report_measurement(policy, ReportKind.DELIVERED, 0.8, after=6 * SECOND)
         assert policy.sessions["a"].rung < 2
 
     def test_short_delivery_on_a_link_with_capacity_counts_as_a_full_uplink(self) -> None:
         # Without reports on uplinks, racks delivered short for good while their links had capacity.
         for is_reported, rung in ((False, 1), (True, 2)):
             policy, _ = front(1, reports_uplinks=is_reported)
-            play(policy)
+            establish_session(policy)
             policy.servers["s0"].link.observe(0.5, policy.now_us)
-            note(policy, ReportKind.DELIVERED, 0.6)
+            report_measurement(policy, ReportKind.DELIVERED, 0.6)
             assert policy.sessions["a"].rung == rung
             assert (policy.servers["s0"].rack.uplink.report is not None) == (not is_reported)
 
     def test_short_delivery_of_one_server_does_not_count_against_its_rack(self) -> None:
         # Bursts of another workload on a few servers kept all sessions in their racks at low rungs.
         policy, _ = front(6, reports_uplinks=False)
-        play(policy)
+        establish_session(policy)
         server = policy.sessions["a"].server
         assert len(server.rack.servers) == 3
         server.link.observe(0.5, policy.now_us)
-        note(policy, ReportKind.DELIVERED, 0.6)
+        report_measurement(policy, ReportKind.DELIVERED, 0.6)
         assert server.rack.uplink.report is None
         another = next(s for s in server.rack.servers if s is not server)
         another.link.full_until_us = policy.now_us + 10 * SECOND
         another.link.observe(0.5, policy.now_us)
-        note(policy, ReportKind.DELIVERED, 0.6)
+        report_measurement(policy, ReportKind.DELIVERED, 0.6)
         assert server.rack.uplink.report is not None
 
     def test_a_full_uplink_without_reports_recovers_with_time(self) -> None:
         # One moment of short delivery kept a rack at low rungs for the rest of a scenario: no report showed
         # that it was over.
         policy, _ = front(1, reports_uplinks=False)
-        play(policy)
+        establish_session(policy)
         server = policy.servers["s0"]
         server.link.observe(0.5, policy.now_us)
-        note(policy, ReportKind.DELIVERED, 0.6)
+        report_measurement(policy, ReportKind.DELIVERED, 0.6)
         own_share = server.own_kb / server.rack.uplink.capacity_kb
         assert policy.uplink_utilization(server.rack) > 0.8
         policy.now_us += 1000 * SECOND
@@ -272,31 +281,31 @@
         policy, _ = front(6)
         for server in policy.servers.values():
             server.link.report = None
-        play(policy, first_cell=0, cell_count=1)
+        establish_session(policy, first_cell=0, cell_count=1)
         self.assertAlmostEqual(policy.uplink_utilization(policy.racks[0]), policy.servers["s0"].own_kb / 2500)
 
     def test_a_full_link_lowers_the_rung_of_its_session(self) -> None:
         policy, effects = front(1)
-        play(policy)
-        note(policy, ReportKind.LINK, 1.3)
+        establish_session(policy)
+        report_measurement(policy, ReportKind.LINK, 1.3)
         assert ("set_rung", "a", 1) in effects.calls
 
     def test_an_overload_reported_to_all_fronts_is_not_relieved_twice(self) -> None:
         policy, effects = front(1)
-        play(policy)
+        establish_session(policy)
         policy.sessions["a"].has_report = True
-        note(policy, ReportKind.LINK, 1.3)
+        report_measurement(policy, ReportKind.LINK, 1.3)
         lowered = len(effects.named("set_rung"))
-        note(policy, ReportKind.LINK, 1.3, after=SECOND // 2)
+        report_measurement(policy, ReportKind.LINK, 1.3, after=SECOND // 2)
         assert len(effects.named("set_rung")) == lowered
 
     def test_capacity_beyond_the_margin_raises_the_rung(self) -> None:
         policy, effects = front(1)
-        play(policy)
+        establish_session(policy)
         policy.sessions["a"].rung = 0
-        note(policy, ReportKind.LINK, 0.75)
+        report_measurement(policy, ReportKind.LINK, 0.75)
         assert policy.sessions["a"].rung == 0
-        note(policy, ReportKind.LINK, 0.1)
+        report_measurement(policy, ReportKind.LINK, 0.1)
         assert policy.sessions["a"].rung == 2  # in one change, since each has a cost
 
     def test_a_step_larger_than_the_excess_is_taken_with_a_probability(self) -> None:
@@ -304,15 +313,15 @@
         for seed in range(200):
             policy, _ = front(1)
             policy.draw_uniform = Random(seed).random
-            play(policy)
+            establish_session(policy)
             lower_rungs(policy, [policy.sessions["a"].server], 0.125)  # 50 kB/s of a step of 200 kB/s
             lowered += policy.sessions["a"].rung < 2
         self.assertAlmostEqual(lowered / 200, 0.25, delta=0.08)
 
     def test_the_step_of_most_utility_among_all_sessions_is_lowered_last(self) -> None:
         policy, _ = front(2, rung_utilities=(0.1, 0.8, 1.0))
-        play(policy, "low-utility", first_cell=0, cell_count=1)
-        play(policy, "high-utility", first_cell=1, cell_count=1)
+        establish_session(policy, "low-utility", first_cell=0, cell_count=1)
+        establish_session(policy, "high-utility", first_cell=1, cell_count=1)
         policy.sessions["high-utility"].rung = 1
         lower_rungs(policy, [policy.servers["s1"]], 0.2)
         assert policy.sessions["high-utility"].rung == 1
@@ -322,7 +331,7 @@
     def test_the_report_of_a_failed_attempt_is_recorded(self) -> None:
         policy, _ = front(1)
         policy.servers["s0"].link.as_of_us = 0
-        ask(policy)
+        request_session(policy)
         policy.handle(
             AttemptCompleted("a", 0, Outcome.REJECTED, False, LoadReport(1.2, 0.8)), policy.now_us + 1000
         )
@@ -331,46 +340,46 @@
 
     def test_one_attempt_at_a_time_and_each_replica_once(self) -> None:
         policy, effects = front(2)
-        ask(policy)
-        end(policy, Outcome.SERVER_ERROR)
+        request_session(policy)
+        complete_attempt(policy, Outcome.SERVER_ERROR)
         assert {call[2] for call in effects.named("start_attempt")} == {"s0", "s1"}
-        end(policy, Outcome.SERVER_ERROR, attempt=1)
+        complete_attempt(policy, Outcome.SERVER_ERROR, attempt=1)
         assert len(effects.named("reject")) == 1
 
     def test_an_attempt_leaves_time_for_another_and_ends_by_the_client_timeout(self) -> None:
         policy, effects = front()
-        ask(policy)
+        request_session(policy)
         assert effects.named("start_attempt")[0][3] == SECOND // 2
-        ask(policy, "b", timeout_us=SECOND // 10)
+        request_session(policy, "b", timeout_us=SECOND // 10)
         assert effects.named("start_attempt")[1][3] == SECOND // 10
 
     def test_a_single_shot_that_may_have_run_is_neither_repeated_nor_rejected(self) -> None:
         for outcome, call in ((Outcome.NO_ANSWER, "fail"), (Outcome.NO_CONNECTION, "start_attempt")):
             policy, effects = front(service_class={"effect": Effect.SINGLE_SHOT})
-            ask(policy)
+            request_session(policy)
             effects.calls.clear()
-            end(policy, outcome)
+            complete_attempt(policy, outcome)
             assert effects.calls[-1][0] == call
 
     def test_a_guarded_repeat_stays_in_the_scope_and_lifetime_of_its_key(self) -> None:
         guarded = {"effect": Effect.GUARDED, "scope": Scope.CELL}
         policy, effects = front(service_class=guarded)
-        ask(policy)
-        end(policy, Outcome.NO_ANSWER)
+        request_session(policy)
+        complete_attempt(policy, Outcome.NO_ANSWER)
         assert effects.calls[-1] == ("fail", "a")
         policy, effects = front(service_class={**guarded, "scope": Scope.ALL})
-        ask(policy)
-        end(policy, Outcome.NO_ANSWER, after=6 * SECOND)
+        request_session(policy)
+        complete_attempt(policy, Outcome.NO_ANSWER, after=6 * SECOND)
         assert effects.calls[-1][0] == "reject"
 
     def test_no_attempt_is_sent_to_a_draining_or_delisted_server(self) -> None:
         policy, effects = front(2)
         leaving = entry("s0", 0, state=ServerState.LEAVING)
         policy.handle(ListUpdate(ListMode.INCREMENTAL, (leaving,)), policy.now_us)
-        ask(policy)
+        request_session(policy)
         assert effects.named("start_attempt")[0][2] == "s1"
         policy.handle(ListUpdate(ListMode.FULL, ()), policy.now_us)
-        ask(policy, "b")
+        request_session(policy, "b")
         assert effects.calls[-1][0] == "reject"
 
     def test_a_warming_server_gets_at_most_one_fronts_share_of_its_pace(self) -> None:
@@ -378,10 +387,10 @@
         policy.servers["s0"].started_us = policy.now_us - 1
         start_us, sent = policy.now_us, 0
         for tick in range(100):
-            ask(policy, str(tick), start_us + tick * SECOND // 10, top_rung=0)
+            request_session(policy, str(tick), start_us + tick * SECOND // 10, top_rung=0)
             sent = len(effects.named("start_attempt"))
             if str(tick) in policy.sessions:
-                end(policy, Outcome.CANCELLED, str(tick), after=0, finished=True)
+                complete_attempt(policy, Outcome.CANCELLED, str(tick), after=0, finished=True)
         assert sent > 3
         assert sent <= 20 / 2
 
@@ -413,7 +422,7 @@
             added = []
             for number, id in enumerate("abc"):
                 before = sum(server.link.utilization() for server in policy.servers.values())
-                play(policy, id, title=5 if number < 2 else title)
+                establish_session(policy, id, title=5 if number < 2 else title)
                 added.append(sum(server.link.utilization() for server in policy.servers.values()) - before)
             return added
 
@@ -424,9 +433,9 @@
 
     def test_a_server_that_lost_a_connection_warms_up_before_the_list_shows_a_restart(self) -> None:
         policy, _ = front()
-        play(policy)
+        establish_session(policy)
         server = policy.sessions["a"].server
-        end(policy, Outcome.CONNECTION_LOST, finished=True)
+        complete_attempt(policy, Outcome.CONNECTION_LOST, finished=True)
         assert policy.is_warming_up(server)
         assert server.link.report is None
 
@@ -439,30 +448,30 @@
 
     def test_lowest_rung_and_seats(self) -> None:
         policy, effects = front(service_class={"min_rung": 1, "seats": 1})
-        ask(policy, "low", top_rung=0)
+        request_session(policy, "low", top_rung=0)
         assert effects.calls[-1][0] == "reject"
-        play(policy)
-        note(policy, ReportKind.LINK, 5.0)
+        establish_session(policy)
+        report_measurement(policy, ReportKind.LINK, 5.0)
         assert policy.sessions["a"].rung == 1
-        ask(policy, "b")
+        request_session(policy, "b")
         assert effects.calls[-1] == ("reject", "b", 2 * SECOND)
-        end(policy, Outcome.SERVED, finished=True)
+        complete_attempt(policy, Outcome.SERVED, finished=True)
         policy.servers["s0"].link.observe(0.0, policy.now_us)
-        ask(policy, "c")
+        request_session(policy, "c")
         assert effects.calls[-1][0] == "start_attempt"
 
     def test_retry_budget(self) -> None:
         policy, effects = front(retry_base=1.0, retry_window_us=10 * SECOND)
         for id in ("a", "b"):
-            ask(policy, id)
-            end(policy, Outcome.SERVER_ERROR, id)
+            request_session(policy, id)
+            complete_attempt(policy, Outcome.SERVER_ERROR, id)
         assert len(effects.named("start_attempt")) == 3
         assert effects.calls[-1] == ("reject", "b", 2 * SECOND)
 
     def test_attempt_limit(self) -> None:
         policy, effects = front(max_attempts=1)
-        ask(policy)
-        end(policy, Outcome.SERVER_ERROR)
+        request_session(policy)
+        complete_attempt(policy, Outcome.SERVER_ERROR)
         assert effects.calls[-1][0] == "reject"
 
     def test_a_failed_list_poll_is_repeated_after_a_pause(self) -> None:
@@ -486,7 +495,7 @@
             server = policy.servers["s0"]
             record_outcome(policy, server, outcome)
             assert not policy.is_healthy(server), outcome
-            policy.now_us = server.shut_until_us
+            policy.now_us = server.suspended_until_us
             assert policy.is_healthy(server), outcome
             assert server.health is Health.TRIAL
             record_outcome(policy, server, Outcome.SERVED)
@@ -496,23 +505,23 @@
         policy, _ = front()
         server = policy.servers["s0"]
         record_outcome(policy, server, Outcome.SERVER_ERROR)
-        first = server.shut_until_us - policy.now_us
+        first = server.suspended_until_us - policy.now_us
         server.health = Health.TRIAL
         record_outcome(policy, server, Outcome.SERVER_ERROR)
-        assert server.shut_until_us - policy.now_us == 2 * first
+        assert server.suspended_until_us - policy.now_us == 2 * first
 
     def test_a_request_that_every_server_answers_with_an_error_suspends_none(self) -> None:
         # A few clients with requests that no server can serve had all servers suspended for everybody else.
         policy, _ = front(2)
-        ask(policy)
-        end(policy, Outcome.SERVER_ERROR)
-        end(policy, Outcome.SERVER_ERROR, attempt=1)
+        request_session(policy)
+        complete_attempt(policy, Outcome.SERVER_ERROR)
+        complete_attempt(policy, Outcome.SERVER_ERROR, attempt=1)
         assert [server.health for server in policy.servers.values()] == [Health.WELL] * 2
 
     def test_an_error_suspends_its_server_once_another_has_served_the_request(self) -> None:
         policy, effects = front(2)
-        ask(policy)
-        end(policy, Outcome.SERVER_ERROR)
+        request_session(policy)
+        complete_attempt(policy, Outcome.SERVER_ERROR)
         policy.handle(SessionStarted("a", 1, SECOND // 10), policy.now_us + SECOND // 10)
         first, second = (policy.servers[call[2]] for call in effects.named("start_attempt"))
         assert (first.health, second.health) == (Health.SHUT, Health.WELL)
@@ -520,28 +529,28 @@
     def test_a_replica_is_tried_if_none_is_healthy(self) -> None:
         policy, effects = front(1)
         record_outcome(policy, policy.servers["s0"], Outcome.SERVER_ERROR)
-        ask(policy)
+        request_session(policy)
         assert effects.calls[-1][0] == "start_attempt"
 
     def test_an_ended_session_releases_its_capacity(self) -> None:
         policy, _ = front(1)
-        play(policy)
-        end(policy, Outcome.SERVED, finished=True)
+        establish_session(policy)
+        complete_attempt(policy, Outcome.SERVED, finished=True)
         self.assertAlmostEqual(policy.residual_link(policy.servers["s0"]), 0.9)
         assert policy.sessions == {}
 
     def test_a_client_that_disconnects_during_an_attempt_gets_no_answer(self) -> None:
         policy, effects = front()
-        ask(policy)
+        request_session(policy)
         policy.handle(ClientGone("a"), policy.now_us)
         effects.calls.clear()
-        end(policy, Outcome.NO_ANSWER)
+        complete_attempt(policy, Outcome.NO_ANSWER)
         assert effects.calls == []
         policy.handle(ClientGone("a"), policy.now_us)
 
     def test_an_event_without_a_transition_changes_nothing(self) -> None:
         policy, effects = front()
-        play(policy)
+        establish_session(policy)
         effects.calls.clear()
         apply_event(policy, policy.sessions["a"], SessionEvent.CLIENT_GONE)
         assert policy.sessions["a"].state is SessionState.PLAYING
@@ -564,7 +573,7 @@
 
     def test_two_replicas_are_probed_and_the_request_waits_for_both(self) -> None:
         policy, effects = self.front_without_reports(**self.PROBE_SETTINGS)
-        ask(policy)
+        request_session(policy)
         probed = [call[1] for call in effects.named("probe")]
         assert (len(set(probed)), effects.named("start_attempt")) == (2, [])
         self.complete_probe(policy, probed[0], 0.85)
@@ -577,7 +586,7 @@
     def test_a_lost_reply_delays_nobody_by_more_than_an_eighth_of_the_shorter_limit(self) -> None:
         # With an eighth of the objective alone, a client with a timeout of 50 ms was answered after it.
         policy, effects = self.front_without_reports(**self.PROBE_SETTINGS)
-        ask(policy, timeout_us=SECOND // 20)
+        request_session(policy, timeout_us=SECOND // 20)
         ((_, name, delay_us),) = effects.named("set_timer")
         assert (name, delay_us) == (TimerName.POLL_DEADLINE, SECOND // 160)
         policy.handle(TimerFired(name), policy.now_us + delay_us)
@@ -585,7 +594,7 @@
 
     def test_a_client_that_disconnects_while_it_waits_gets_no_answer(self) -> None:
         policy, effects = self.front_without_reports(**self.PROBE_SETTINGS)
-        ask(policy)
+        request_session(policy)
         policy.handle(ClientGone("a"), policy.now_us)
         for _, server in effects.named("probe"):
             self.complete_probe(policy, server, 0.0)
@@ -596,12 +605,12 @@
         policy, effects = front(**self.PROBE_SETTINGS)
         for server in policy.servers.values():
             server.link.report, server.link.as_of_us = 1.2, policy.now_us - 2 * SECOND
-        ask(policy)
+        request_session(policy)
         assert [call[0] for call in effects.calls] == ["reject"]
 
     def test_capacity_found_by_a_probe_is_used_by_the_front_that_sent_it(self) -> None:
         policy, effects = front(front_count=50, **self.PROBE_SETTINGS)
-        play(policy, top_rung=2)
+        establish_session(policy, top_rung=2)
         session = policy.sessions["a"]
         set_rungs(policy, {session: 0})
         effects.calls.clear()
@@ -615,7 +624,7 @@
         # Scheduled only once, a session whose link was marked full at that time was never raised again.
         for price, probe_count in ((0.01, 1), (9.0, 0)):
             policy, effects = front(probe_price=price, has_unsolicited_reports=False)
-            play(policy)
+            establish_session(policy)
             set_rungs(policy, {policy.sessions["a"]: 0})
             server = policy.sessions["a"].server
             server.link.full_until_us = policy.now_us + 60 * SECOND
@@ -636,7 +645,7 @@
 
     def test_a_request_waits_for_the_shard_owner_and_then_uses_its_loads(self) -> None:
         policy, effects = self.front_without_reports(front_count=9, front_index=5, peer_price=0.01)
-        ask(policy)
+        request_session(policy)
         poll = ("send_peer_message", 0, PeerMessage(5, polled_cells=(0, 1, 2)))
         assert effects.named("send_peer_message") == [poll]
         loads = tuple(CellLoad(cell, link, None, 0) for cell, link in enumerate((0.9, 0.0, 0.9)))
@@ -651,7 +660,7 @@
         policy, effects = self.front_without_reports(
             servers=60, front_count=90, front_index=80, cell_count=60, peer_price=0.01
         )
-        ask(policy, cell_count=60)
+        request_session(policy, cell_count=60)
         polled = [
             cell for _, _, message in effects.named("send_peer_message") for cell in message.polled_cells
         ]
@@ -666,8 +675,8 @@
 
     def test_a_fault_is_reported_to_the_shard_owner_as_a_full_server(self) -> None:
         policy, effects = front(front_count=9, front_index=5, peer_price=0.01)
-        ask(policy)
-        end(policy, Outcome.NO_ANSWER)
+        request_session(policy)
+        complete_attempt(policy, Outcome.NO_ANSWER)
         sent = [message.loads for _, _, message in effects.named("send_peer_message") if message.loads]
         assert [load.link for loads in sent for load in loads] == [inf]
 
@@ -692,7 +701,7 @@
 class UtilityTest(unittest.TestCase):
     def test_a_raise_must_repay_its_switch_in_the_time_left(self) -> None:
         policy, effects = front(rung_switch_cost_us=SECOND)
-        play(policy, expected_play_us=SECOND)
+        establish_session(policy, expected_play_us=SECOND)
         set_rungs(policy, {policy.sessions["a"]: 0})
         effects.calls.clear()
         raise_rungs(policy, policy.sessions["a"].server, 0)
@@ -703,7 +712,7 @@
 
     def test_an_exceeded_estimate_of_the_playing_time_leaves_half_of_it(self) -> None:
         policy, _ = front()
-        play(policy, expected_play_us=10 * SECOND)
+        establish_session(policy, expected_play_us=10 * SECOND)
         policy.now_us += 60 * SECOND
         assert policy.remaining_play_us(policy.sessions["a"]) == 5 * SECOND
 
@@ -721,8 +730,8 @@
         policy, _ = front(worst_class_weight=0.5)
         other = replace(policy.settings.service_classes["standard"], priority_weight=2.0)
         policy.settings.service_classes["other"] = other
-        play(policy, "a")
-        play(policy, "b", service_class="other")
+        establish_session(policy, "a")
+        establish_session(policy, "b", service_class="other")
         set_rungs(policy, {policy.sessions["a"]: 0})
         policy.class_utilities_at_us = -1
         assert policy.class_utility(policy.sessions["b"].service_class) == 2.0
@@ -732,7 +741,7 @@
         policy, effects = front()
         for server in policy.servers.values():
             server.link.observe(0.85, policy.now_us)
-        ask(policy)
+        request_session(policy)
         assert effects.named("set_rung") == [("set_rung", "a", 0)]
 
 
@@ -742,7 +751,7 @@
         for _ in range(2):
             policy, effects = front(3)
             for i in range(20):
-                ask(policy, str(i), title=i)
+                request_session(policy, str(i), title=i)
             calls.append(effects.calls)
         self.assertEqual(*calls)
 
@@ -756,7 +765,7 @@
         # Otherwise each title that was ever requested stays in memory until the process ends.
         policy, _ = front()
         for title in range(50):
-            play(policy, f"session-{title}", title=title)
-            end(policy, Outcome.SERVED, f"session-{title}", finished=True)
-        play(policy, "last", title=7)
+            establish_session(policy, f"session-{title}", title=title)
+            complete_attempt(policy, Outcome.SERVED, f"session-{title}", finished=True)
+        establish_session(policy, "last", title=7)
         assert {title for title, _ in policy.seats} == {7}
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -33,7 +33,7 @@
 )
 from fennelcove.upstream.front_messaging import FrontMessaging
 
-from tests.helpers import SECOND, SETTINGS, Recorder, ask, entry
+from tests.helpers import SECOND, SETTINGS, Recorder, entry, request_session
 from tests.rig import SETTINGS as FILE
 from tests.rig import WholePath, wait_for
 
@@ -95,7 +95,7 @@
 
     def day(self, made: ShadowedPolicy) -> None:
         for i in range(30):
-            ask(made, str(i), at=made.now_us + SECOND, tenant="t")
+            request_session(made, str(i), at=made.now_us + SECOND, tenant="t")
             if str(i) in made.sessions:
                 made.handle(SessionStarted(str(i), 0, 1000), made.now_us + 1000)
             if i >= 10 and str(i - 10) in made.sessions:
@@ -121,7 +121,7 @@
             server.link.report = 0.85  # it goes by what it knows; the other by its guess of nine fronts
         for server in made.other.servers.values():
             server.link.report = None
-        ask(made)
+        request_session(made)
         assert (made.counts[DecisionKind.WOULD_ASK], made.counts[DecisionKind.OTHER_RUNG]) == (1, 1)
         assert effects.named("send_peer_message") == []  # counted, not carried out
         sub, theirs = made.sessions["a"], made.other.sessions["a"]
@@ -129,7 +129,7 @@
 
     def test_a_box_that_has_left_since_a_join_there_failed_breaks_nothing(self) -> None:
         made, _ = self.watched()
-        ask(made)
+        request_session(made)
         first = made.sessions["a"].server.address
         made.handle(AttemptCompleted("a", 0, Outcome.SERVER_ERROR, False, None), made.now_us + 1000)
         made.handle(SessionStarted("a", 1, 1000), made.now_us + 1000)
@@ -143,7 +143,7 @@
         made, effects = self.watched()
         for server in made.servers.values():
             server.link.report = 2.0
-        ask(made)
+        request_session(made)
         assert effects.calls[-1][0] == "reject"
         assert made.counts[DecisionKind.WOULD_JOIN] == 1
         assert (made.sessions, made.other.sessions) == ({}, {})
--- a/tests/test_top_rung.py
+++ b/tests/test_top_rung.py
@@ -6,13 +6,13 @@
 
 from fennelcove.interface import TopRungChanged
 
-from tests.helpers import ask, front, play
+from tests.helpers import establish_session, front, request_session
 
 
 class TopRungChangedTest(unittest.TestCase):
     def test_a_lower_top_rung_lowers_the_rung_at_once_and_frees_link_capacity(self) -> None:
         policy, effects = front()
-        play(policy)
+        establish_session(policy)
         session = policy.sessions["a"]
         assert session.rung == 2
         before = session.server.own_kb
@@ -23,7 +23,7 @@
 
     def test_a_higher_top_rung_changes_nothing_until_there_is_capacity(self) -> None:
         policy, effects = front()
-        play(policy, top_rung=0)
+        establish_session(policy, top_rung=0)
         count = len(effects.calls)
         policy.handle(TopRungChanged("a", 2), policy.now_us)
         assert (policy.sessions["a"].rung, policy.sessions["a"].top_rung) == (0, 2)
@@ -31,7 +31,7 @@
 
     def test_never_below_the_lowest_rung_of_the_class(self) -> None:
         policy, _ = front(service_class={"min_rung": 1})
-        play(policy)
+        establish_session(policy)
         policy.handle(TopRungChanged("a", 0), policy.now_us)
         assert (policy.sessions["a"].rung, policy.sessions["a"].top_rung) == (1, 1)
 
@@ -46,7 +46,7 @@
         policy, effects = front(warm_up_us=0)
         for server in policy.servers.values():
             server.started_us, server.link.report = 1, None
-        ask(policy)
+        request_session(policy)
         assert len(effects.named("start_attempt")) == 1
 
 
--- a/tests/test_work_per_event.py
+++ b/tests/test_work_per_event.py
@@ -21,7 +21,7 @@
 from fennelcove.placement import PlacementPolicy
 from fennelcove.placement.state import MAX_SAMPLED_LINKS
 
-from tests.helpers import SECOND, end, entry, front, note, play
+from tests.helpers import SECOND, complete_attempt, entry, establish_session, front, report_measurement
 from tests.noderig import SETTINGS, notice
 
 USUAL, MANY = 200, 3_200
@@ -54,7 +54,7 @@
     policy, _ = front(0, total_links_kb=1_000.0 * servers, uplink_kb=1_000.0 * servers)
     policy.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(servers))), policy.now_us)
     for i in range(SESSIONS):
-        play(policy, f"session-{i}", first_cell=i % policy.settings.cell_count)
+        establish_session(policy, f"session-{i}", first_cell=i % policy.settings.cell_count)
     return policy
 
 
@@ -65,7 +65,7 @@
 def test_the_end_of_a_session_visits_no_server_without_sessions() -> None:
     def lines_among(servers: int) -> int:
         policy = policy_among(servers)
-        return lines_run(lambda: end(policy, Outcome.SERVED, "session-3", finished=True))
+        return lines_run(lambda: complete_attempt(policy, Outcome.SERVED, "session-3", finished=True))
 
     assert_no_growth(lines_among)
 
@@ -91,7 +91,7 @@
     assert names[0] == [f"s{i}" for i in range(0, 30, 2) if i != 20] + ["s30", "s20"]
     assert names[1] == [f"s{i}" for i in range(1, 30, 2)]
     for id in list(busy.sessions):
-        end(policy, Outcome.SERVED, id.id, finished=True)
+        complete_attempt(policy, Outcome.SERVED, id.id, finished=True)
     policy.handle(ListUpdate(ListMode.INCREMENTAL, (entry("s31", 31),)), policy.now_us)
     assert busy.address not in policy.servers
     assert all(busy not in rack.servers for rack in policy.racks)
@@ -218,19 +218,19 @@
     # Each report of it left an entry at every link of the rack: 50 MB in 20 s, among 3,200 servers.
     def lines_among(servers: int) -> int:
         policy = overloaded(servers)
-        return lines_run(lambda: note(policy, ReportKind.UPLINK, 1.5, "session-3"))
+        return lines_run(lambda: report_measurement(policy, ReportKind.UPLINK, 1.5, "session-3"))
 
     assert_no_growth(lines_among)
     policy = overloaded(MANY)
     for _ in range(20):
-        note(policy, ReportKind.UPLINK, 1.5, "session-3")
+        report_measurement(policy, ReportKind.UPLINK, 1.5, "session-3")
     assert sum(len(server.link.unreported) for server in policy.servers.values()) < 20 * SESSIONS * 2
 
 
 def test_an_overloaded_uplink_is_relieved_by_what_other_fronts_send_to_all_its_servers() -> None:
     policy = overloaded(USUAL)
     rack = policy.sessions["session-3"].server.rack
-    note(policy, ReportKind.UPLINK, 1.5, "session-3")
+    report_measurement(policy, ReportKind.UPLINK, 1.5, "session-3")
     others_kb = sum(policy.others_kb(server) for server in rack.servers)
     assert abs(rack.uplink.unreported_kb) > 0.3 * others_kb
 
@@ -238,8 +238,8 @@
 def test_a_report_of_short_delivery_visits_no_server_that_was_never_contacted() -> None:
     def lines_among(servers: int) -> int:
         policy = overloaded(servers)
-        note(policy, ReportKind.LINK, 0.4, "session-3")
-        return lines_run(lambda: note(policy, ReportKind.DELIVERED, 0.5, "session-3", after=1))
+        report_measurement(policy, ReportKind.LINK, 0.4, "session-3")
+        return lines_run(lambda: report_measurement(policy, ReportKind.DELIVERED, 0.5, "session-3", after=1))
 
     assert_no_growth(lines_among)
 
@@ -249,9 +249,9 @@
     sizes = {"total_links_kb": 90_000.0, "uplink_kb": 90_000.0, "ladder_kb": (100.1, 200.3, 400.7)}
     policy, _ = front(6, {"rate_scale": 0.7}, **sizes)
     for i in range(60):
-        play(policy, f"session-{i}", first_cell=i % 6, cell_count=6)
+        establish_session(policy, f"session-{i}", first_cell=i % 6, cell_count=6)
     assert any(rack.loaded_servers for rack in policy.racks)
     for i in range(60):
-        end(policy, Outcome.SERVED, f"session-{i}", finished=True)
+        complete_attempt(policy, Outcome.SERVED, f"session-{i}", finished=True)
     assert not any(rack.loaded_servers for rack in policy.racks)
     assert not any(server.own_kb for server in policy.servers.values())
