--- a/packages/cli/src/fennelcove/cli/api.py
+++ b/packages/cli/src/fennelcove/cli/api.py
@@ -59,7 +59,7 @@
     """What changed from OLD to NEW. Exit status 1 on a breaking change without a version step."""
     before, after = _load(old), _load(new)
     if ("openapi" in before) != ("openapi" in after):
-        fail(FileUnusable("found one OpenAPI and one AsyncAPI document", cure="give two of a kind"))
+        fail(FileUnusable("found one OpenAPI and one AsyncAPI document", suggestion="give two of a kind"))
     found = Comparison(before, after).run()
     for item in found:
         click.echo(f"{'breaking' if item.breaks else 'compatible'}: {item.place}: {item.what}")
--- a/packages/cli/src/fennelcove/cli/stitch.py
+++ b/packages/cli/src/fennelcove/cli/stitch.py
@@ -28,7 +28,7 @@
             fail(FileUnusable(f"found no readable key ({error.strerror})", file))
     key = os.environ.get(KEY_VARIABLE, "")
     if not key:
-        fail(FileUnusable("found no key", cure=f"give --key-file or set {KEY_VARIABLE}"))
+        fail(FileUnusable("found no key", suggestion=f"give --key-file or set {KEY_VARIABLE}"))
     return key
 
 
--- a/packages/clock/src/fennelcove/clock/__init__.py
+++ b/packages/clock/src/fennelcove/clock/__init__.py
@@ -39,9 +39,9 @@
 class ManualClock:
     """A clock that only moves when `advance` is called, for tests and emulators."""
 
-    def __init__(self, now_us: int = 0, wall_from_us: int = 0) -> None:
+    def __init__(self, now_us: int = 0, wall_start_us: int = 0) -> None:
         self._now_us = now_us
-        self._wall_from_us = wall_from_us
+        self._wall_from_us = wall_start_us
 
     def now_us(self) -> int:
         """As `Clock.now_us`."""
--- a/packages/clock/src/fennelcove/clock/timers.py
+++ b/packages/clock/src/fennelcove/clock/timers.py
@@ -8,7 +8,7 @@
 
 from fennelcove.clock import Clock
 
-MOST_TIMERS = 100_000
+MAX_TIMERS = 100_000
 
 
 class Timers:
@@ -28,7 +28,7 @@
     def after(self, delay_us: int, call: Callable[[], None]) -> bool:
         """Schedule a call after this delay; False where the bound is reached and it is not scheduled."""
         with self.changed:
-            if len(self.due) >= MOST_TIMERS:
+            if len(self.due) >= MAX_TIMERS:
                 return False
             self.count += 1
             heapq.heappush(self.due, (self.clock.now_us() + delay_us, self.count, call))
--- a/packages/core/src/fennelcove/core/front_status.py
+++ b/packages/core/src/fennelcove/core/front_status.py
@@ -116,6 +116,6 @@
                 list_age_ms=self.discovery.age_ms(),
                 retry_storm=self.retry_storms.status(),
                 counts=dict(self.context.counts),
-                shadow_decisions=shadow_policy.told() if shadow_policy is not None else None,
+                shadow_decisions=shadow_policy.counts_by_kind() if shadow_policy is not None else None,
                 sections={name: section() for name, section in self._sections.items()},
             )
--- a/packages/core/src/fennelcove/core/probe_coordinator.py
+++ b/packages/core/src/fennelcove/core/probe_coordinator.py
@@ -15,14 +15,14 @@
 class ProbeSender(Protocol):
     """Sends probes to servers."""
 
-    def ask(self, server: str) -> bool:
+    def start_probe(self, server: str) -> bool:
         """Start a probe of a server without waiting for it; return False if it cannot be started."""
 
 
 class PeerMessenger(Protocol):
     """Sends messages to other fronts."""
 
-    def tell(self, front: int, message: PeerMessage) -> None:
+    def send_message(self, front: int, message: PeerMessage) -> None:
         """Send a message without waiting; it may be lost."""
 
 
@@ -59,7 +59,7 @@
     def probe(self, server: str) -> None:
         """Request a server's load."""
         self._context.increment("probes")
-        if self.probe_sender is None or not self.may_probe() or not self.probe_sender.ask(server):
+        if self.probe_sender is None or not self.may_probe() or not self.probe_sender.start_probe(server):
             # Reported from a timer, as the policy is still handling the event that led here.
             failed = ProbeCompleted(server, Outcome.NOT_SENT, 0, None)
             self._context.timers.after(0, lambda: self.on_probe_completed(failed))
@@ -68,7 +68,7 @@
         """Send a message to another front; it may be lost."""
         self._context.increment("messages")
         if self.peer_messenger is not None:
-            self.peer_messenger.tell(front, message)
+            self.peer_messenger.send_message(front, message)
 
     def on_probe_completed(self, event: ProbeCompleted) -> None:
         """Handle the end of a probe."""
--- a/packages/core/src/fennelcove/core/requests.py
+++ b/packages/core/src/fennelcove/core/requests.py
@@ -259,7 +259,7 @@
 
     reader: int
 
-    def ring(self) -> None:
+    def notify(self) -> None:
         """Make the descriptor readable."""
 
     def close(self) -> None:
--- a/packages/core/src/fennelcove/core/slot_requests.py
+++ b/packages/core/src/fennelcove/core/slot_requests.py
@@ -41,7 +41,7 @@
     def wake(self) -> None:
         """Wake the thread that waits for the set-up, if there is one."""
         if self.wakeup is not None:
-            self.wakeup.ring()
+            self.wakeup.notify()
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/daemon/src/fennelcove/daemon/front_daemon.py
+++ b/packages/daemon/src/fennelcove/daemon/front_daemon.py
@@ -299,7 +299,7 @@
             codec,
             found.on_probe_completed,
         )
-        self.watch_side, found.start_probe = side, side.ask
+        self.watch_side, found.start_probe = side, side.start_probe
         self.vetoes.append(found.may_use_server)
         core.retry_storms.on_server_attempt_ended = found.on_attempt_ended
         core.status_reporter.add_section("watchers", found.status)
@@ -389,7 +389,7 @@
         if self.comeback is not None:
             self.comeback.front_count = company.effective_front_count
         if core.shadow_policy is not None:
-            core.shadow_policy.other.owns_turn = company.is_own_turn
+            core.shadow_policy.alternative.owns_turn = company.is_own_turn
         return company
 
     def _beat(self) -> None:
--- a/packages/decisions-operators/src/fennelcove/decisions/operators/shadow_policy.py
+++ b/packages/decisions-operators/src/fennelcove/decisions/operators/shadow_policy.py
@@ -23,12 +23,12 @@
     SAME = "same"
     OTHER_SERVER = "other_box"
     OTHER_RUNG = "other_rung"
-    WOULD_JOIN = "would_join"  # would start an attempt, where the request was not served
+    WOULD_ATTEMPT = "would_join"  # would start an attempt, where the request was not served
     WOULD_THROTTLE = "would_throttle"  # would not serve the request, where an attempt was started
     WOULD_RAISE = "would_raise"
     WOULD_LOWER = "would_lower"
     WOULD_KEEP = "would_keep"  # would not change the rung, which was changed
-    WOULD_ASK = "would_ask"  # would query servers or fronts first
+    WOULD_QUERY = "would_ask"  # would query servers or fronts first
 
 
 class RecordedDecision:
@@ -67,7 +67,7 @@
     ) -> None:
         self.actual_decision, self.shadow_decision = RecordedDecision(effects), RecordedDecision()
         super().__init__(settings, seed, self.actual_decision, now_us)
-        self.other = PlacementPolicy(shadow_settings, seed, self.shadow_decision, now_us)
+        self.alternative = PlacementPolicy(shadow_settings, seed, self.shadow_decision, now_us)
         self.counts = dict.fromkeys(DecisionKind, 0)
 
     def handle(self, event: Event, now_us: int) -> None:
@@ -78,17 +78,17 @@
         super().handle(event, now_us)
         if isinstance(event, TimerFired):
             return  # each policy has its own timers, and only those of the actual policy fire
-        _random_source(self.other).setstate(random_state)
-        self.other.handle(event, now_us)
+        _random_source(self.alternative).setstate(random_state)
+        self.alternative.handle(event, now_us)
         if self.shadow_decision.query_count:
-            self.counts[DecisionKind.WOULD_ASK] += 1
+            self.counts[DecisionKind.WOULD_QUERY] += 1
             # Its queries are not sent, so it decides by what it knows, as if the responses were lost.
-            self.other.now_us = max(
-                (self.other.poll_deadline_us(session) for session in self.other.polling_sessions),
+            self.alternative.now_us = max(
+                (self.alternative.poll_deadline_us(session) for session in self.alternative.polling_sessions),
                 default=now_us,
             )
-            self.other.on_poll_timeout()
-            self.other.now_us = now_us
+            self.alternative.on_poll_timeout()
+            self.alternative.now_us = now_us
         decisions = (
             self.actual_decision.attempts,
             self.actual_decision.rungs,
@@ -99,7 +99,7 @@
             self.counts[self.compare(session_id)] += 1
             self.align(session_id)
 
-    def told(self) -> dict[str, int]:
+    def counts_by_kind(self) -> dict[str, int]:
         """The counts by the values of `DecisionKind`, as the status response has them."""
         return {kind.value: count for kind, count in self.counts.items()}
 
@@ -112,7 +112,7 @@
                 return (
                     DecisionKind.SAME
                     if server == shadow_server
-                    else DecisionKind.WOULD_JOIN
+                    else DecisionKind.WOULD_ATTEMPT
                     if server is None
                     else DecisionKind.WOULD_THROTTLE
                 )
@@ -135,10 +135,13 @@
 
     def align(self, session_id: str) -> None:
         """Set the shadow policy's session to the actual state, at the server where it actually is."""
-        shadow_session, session = self.other.sessions.pop(session_id, None), self.sessions.get(session_id)
+        shadow_session, session = (
+            self.alternative.sessions.pop(session_id, None),
+            self.sessions.get(session_id),
+        )
         for attempt in shadow_session.attempts if shadow_session is not None else ():
             if shadow_session in attempt.server.sessions:
-                self.other.close_attempt(shadow_session, attempt)
+                self.alternative.close_attempt(shadow_session, attempt)
         if session is None:
             return
         copy = Session(
@@ -153,11 +156,11 @@
         copy.expected_play_us, copy.state, copy.rung = session.expected_play_us, session.state, session.rung
         copy.has_report, copy.started_us, copy.awaited = session.has_report, session.started_us, {}
         copy.quota_share = shadow_session.quota_share if shadow_session is not None else session.quota_share
-        self.other.sessions[session_id] = copy
+        self.alternative.sessions[session_id] = copy
         for attempt in session.attempts:
-            server = self.other.servers.get(attempt.server.address)
+            server = self.alternative.servers.get(attempt.server.address)
             if server is not None and session in attempt.server.sessions:
-                self.other.open_attempt(copy, server)
+                self.alternative.open_attempt(copy, server)
             else:
                 # The attempt is closed, and its server may no longer be listed: looking it up there made the
                 # actual policy fail.
--- a/packages/errors/src/fennelcove/errors/__init__.py
+++ b/packages/errors/src/fennelcove/errors/__init__.py
@@ -18,17 +18,17 @@
         advice: what an operator can do about any error of the type.
         happened: what was found in this case.
         where: the file, line, field or address; "" if the type implies it.
-        cure: the remedy for this case; "" if `advice` is all there is.
+        suggestion: the remedy for this case; "" if `advice` is all there is.
     """
 
     code: ClassVar[str] = ""
     advice: ClassVar[str] = ""
 
-    def __init__(self, happened: str, where: str = "", cure: str = "") -> None:
+    def __init__(self, happened: str, where: str = "", suggestion: str = "") -> None:
         self.happened = happened
         self.where = where
-        self.cure = cure
-        super().__init__("; ".join(filter(None, (self.sentence, cure))))
+        self.suggestion = suggestion
+        super().__init__("; ".join(filter(None, (self.sentence, suggestion))))
 
     @property
     def sentence(self) -> str:
@@ -38,7 +38,7 @@
     @property
     def remedy(self) -> str:
         """What can be done: the remedy for this case, if there is one, and the advice for the type."""
-        return f"{self.cure}. {self.advice}" if self.cure else self.advice
+        return f"{self.suggestion}. {self.advice}" if self.suggestion else self.advice
 
     def fields(self) -> dict[str, str]:
         """The fields of a log line; `reason` is the sentence."""
--- a/packages/ingress/src/fennelcove/ingress/websocket_session.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_session.py
@@ -94,7 +94,7 @@
         # Rung by others while it is closed, the descriptor could be somebody else's by then.
         with self.lock:
             if not self.gone:
-                self.bell.ring()
+                self.bell.notify()
 
     def put(self, news: Notification, number: int) -> None:
         """News of the core; never waits."""
--- a/packages/scenarios/src/fennelcove/scenarios/player.py
+++ b/packages/scenarios/src/fennelcove/scenarios/player.py
@@ -66,7 +66,9 @@
     try:
         from fennelcove.emulators.players import StandInPlayer
     except ImportError as error:
-        raise DayFailed(f"its players need {error.name}", cure="install the development tools") from None
+        raise DayFailed(
+            f"its players need {error.name}", suggestion="install the development tools"
+        ) from None
     return StandInPlayer
 
 
--- a/packages/settings/src/fennelcove/settings/reader.py
+++ b/packages/settings/src/fennelcove/settings/reader.py
@@ -34,20 +34,20 @@
     def amiss(cls, source: str, fault: str) -> SettingsError:
         """From a line of the checks: path, what was found, what would do."""
         path, _, rest = fault.partition(": ")
-        happened, _, cure = rest.partition("; ")
-        return cls(happened, f"{source}: {path}", cure)
+        happened, _, suggestion = rest.partition("; ")
+        return cls(happened, f"{source}: {path}", suggestion)
 
 
 # sexpdata tells no line of anything, so brackets and heads are scanned apart to place a path.
 _LEXEME = re.compile(r';[^\n]*|"(?:[^"\\]|\\.)*"|[()]|[^\s()";]+|\n')
 
 
-def _fault(source: str, lines: dict[str, int], path: str, found: str, cure: str) -> SettingsError:
+def _fault(source: str, lines: dict[str, int], path: str, found: str, suggestion: str) -> SettingsError:
     probe = path
     while probe and probe not in lines:
         probe = probe.rpartition(".")[0] if not probe.endswith("]") else probe.rpartition("[")[0]
     place = f"{source}:{lines[probe]}" if probe in lines else source
-    return SettingsError(f"found {found}", f"{place}: {path}", cure)
+    return SettingsError(f"found {found}", f"{place}: {path}", suggestion)
 
 
 def _lines(text: str) -> dict[str, int]:
@@ -125,8 +125,8 @@
         self.source = source
         self.lines = lines
 
-    def fault(self, path: str, found: str, cure: str) -> SettingsError:
-        return _fault(self.source, self.lines, path, found, cure)
+    def fault(self, path: str, found: str, suggestion: str) -> SettingsError:
+        return _fault(self.source, self.lines, path, found, suggestion)
 
     def struct(self, items: list[Any], type_: Any, path: str) -> dict[str, Any]:
         fields = typing.get_type_hints(type_, include_extras=True)
@@ -155,8 +155,8 @@
             built = []
             for i, item in enumerate(rest):
                 if not isinstance(item, list) or not item or not isinstance(item[0], sexpdata.Symbol):
-                    cure = "write each element as (name (field value) ...)"
-                    raise self.fault(f"{path}[{i}]", _show(item), cure)
+                    suggestion = "write each element as (name (field value) ...)"
+                    raise self.fault(f"{path}[{i}]", _show(item), suggestion)
                 built.append(self.struct(item[1:], element, f"{path}[{i}]"))
             return built
         if len(rest) != 1:
--- a/packages/store/src/fennelcove/store/directory.py
+++ b/packages/store/src/fennelcove/store/directory.py
@@ -108,7 +108,7 @@
             return BaseFile(self.folder, max_mb * MEGABYTE)
         except BaseFileError as error:
             self.lock.release()
-            raise StoreError(error.sentence, self.folder, error.cure) from None
+            raise StoreError(error.sentence, self.folder, error.suggestion) from None
         except OSError as error:
             self.lock.release()
             raise StoreError(str(error), self.folder) from None
@@ -206,7 +206,7 @@
     try:
         base = BaseFile(folder, MEGABYTE, read_only=True)
     except BaseFileError as error:
-        raise StoreError(error.happened, error.where, error.cure) from None
+        raise StoreError(error.happened, error.where, error.suggestion) from None
     files = LocalFiles(folder)
     try:
         problems = [f"{BASE_FILE_NAME}: {key!r}: altered" for key, value in base.items() if value is None]
--- a/packages/upstream/src/fennelcove/upstream/front_messaging.py
+++ b/packages/upstream/src/fennelcove/upstream/front_messaging.py
@@ -54,7 +54,7 @@
         """Begin to listen."""
         self.thread.start()
 
-    def tell(self, front: int, said: PeerMessage) -> None:
+    def send_message(self, front: int, said: PeerMessage) -> None:
         """Send it, or lose it: a message that can't leave now is worth nothing later."""
         for part in encode(said):
             self._send(front, part)
--- a/packages/upstream/src/fennelcove/upstream/health_checks.py
+++ b/packages/upstream/src/fennelcove/upstream/health_checks.py
@@ -47,7 +47,7 @@
         for thread in self.threads:
             thread.start()
 
-    def ask(self, server: str) -> bool:
+    def start_probe(self, server: str) -> bool:
         """Probe this box soon; False where too many wait, and nothing will be heard of it."""
         try:
             self.waiting.put_nowait(server)
--- a/packages/upstream/src/fennelcove/upstream/wakeups.py
+++ b/packages/upstream/src/fennelcove/upstream/wakeups.py
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self.reader = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
 
-    def ring(self) -> None:
+    def notify(self) -> None:
         """Wake who waits, or who will."""
         os.eventfd_write(self.reader, 1)
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -27,7 +27,7 @@
 
 from tests.helpers import Recorder as EffectRecorder
 
-LONGEST_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 SETTINGS = """
 (front (name "front-t") (listen "127.0.0.1:0") (lists (address "127.0.0.1:1"))
   (room-types
@@ -54,7 +54,7 @@
 def wait_for(condition: Callable[[], Any], what: str) -> Any:
     """Wait until a condition is true and return its value; the time limit ends a test that would hang."""
     pause = threading.Event()
-    for _ in range(round(LONGEST_S / 0.005)):
+    for _ in range(round(WAIT_TIMEOUT_S / 0.005)):
         found = condition()
         if found:
             return found
@@ -62,19 +62,19 @@
     raise AssertionError(f"timed out waiting for {what}")
 
 
-class WholePath(unittest.TestCase):
+class FrontTestCase(unittest.TestCase):
     """Starts a front, emulated servers and a list service for each test, and stops them afterwards."""
 
-    BOXES = 3
+    SERVER_COUNT = 3
 
-    def begin(self, start: bool = True, **changes: Any) -> None:
+    def start_system(self, start: bool = True, **changes: Any) -> None:
         """Start the servers and the list service, and a front unless `start` is False."""
         self.clock = SystemClock()
         self.recorder = Recorder(self.clock)
         self.lists = StandInLists(self.clock, self.recorder)
         rack = RackModel(15_000)
         self.boxes: list[StandInBox] = []
-        for i in range(self.BOXES):
+        for i in range(self.SERVER_COUNT):
             model = BoxModel(5000, 50, rack, 1_000_000, 0.5, 2.0, 1_000_000)
             rack.boxes.append(model)
             self.boxes.append(StandInBox(f"box-{i}", model, self.clock, self.recorder, 0.05))
@@ -86,10 +86,10 @@
         self.lists.start()
         self.addCleanup(self.lists.stop)
         self.settings = self.changed(**changes)
-        self.programs: list[FrontDaemon] = []
+        self.started_fronts: list[FrontDaemon] = []
         self.addCleanup(self.stop_fronts)
         if start:
-            self.front = self.new_front()
+            self.front = self.start_front()
 
     def changed(self, **changes: Any) -> FrontSettings:
         """Return the test settings with changes; those of the groups `limits` and `rules` are merged."""
@@ -100,16 +100,16 @@
                 changes[group] = msgspec.structs.replace(getattr(settings, group), **changes[group])
         return msgspec.structs.replace(settings, lists=lists, **changes)
 
-    def new_front(self) -> FrontDaemon:
+    def start_front(self) -> FrontDaemon:
         """Start a front and wait until it has an endpoint list."""
         front = FrontDaemon(self.settings, log.silent)
-        self.programs.append(front)
+        self.started_fronts.append(front)
         front.start()
         wait_for(lambda: front.core.endpoint_tracker.version is not None, "an endpoint list")
         return front
 
     def stop_fronts(self) -> None:
-        for front in self.programs:
+        for front in self.started_fronts:
             front.stop()
 
     def player(self) -> Player:
@@ -121,9 +121,9 @@
         """Request a session and return the response."""
         content = msgspec.json.encode({"room_type": room, "title": "t1", **body})
         fields = [("Content-Type", "application/json"), *headers]
-        return (player or self.player()).ask("POST", "/v1/subscriptions", fields, content, LONGEST_S)
+        return (player or self.player()).ask("POST", "/v1/subscriptions", fields, content, WAIT_TIMEOUT_S)
 
-    def together(self, count: int, **body: Any) -> list[Heard]:
+    def request_concurrently(self, count: int, **body: Any) -> list[Heard]:
         """Request `count` sessions concurrently and return the responses."""
         responses: list[Heard] = []
         threads = [threading.Thread(target=lambda: responses.append(self.ask(**body))) for _ in range(count)]
@@ -133,7 +133,7 @@
             thread.join()
         return responses
 
-    def most_out(self) -> int:
+    def max_setups_in_flight(self) -> int:
         """Return the maximum number of set-ups in flight at once, as recorded by the servers."""
         in_flight = maximum = 0
         for record in list(self.recorder.records):
@@ -142,7 +142,7 @@
         return maximum
 
     def get(self, path: str, headers: Any = (), method: str = "GET") -> Heard:
-        return self.player().ask(method, path, list(headers), b"", LONGEST_S)
+        return self.player().ask(method, path, list(headers), b"", WAIT_TIMEOUT_S)
 
     def seen(self, what: str, **fields: Any) -> list[Record]:
         """Return the records of a kind with these field values."""
@@ -154,12 +154,12 @@
             if record["what"] == what and all(record.get(key) == value for key, value in fields.items())
         ]
 
-    def wait_seen(self, what: str, count: int = 1, **fields: Any) -> list[Record]:
+    def wait_for_records(self, what: str, count: int = 1, **fields: Any) -> list[Record]:
         """Wait for `count` records of a kind with these field values, and return them."""
         wait_for(lambda: len(self.seen(what, **fields)) >= count, f"{count} records of {what} {fields}")
         return self.seen(what, **fields)
 
-    def only(self, index: int) -> None:
+    def leave_one_active(self, index: int) -> None:
         """Publish a list on which only the server with this index is active."""
         self.lists.publish(
             *[
@@ -171,11 +171,11 @@
         wait_for(lambda: self.front.core.endpoint_tracker.version == version, "the new endpoint list")
 
 
-def read_answers(sock: Any, count: int) -> list[tuple[int, bytes]]:
+def read_responses(sock: Any, count: int) -> list[tuple[int, bytes]]:
     """Read `count` responses from a socket; return their statuses and bodies."""
     gatherer = Gatherer(Reader(False, CodecLimits()))
     responses: list[tuple[int, bytes]] = []
-    sock.settimeout(LONGEST_S)
+    sock.settimeout(WAIT_TIMEOUT_S)
     while len(responses) < count:
         while len(responses) < count and (message := gatherer.next()) is not None:
             assert isinstance(message.head, ResponseHead)
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -25,7 +25,7 @@
 from openapi_spec_validator import validate
 
 from tests.generated import GeneratedHttp, GeneratedSocket, Undescribed
-from tests.rig import WholePath
+from tests.rig import FrontTestCase
 from tests.test_lessons import hashed
 
 KEPT = Path(__file__).parent.parent / "docs" / "api"
@@ -114,9 +114,9 @@
             yield from nodes(value)
 
 
-class GeneratedTest(WholePath):
+class GeneratedTest(FrontTestCase):
     def setUp(self) -> None:
-        self.begin(
+        self.start_system(
             titles=[
                 Title(name="t1", cells=3, media=MediaSettings(segment_ticks=400, segments=20)),
                 Title(name="rest", cells=3, media=MediaSettings(segment_ticks=400, segments=1)),
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -14,14 +14,14 @@
 from fennelcove.settings.checks import amiss
 from fennelcove.settings.schema import FairSettings, SlotSettings, Weight
 
-from tests.rig import WholePath, wait_for
+from tests.rig import FrontTestCase, wait_for
 
 
-class SlotsTest(WholePath):
-    BOXES = 1
+class SlotsTest(FrontTestCase):
+    SERVER_COUNT = 1
 
     def begin_fair(self, hold_ms: float, **changes: Any) -> None:
-        self.begin(fair=FairSettings(**{"slots": 2, "wait_ms": 10_000.0, **changes}))
+        self.start_system(fair=FairSettings(**{"slots": 2, "wait_ms": 10_000.0, **changes}))
         self.ask()  # what nothing is known of counts as long, and never has the last slot
         self.boxes[0].pace = Pace(hold_ms)
         self.ask()
@@ -32,14 +32,14 @@
 
     def test_set_ups_past_the_slots_wait_and_no_more_are_out(self) -> None:
         self.begin_fair(50)
-        heard = self.together(8)
+        heard = self.request_concurrently(8)
         assert {one.status for one in heard} == {201}
-        assert self.most_out() == 2
+        assert self.max_setups_in_flight() == 2
         assert self.slots().status()["out"] == 0
 
     def test_waiting_in_vain_ends_at_once_with_a_time_and_nothing_at_the_box(self) -> None:
         self.begin_fair(300, wait_ms=20.0)
-        heard = self.together(6, room="once")
+        heard = self.request_concurrently(6, room="once")
         refused = [one for one in heard if one.status == 503]
         assert refused
         assert all(one.head.get(b"retry-after") for one in refused)
@@ -85,7 +85,7 @@
 
     def test_a_neighbour_goes_before_those_of_one_that_has_had_more(self) -> None:
         self.begin_fair(100)
-        self.together(6, tenant="hog")
+        self.request_concurrently(6, tenant="hog")
         rest = [threading.Thread(target=lambda: self.ask(tenant="hog")) for _ in range(6)]
         for thread in rest:
             thread.start()
@@ -97,14 +97,14 @@
         assert before >= 1  # first come would have let all of the hog go first
 
 
-class LearnedTest(WholePath):
-    BOXES = 1
+class LearnedTest(FrontTestCase):
+    SERVER_COUNT = 1
 
     def test_the_learned_number_counts_in_place_of_the_stated_one(self) -> None:
         # Stated are fifty, learned no more than two: a line that went by its own number would give all eight
         # a turn, and the learned number's own gate would give six of them up.
         learned = SlotSettings(start=2, least=2, most=2)
-        self.begin(fair=FairSettings(slots=50, wait_ms=10_000.0), slots=learned)
+        self.start_system(fair=FairSettings(slots=50, wait_ms=10_000.0), slots=learned)
         # The pace first: beside a set-up of no time all others would pass for long ones.
         self.boxes[0].pace = Pace(60)
         box = self.boxes[0].address
@@ -118,14 +118,16 @@
         for thread in threads:
             thread.join()
         assert len(self.seen("set_up_over", how="started")) == 9
-        assert self.most_out() <= 2
+        assert self.max_setups_in_flight() <= 2
 
 
-class SettingsTest(WholePath):
-    BOXES = 1
+class SettingsTest(FrontTestCase):
+    SERVER_COUNT = 1
 
     def test_too_few_slots_and_a_name_stated_twice_are_refused(self) -> None:
-        self.begin(start=False, fair=FairSettings(slots=2, weights=[Weight(name="a"), Weight(name="a")]))
+        self.start_system(
+            start=False, fair=FairSettings(slots=2, weights=[Weight(name="a"), Weight(name="a")])
+        )
         assert any("fair.weights[1].name" in line for line in amiss(self.settings))
         shared = self.changed(fair=FairSettings(slots=2))
         assert [line for line in amiss(shared) if "fair" in line] == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -43,7 +43,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.rig import WholePath, wait_for
+from tests.rig import FrontTestCase, wait_for
 
 KEY, OTHER = keyed_mac(b"k" * 32), keyed_mac(b"o" * 32)
 WALL = 10**15
@@ -243,7 +243,7 @@
             sock.close()
 
 
-class FleetTest(WholePath):
+class FleetTest(FrontTestCase):
     """Fifteen real fronts, and one of each kind that does not do as it should."""
 
     FRONTS = 15
@@ -255,7 +255,7 @@
         self.keys = {name: str(self.folder / f"{name}.keys") for name in ("ops", "desk", "wrong")}
         for path in self.keys.values():
             key_file.rotate(path, 1)
-        self.begin(start=False)
+        self.start_system(start=False)
         self.fronts: dict[str, FrontDaemon] = {}
         for number in range(self.FRONTS + 1):
             self.fronts[f"front-{number:02}"] = self.made(f"front-{number:02}")
@@ -294,7 +294,7 @@
         told = ControlSettings(keys=keys, audit=str(self.folder / f"{name}.audit"))
         settings = msgspec.structs.replace(self.changed(control=told), name=name)
         program = FrontDaemon(settings, log.silent)
-        self.programs.append(program)
+        self.started_fronts.append(program)
         program.start()
         wait_for(lambda: program.core.endpoint_tracker.version is not None, "a list")
         return program
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -20,12 +20,12 @@
 from fennelcove.ingress.tls import TlsError, TlsKeys
 from fennelcove.settings.schema import TlsSettings
 
-from tests.rig import WholePath, wait_for
+from tests.rig import FrontTestCase, wait_for
 
 NAMES = ("localhost", "127.0.0.1")
 
 
-class TlsTest(WholePath):
+class TlsTest(FrontTestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -33,7 +33,7 @@
         certificates.make(self.folder, NAMES, datetime.now(UTC), timedelta(days=2))
         here = Path(self.folder)
         self.tls = TlsSettings(certificate=str(here / "certificate.pem"), key=str(here / "key.pem"))
-        self.begin(tls=self.tls)
+        self.start_system(tls=self.tls)
 
     def context(self) -> ssl.SSLContext:
         return ssl.create_default_context(cafile=self.tls.certificate)
@@ -115,7 +115,7 @@
         wait_for(lambda: self.front.core.admission_controller.connections == 0, "the connection's end")
 
 
-class KeysCommandTest(WholePath):
+class KeysCommandTest(FrontTestCase):
     def run_(self, *words: str) -> tuple[int, str]:
         result = CliRunner().invoke(main, ["keys", *words])
         return result.exit_code, result.output
--- a/tests/test_lessons.py
+++ b/tests/test_lessons.py
@@ -19,7 +19,7 @@
 from fennelcove.emulators.media_server import StandInBox
 from fennelcove.settings.schema import Author, MediaSettings, StitchSettings, Title
 
-from tests.rig import WholePath, wait_for
+from tests.rig import FrontTestCase, wait_for
 
 JSON = ("Content-Type", "application/json")
 
@@ -28,12 +28,12 @@
     return blake3.blake3(key.encode()).hexdigest()
 
 
-class LessonsTest(WholePath):
+class LessonsTest(FrontTestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.ledger = Path(folder.name) / "ledger"
-        self.begin(start=False)
+        self.start_system(start=False)
         lesson = MediaSettings(timescale=30_000, segment_ticks=12_012, segments=20)
         clip = MediaSettings(timescale=7, segment_ticks=3, segments=3)
         self.settings = self.changed(
@@ -51,7 +51,7 @@
                 slate="slate",
             ),
         )
-        self.front = self.new_front()
+        self.front = self.start_front()
 
     def call(self, method: str, path: str, key: str | None = "k1", **body: Any) -> Heard:
         fields = [JSON] if key is None else [JSON, ("Authorization", f"Bearer {key}")]
@@ -128,7 +128,7 @@
             ]
             for step in steps if change_first else reversed(steps):
                 step()
-            self.wait_seen("released", subscription=id, box=old.address)
+            self.wait_for_records("released", subscription=id, box=old.address)
             seen = []
             for seq in range(20):
                 listed = self.manifest(id)
@@ -152,7 +152,7 @@
         wait_for(lambda: any(self.mark_of(box, id) for box in self.boxes), "the mark at its box")
         wait_for(lambda: self.front.core.commands.queue.count == 0, "the last mark sent")
         self.front.stop()
-        self.front = self.new_front()
+        self.front = self.start_front()
         after = self.manifest(id)
         assert after.media_sequence == before.media_sequence
         kept = [(segment.uri, segment.duration, segment.discontinuity) for segment in after.segments]
@@ -197,7 +197,7 @@
         wait_for(lambda: any(self.mark_of(box, id) for box in self.boxes), "the mark at its box")
         wait_for(lambda: self.front.core.commands.queue.count == 0, "the last mark sent")
         self.front.stop()
-        self.front = self.new_front()
+        self.front = self.start_front()
         assert not any(segment.discontinuity for segment in self.manifest(id).segments)
         assert self.get(f"{path}/asset/c1/2.m4s").status == 307
 
--- a/tests/test_node_desk.py
+++ b/tests/test_node_desk.py
@@ -106,7 +106,7 @@
 
 class DeskTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock = ManualClock(wall_from_us=1_000_000_000)
+        self.clock = ManualClock(wall_start_us=1_000_000_000)
         self.timers = Timers(self.clock)
         self.desk = session_manager.SessionManager(config.parse(TREE), self.clock, self.timers, silent)
         for told in self.desk.config.initial_batch.events:
@@ -272,7 +272,7 @@
     def test_a_join_that_can_t_be_timed_is_not_sent(self) -> None:
         # Without its limit it would outlast its viewer on a server that says nothing.
         _, far = self.link()
-        with mock.patch("fennelcove.clock.timers.MOST_TIMERS", 0):
+        with mock.patch("fennelcove.clock.timers.MAX_TIMERS", 0):
             self.ask()
         [answer] = self.viewer.said
         assert answer.startswith(b"RTSP/1.0 453 ")
--- a/tests/test_node_standing.py
+++ b/tests/test_node_standing.py
@@ -101,7 +101,7 @@
             "settings": {**SETTINGS, "Lanes": [lane]},
             "known": {"rev": 1, "notices": [notice(1, rows, whole=True)]},
         }
-        self.clock = ManualClock(wall_from_us=1_000_000_000)
+        self.clock = ManualClock(wall_start_us=1_000_000_000)
         self.timers = Timers(self.clock)
         self.desk = session_manager.SessionManager(config.parse(tree), self.clock, self.timers, silent)
         for told in self.desk.config.initial_batch.events:
@@ -239,7 +239,7 @@
             "settings": settings,
             "known": {"rev": 1, "notices": [notice(1, rows, whole=True)]},
         }
-        clock = ManualClock(wall_from_us=1_000_000_000)
+        clock = ManualClock(wall_start_us=1_000_000_000)
         made = session_manager.SessionManager(config.parse(tree), clock, Timers(clock), silent)
         for told in made.config.initial_batch.events:
             made.on_discovery_event(told)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -23,7 +23,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.rig import WholePath, wait_for
+from tests.rig import FrontTestCase, wait_for
 
 NAME = KeyName("client", "key")
 
@@ -94,11 +94,11 @@
         assert table.keys == {}
 
 
-class IdempotencyFrontTest(WholePath):
+class IdempotencyFrontTest(FrontTestCase):
     def setUp(self) -> None:
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
-        self.begin(store=StoreSettings(folder=str(Path(directory.name) / "store")))
+        self.start_system(store=StoreSettings(folder=str(Path(directory.name) / "store")))
 
     def request_with_key(self, key: str = "k1", room: str = "free", **fields: Any) -> Any:
         return self.ask(room, key=key, cmcd={"sid": "v"}, **fields)
@@ -139,7 +139,7 @@
         first = SocketPlayer(self.front.door.address, self.clock, random.Random(1))
         request = {"room_type": "free", "title": "t1", "key": "k9", "cmcd": {"sid": "v"}}
         first.tell("set-up", ask=request)
-        self.wait_seen("set_up_over")
+        self.wait_for_records("set_up_over")
         wait_for(lambda: self.front.core.notifier.ownerships.by_session, "the session to start")
         first.hang_up()
         wait_for(lambda: not self.front.sockets.sessions, "the connection to close")
@@ -159,7 +159,7 @@
         with self.assertRaises(Unanswered):
             raw = b'{"room_type":"once","title":"t1","key":"k1","cmcd":{"sid":"v"}}'
             self.player().ask("POST", "/v1/subscriptions", [("Content-Type", "application/json")], raw, 0.5)
-        self.wait_seen("set_up")
+        self.wait_for_records("set_up")
         writer = self.front.keeper
         assert writer is not None
         writer.enqueue(self.front.core.snapshots.collect_changes())
@@ -172,7 +172,7 @@
             server.faults.hang = False
         self.front.stop()
         self.settings = self.changed()
-        self.front = self.new_front()
+        self.front = self.start_front()
         # The records as the killed process left them, not those that the clean stop wrote.
         self.front.core.snapshots.restore(values)
         response = self.request_with_key("k1", "once")
@@ -182,7 +182,7 @@
     def test_session_is_found_by_its_key_after_a_restart(self) -> None:
         id = self.request_with_key().body["id"]
         self.front.stop()
-        self.front = self.new_front()
+        self.front = self.start_front()
         repeated = self.request_with_key()
         assert (repeated.status, repeated.body["id"]) == (201, id)
         assert len(self.seen("set_up")) == 1
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -28,7 +28,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.rig import WholePath, wait_for
+from tests.rig import FrontTestCase, wait_for
 
 POOL, DURATION_US = SeatPool("t1", "few"), 1000
 
@@ -141,14 +141,14 @@
         assert decisions.replay_counts([]) == Counter()
 
 
-class SeatLeasesFrontTest(WholePath):
+class SeatLeasesFrontTest(FrontTestCase):
     def setUp(self) -> None:
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
-        self.begin(start=False)
+        self.start_system(start=False)
         self.store = StoreSettings(folder=str(Path(directory.name) / "store"))
         self.settings = self.settings_with_seat_duration(700.0)
-        self.front = self.new_front()
+        self.front = self.start_front()
 
     def settings_with_seat_duration(self, seat_ms: float) -> Any:
         base = self.changed(store=self.store)
@@ -197,11 +197,11 @@
     def test_restarted_front_restores_its_seats(self) -> None:
         self.front.stop()
         self.settings = self.settings_with_seat_duration(60_000.0)
-        self.front = self.new_front()
+        self.front = self.start_front()
         ids = [self.ask("few").body["id"] for _ in range(2)]
         before = {id: self.front.core.seat_leases.leases.seats[id].expires_wall_us for id in ids}
         self.front.stop()
-        self.front = self.new_front()
+        self.front = self.start_front()
         wait_for(lambda: self.seat_count() == 2, "both seats to be restored")
         after = {id: lease.expires_wall_us for id, lease in self.front.core.seat_leases.leases.seats.items()}
         assert after == before
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -35,7 +35,7 @@
 
 from tests.helpers import SECOND, SETTINGS, Recorder, entry, request_session
 from tests.rig import SETTINGS as FILE
-from tests.rig import WholePath, wait_for
+from tests.rig import FrontTestCase, wait_for
 
 
 def free_ports(count: int) -> list[str]:
@@ -83,12 +83,12 @@
 
 
 class WatchTest(unittest.TestCase):
-    def watched(self, **other: Any) -> tuple[ShadowedPolicy, Recorder]:
+    def watched(self, **alternative: Any) -> tuple[ShadowedPolicy, Recorder]:
         effects = Recorder()
-        made = ShadowedPolicy(SETTINGS, replace(SETTINGS, **other), 7, effects, 0)
+        made = ShadowedPolicy(SETTINGS, replace(SETTINGS, **alternative), 7, effects, 0)
         made.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(3))), 0)
         made.now_us = 100 * SECOND
-        for front in (made, made.other):
+        for front in (made, made.alternative):
             for server in front.servers.values():
                 server.link.observe(0.0, made.now_us - 1)
         return made, effects
@@ -119,12 +119,12 @@
         made, effects = self.watched(peer_price=0.01, front_count=9, front_index=5)
         for server in made.servers.values():
             server.link.report = 0.85  # it goes by what it knows; the other by its guess of nine fronts
-        for server in made.other.servers.values():
+        for server in made.alternative.servers.values():
             server.link.report = None
         request_session(made)
-        assert (made.counts[DecisionKind.WOULD_ASK], made.counts[DecisionKind.OTHER_RUNG]) == (1, 1)
+        assert (made.counts[DecisionKind.WOULD_QUERY], made.counts[DecisionKind.OTHER_RUNG]) == (1, 1)
         assert effects.named("send_peer_message") == []  # counted, not carried out
-        sub, theirs = made.sessions["a"], made.other.sessions["a"]
+        sub, theirs = made.sessions["a"], made.alternative.sessions["a"]
         assert (theirs.server.address, theirs.rung) == (sub.server.address, sub.rung)
 
     def test_a_box_that_has_left_since_a_join_there_failed_breaks_nothing(self) -> None:
@@ -135,9 +135,9 @@
         made.handle(SessionStarted("a", 1, 1000), made.now_us + 1000)
         gone = tuple(entry(f"s{i}", i) for i in range(3) if f"s{i}" != first)
         made.handle(ListUpdate(ListMode.FULL, gone), made.now_us + 60 * SECOND)
-        assert first not in made.other.servers
+        assert first not in made.alternative.servers
         made.handle(TopRungChanged("a", 0), made.now_us + 1000)
-        assert made.other.sessions["a"].rung == made.sessions["a"].rung
+        assert made.alternative.sessions["a"].rung == made.sessions["a"].rung
 
     def test_a_throttled_answer_that_another_shape_would_not_give(self) -> None:
         made, effects = self.watched()
@@ -145,8 +145,8 @@
             server.link.report = 2.0
         request_session(made)
         assert effects.calls[-1][0] == "reject"
-        assert made.counts[DecisionKind.WOULD_JOIN] == 1
-        assert (made.sessions, made.other.sessions) == ({}, {})
+        assert made.counts[DecisionKind.WOULD_ATTEMPT] == 1
+        assert (made.sessions, made.alternative.sessions) == ({}, {})
 
 
 class FrontSideTest(unittest.TestCase):
@@ -167,11 +167,11 @@
         assert heard == [said]
 
 
-class WholeShapeTest(WholePath):
+class WholeShapeTest(FrontTestCase):
     def test_a_request_waits_for_probes_and_then_plays(self) -> None:
         fleet = msgspec.structs.replace(parse(FILE, FrontSettings, "test").fleet, reports_every_ms=0.0)
         shape = ShapeSettings(reports_unasked=False, probes=ProbeSettings(price=0.01))
-        self.begin(fleet=fleet, shape=shape)
+        self.start_system(fleet=fleet, shape=shape)
         answer = self.ask("once")
         assert answer.status == 201
         counts = self.front.core.counts
@@ -181,13 +181,13 @@
     def test_a_front_whose_keeper_never_answers_still_answers_in_time(self) -> None:
         addresses = free_ports(2)
         shape = ShapeSettings(peers=PeerSettings(addresses=addresses))
-        self.begin(instance=Instance(index=1, fronts=2), shape=shape)
+        self.start_system(instance=Instance(index=1, fronts=2), shape=shape)
         answer = self.ask(tenant="a", watch_ms=5000)
         assert answer.status == 201
         assert self.front.core.counts["messages"] >= 2  # its question and its join
 
     def test_a_watched_front_answers_as_ever_and_tells_its_counts(self) -> None:
-        self.begin(watch=ShapeSettings(switch_cost_ms=500, goal=Goal(worst_room_type=0.5)))
+        self.start_system(watch=ShapeSettings(switch_cost_ms=500, goal=Goal(worst_room_type=0.5)))
         assert self.ask().status == 201
         told = self.front.core.status().to_json_fields()["watch"]
         assert isinstance(told, dict)
--- a/tests/test_socket_door.py
+++ b/tests/test_socket_door.py
@@ -33,11 +33,11 @@
 from websockets.exceptions import ConnectionClosed
 from websockets.sync.client import connect
 
-from tests.rig import WholePath, wait_for
+from tests.rig import FrontTestCase, wait_for
 from tests.test_lessons import hashed
 
 
-class SocketPath(WholePath):
+class SocketPath(FrontTestCase):
     def connect(self, **options: Any) -> SocketPlayer:
         chance = random.Random(1)
         player = SocketPlayer(self.front.door.address, self.clock, chance, **options)
@@ -56,18 +56,18 @@
 
 class SocketDoorTest(SocketPath):
     def setUp(self) -> None:
-        self.begin()
+        self.start_system()
 
     def test_a_subscription_from_set_up_to_release(self) -> None:
         player = self.connect()
         told = self.plays(player)
         id = told["state"]["id"]
         assert (told["number"], told["state"]["state"]) == (0, "playing")
-        self.wait_seen("set_up", subscription=id)
+        self.wait_for_records("set_up", subscription=id)
         again = player.ask("set-top", subscription=id, top_rung=1)
         assert (again["type"], again["state"]["top_rung"]) == ("state", 1)
         assert player.ask("release", subscription=id)["type"] == "released"
-        self.wait_seen("released", subscription=id)
+        self.wait_for_records("released", subscription=id)
         assert player.ask("release", subscription=id)["kind"] == "ended"
         assert [item for item in player.heard if item["type"] == "ended"] == []
 
@@ -141,13 +141,13 @@
         assert player.news("ended")["subscription"] == id
 
     def test_a_viewer_that_hangs_up_while_its_join_is_out_is_released(self) -> None:
-        self.only(0)
+        self.leave_one_active(0)
         self.boxes[0].faults.slow_ms = 300.0
         player = self.connect()
         player.tell("set-up", ask={"room_type": "free", "title": "t1"})
-        self.wait_seen("set_up")
+        self.wait_for_records("set_up")
         player.hang_up()
-        self.wait_seen("released")
+        self.wait_for_records("released")
         wait_for(lambda: self.front.core.admission_controller.sessions == 0, "nothing held")
         assert self.front.core.admission_controller.pending_requests == 0
 
@@ -178,7 +178,7 @@
             leaving = player.news("leaving")
             assert leaving["reconnect_after_ms"] < leaving["reconnect_before_ms"]
             assert player.wait_closed().code == 1012
-        self.front = self.new_front()
+        self.front = self.start_front()
         wait_for(lambda: all(id in self.front.core.sessions for id in ids), "what its boxes play")
         for id in ids:
             told = self.connect().ask("resume", subscription=id, seen=3)
@@ -190,7 +190,7 @@
             box.faults.slow_ms = 300.0
         player = self.connect()
         ref = player.tell("set-up", ask={"room_type": "free", "title": "t1"})
-        self.wait_seen("set_up")
+        self.wait_for_records("set_up")
         self.front.stop()
         assert player.answer(ref, 5.0)["type"] == "playing"
         assert player.wait_closed().code == 1012
@@ -226,7 +226,7 @@
         with session.lock:  # as many as come while its thread waits for the socket
             for number in range(100):
                 session.outbox.put(Line(session.welcome(str(number))))
-        session.bell.ring()
+        session.bell.notify()
         assert player.wait_closed().code == 1013
         wait_for(lambda: not self.front.sockets.sessions, "the cut")
         assert self.connect().ask("resume", subscription=id)["type"] == "resumed"
@@ -234,7 +234,7 @@
     def test_a_half_open_connection_is_cut_after_the_silence_and_what_it_owned_ends(self) -> None:
         self.end()
         self.settings = self.changed(limits={"silent_ms": 400})
-        self.front = self.new_front()
+        self.front = self.start_front()
         alive, dead = self.connect(), self.connect()
         ids = [self.plays(player)["state"]["id"] for player in (alive, dead)]
         answering = threading.Event()
@@ -245,7 +245,7 @@
 
         thread = threading.Thread(target=answer)
         thread.start()
-        self.wait_seen("released", subscription=ids[1])
+        self.wait_for_records("released", subscription=ids[1])
         answering.set()
         thread.join()
         assert ids[0] in self.front.core.sessions
@@ -306,7 +306,7 @@
 
 class StitchedNewsTest(SocketPath):
     def test_an_authors_change_is_told_to_those_it_concerns(self) -> None:
-        self.begin(
+        self.start_system(
             titles=[
                 Title(name="t1", cells=3, media=MediaSettings(segment_ticks=400, segments=20)),
                 Title(name="rest", cells=3, media=MediaSettings(segment_ticks=400, segments=1)),
@@ -334,7 +334,7 @@
         path = str(Path(folder.name) / "passes.keys")
         key_file.rotate(path, 1)
         self.mac = keyed_mac(key_file.load(path, 1)[0])
-        self.begin(
+        self.start_system(
             viewers=ViewerSettings(key_file=path),
             websocket=WebSocketSettings(origins=["https://own.example"]),
         )
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -36,7 +36,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.rig import WholePath, wait_for
+from tests.rig import FrontTestCase, wait_for
 
 SECOND = 1_000_000
 
@@ -400,21 +400,21 @@
         assert found == [(b"b", b"2"), (b"c", None)]
 
 
-class RestartTest(WholePath):
+class RestartTest(FrontTestCase):
     """A front that remembers, on real sockets."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.store = StoreSettings(folder=str(Path(folder.name) / "store"))
-        self.begin(
+        self.start_system(
             store=self.store, rules={"budget_free": 2.0, "budget_ratio": 0.0, "budget_span_ms": 60_000.0}
         )
 
     def again(self) -> None:
         self.front.stop()
         assert verify_folder(self.store.folder) == []
-        self.front = self.new_front()
+        self.front = self.start_front()
 
     def test_loads_strikes_and_spent_budget_outlive_the_process(self) -> None:
         self.ask()
@@ -448,13 +448,13 @@
         self.front.stop()
         self.known[0] = replace(self.known[0], started_us=self.clock.now_us())
         self.lists.publish(self.known[0])
-        self.front = self.new_front()
+        self.front = self.start_front()
         assert self.front.core.policy.servers[self.known[0].address].strikes == 0
 
     def test_without_a_store_nothing_is_remembered_and_nothing_is_different(self) -> None:
         self.front.stop()
         self.settings = self.changed()
-        self.front = self.new_front()
+        self.front = self.start_front()
         assert self.front.keeper is None
         assert self.ask().status == 201
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -15,7 +15,7 @@
 from fennelcove.interface import Outcome
 from fennelcove.settings.schema import OverloadSettings
 
-from tests.rig import LONGEST_S, WholePath, read_answers, wait_for
+from tests.rig import WAIT_TIMEOUT_S, FrontTestCase, read_responses, wait_for
 
 POST = (
     b"POST /v1/subscriptions HTTP/1.1\r\nHost: f\r\nContent-Type: application/json\r\n"
@@ -24,9 +24,9 @@
 BODY = b'{"room_type":"free","title":"t1"}'
 
 
-class SetUpTest(WholePath):
+class SetUpTest(FrontTestCase):
     def setUp(self) -> None:
-        self.begin()
+        self.start_system()
 
     def raw(self) -> socket.socket:
         host, _, port = self.front.door.address.rpartition(":")
@@ -45,7 +45,7 @@
         assert self.get(path).body["state"] == "playing"
         assert self.get(f"{path}/rung").body["rung"] == 1
         assert self.get(path, method="DELETE").status == 204
-        self.wait_seen("released", held=True)
+        self.wait_for_records("released", held=True)
         assert self.get(path).status == 410
         assert self.get("/v1/subscriptions/1-" + "0" * 24).status == 404
 
@@ -58,7 +58,7 @@
             path = made.headers["location"]
             lowered = client.put(f"{path}/rung", json={"top_rung": 0})
             assert (lowered.status_code, lowered.json()["rung"]) == (200, 0)
-            self.wait_seen("rung", rung=0)
+            self.wait_for_records("rung", rung=0)
             assert client.delete(path).status_code == 204
             for sent, status, kind in (
                 (client.post("/v1/subscriptions", json={"room_type": "no", "title": "t1"}), 422, "room-type"),
@@ -82,15 +82,15 @@
     def test_pipelined_and_expecting_and_byte_by_byte(self) -> None:
         sock = self.raw()
         sock.sendall(POST % (len(BODY), BODY) * 2)
-        assert [status for status, _ in read_answers(sock, 2)] == [201, 201]
+        assert [status for status, _ in read_responses(sock, 2)] == [201, 201]
         slow = self.raw()
         head, body = (POST % (len(BODY), BODY)).split(b"\r\n\r\n")
         for byte in head + b"\r\nExpect: 100-continue\r\n\r\n":
             slow.sendall(bytes([byte]))
-        slow.settimeout(LONGEST_S)
+        slow.settimeout(WAIT_TIMEOUT_S)
         assert slow.recv(100) == b"HTTP/1.1 100 Continue\r\n\r\n"
         slow.sendall(body)
-        assert read_answers(slow, 1)[0][0] == 201
+        assert read_responses(slow, 1)[0][0] == 201
 
     def test_smuggling_is_answered_once_and_the_connection_closed(self) -> None:
         sock = self.raw()
@@ -98,7 +98,7 @@
             b"POST /v1/subscriptions HTTP/1.1\r\nHost: f\r\nContent-Length: 4\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /v1/status HTTP/1.1\r\nHost: f\r\n\r\n"
         )
-        assert [status for status, _ in read_answers(sock, 2)] == [400]
+        assert [status for status, _ in read_responses(sock, 2)] == [400]
 
     def test_a_box_that_says_full_and_goes_on_accepting_draws_no_new_work(self) -> None:
         for _ in range(6):
@@ -119,19 +119,19 @@
             box.faults.slow_ms = 400
         with self.assertRaises(Unanswered):
             self.player().ask("POST", "/v1/subscriptions", [("Content-Type", "application/json")], BODY, 0.1)
-        self.wait_seen("set_up_over", how="front_closed")
-        self.wait_seen("released")
+        self.wait_for_records("set_up_over", how="front_closed")
+        self.wait_for_records("released")
         wait_for(lambda: not self.front.core.sessions and not self.front.core.policy.sessions, "nothing held")
         assert len(self.seen("set_up")) == 1
 
     def test_a_box_that_answers_after_the_front_gave_up_is_told_to_let_go(self) -> None:
         self.boxes[0].faults.slow_ms = 1500
-        self.only(0)
+        self.leave_one_active(0)
         heard = self.ask(client_timeout_ms=600)
         assert heard.status == 503
         assert heard.head.get(b"retry-after")
-        self.wait_seen("released")
-        self.wait_seen("set_up_over", how="front_closed")
+        self.wait_for_records("released")
+        self.wait_for_records("set_up_over", how="front_closed")
         wait_for(lambda: not self.boxes[0].model.playing, "nothing held")
 
     def test_seats_are_never_given_twice(self) -> None:
@@ -152,14 +152,14 @@
         twice = b'{"address":"%s","zone":"zone","kind":"k","cell":0,"state":"%s"}'
         address = self.boxes[0].address.encode()
         wait_for(lambda: self.front.list_side.stream is not stream, "another stream")
-        self.only(1)
+        self.leave_one_active(1)
         both = b",".join(twice % (address, state) for state in (b"leaving", b"active"))
         self.lists.send_raw(b'{"version":%d,"base":%d,"boxes":[%b]}' % (version + 2, version + 1, both))
         wait_for(lambda: core.endpoint_tracker.version == version + 2, "the list that names a box twice")
         assert self.ask().body["box"] == self.boxes[1].address
 
     def test_viewers_that_starve_together_mark_their_box_short(self) -> None:
-        self.only(0)
+        self.leave_one_active(0)
         paths = [f"/v1/subscriptions/{self.ask(top_rung=0).body['id']}" for _ in range(2)]
         link = self.front.core.policy.servers[self.boxes[0].address].link
         for path in paths:
@@ -193,7 +193,7 @@
         id = self.ask().body["id"]
         old = self.home(id)
         self.drain(old)
-        self.wait_seen("released", subscription=id, box=old.address, held=True)
+        self.wait_for_records("released", subscription=id, box=old.address, held=True)
         view = self.get(f"/v1/subscriptions/{id}")
         assert view.status == 200
         assert view.body["box"] != old.address
@@ -203,7 +203,7 @@
         released = self.seen("released", subscription=id, box=old.address)[0]
         assert made["t_us"] < released["t_us"], "broken before it was made"
         assert self.get(f"/v1/subscriptions/{id}", method="DELETE").status == 204
-        self.wait_seen("released", subscription=id, box=view.body["box"], held=True)
+        self.wait_for_records("released", subscription=id, box=view.body["box"], held=True)
         wait_for(
             lambda: not self.front.core.policy.sessions and not self.front.core.lifecycle.by_policy_id,
             "nothing held",
@@ -236,9 +236,9 @@
         for box in self.boxes:
             box.faults.slow_ms = 200
         self.drain(old)
-        self.wait_seen("set_up", 2, subscription=id)
+        self.wait_for_records("set_up", 2, subscription=id)
         assert self.get(f"/v1/subscriptions/{id}", method="DELETE").status == 204
-        self.wait_seen("released", 2, subscription=id)
+        self.wait_for_records("released", 2, subscription=id)
         for box in self.boxes:
             wait_for(lambda box=box: not box.model.playing, "nothing held")
 
@@ -248,7 +248,7 @@
         others = [box for box in self.boxes if box is not old]
         others[0].faults.errors = others[1].faults.errors = True
         self.drain(old)
-        self.wait_seen("set_up_over", 2, subscription=id, how="error")
+        self.wait_for_records("set_up_over", 2, subscription=id, how="error")
         for box in others:
             box.faults.errors = False
         joins = self.seen("set_up", subscription=id)
@@ -265,18 +265,18 @@
         self.drain(old, "active")
         wait_for(lambda: not self.front.core.draining.is_draining(old.address), "the end of the drain")
         assert self.get(f"/v1/subscriptions/{ids[0]}", method="DELETE").status == 204
-        self.wait_seen("released", subscription=ids[0], held=True)
+        self.wait_for_records("released", subscription=ids[0], held=True)
 
 
-class LostJoinTest(WholePath):
+class LostJoinTest(FrontTestCase):
     """Joins to a box that loses them, without a warm-up, in which a lost box would get turns alone."""
 
     def setUp(self) -> None:
-        self.begin(rules={"ramp_ms": 0.0})
+        self.start_system(rules={"ramp_ms": 0.0})
 
     def test_what_may_have_run_is_judged_by_room_type(self) -> None:
         self.boxes[0].faults.reset = True
-        self.only(0)
+        self.leave_one_active(0)
         assert self.ask("free").status == 503
         assert self.ask("keyed").status == 503
         lost = self.ask("once")
@@ -289,7 +289,7 @@
 
     def test_every_kind_of_answer_has_its_outcome(self) -> None:
         box = self.boxes[0]
-        self.only(0)
+        self.leave_one_active(0)
         for fault, outcome in (
             ("errors", Outcome.SERVER_ERROR),
             ("garbage", Outcome.SERVER_ERROR),
@@ -306,7 +306,7 @@
         assert self.front.core.counts["joins_turned_away"] == 1
 
 
-class FurtherJoinsTest(WholePath):
+class FurtherJoinsTest(FrontTestCase):
     def joins_that_reached_boxes(self, count: int) -> list[int]:
         """For each of so many set-ups in a row, with every box resetting them."""
         for box in self.boxes:
@@ -319,27 +319,29 @@
         return made
 
     def test_without_a_budget_each_holder_is_tried(self) -> None:
-        self.begin()
+        self.start_system()
         assert self.joins_that_reached_boxes(1) == [3]
 
     def test_the_budget_on_further_joins_holds_at_the_boxes(self) -> None:
         rules = {"budget_free": 1.0, "budget_ratio": 0.0, "budget_span_ms": 60_000.0, "ramp_ms": 0.0}
-        self.begin(rules=rules)
+        self.start_system(rules=rules)
         assert self.joins_that_reached_boxes(3) == [2, 1, 1]
 
     def test_a_budget_of_the_whole_fleet_holds_at_one_front_alone(self) -> None:
-        self.begin(rules={"ramp_ms": 0.0}, overload=OverloadSettings(enabled=False, further_joins_s=0.001))
+        self.start_system(
+            rules={"ramp_ms": 0.0}, overload=OverloadSettings(enabled=False, further_joins_s=0.001)
+        )
         assert self.joins_that_reached_boxes(3) == [2, 1, 1]
         told = self.front.core.status().to_json_fields()["budgets"]
         assert isinstance(told, dict)
         assert told["further_join"]["spent"] == 1
 
 
-class FifthJoinTest(WholePath):
-    BOXES = 6
+class FifthJoinTest(FrontTestCase):
+    SERVER_COUNT = 6
 
     def test_a_viewer_whose_fifth_join_times_out_gets_one_answer_in_time(self) -> None:
-        self.begin(start=False)
+        self.start_system(start=False)
         self.settings = self.changed(
             fleet=self.settings.fleet.__class__(
                 **{
@@ -352,7 +354,7 @@
             ),
             titles=[self.settings.titles[0].__class__(name="t1", first_cell=0, cells=6)],
         )
-        self.front = self.new_front()
+        self.front = self.start_front()
         for box in self.boxes:
             box.faults.hang = True
         player = self.player()
@@ -367,9 +369,9 @@
         wait_for(lambda: not self.front.core.policy.sessions, "nothing held")
 
 
-class BoundsTest(WholePath):
+class BoundsTest(FrontTestCase):
     def test_past_the_bound_of_connections_the_answer_is_an_immediate_503(self) -> None:
-        self.begin(limits={"connections": 3, "waiting": 3})
+        self.start_system(limits={"connections": 3, "waiting": 3})
         address = self.front.door.address.rpartition(":")
         held = [socket.create_connection((address[0], int(address[2]))) for _ in range(3)]
         for sock in held:
@@ -384,7 +386,7 @@
 
     def test_slow_senders_in_their_hundreds_keep_nobody_out(self) -> None:
         # Long enough for all of them to be accepted, on a busy machine too, before the first is cut off.
-        self.begin(limits={"connections": 600, "waiting": 600, "head_ms": 2_000, "idle_ms": 2_000})
+        self.start_system(limits={"connections": 600, "waiting": 600, "head_ms": 2_000, "idle_ms": 2_000})
         address = self.front.door.address.rpartition(":")
         socks = [socket.create_connection((address[0], int(address[2]))) for _ in range(500)]
         done = threading.Event()
@@ -413,9 +415,9 @@
         wait_for(lambda: self.front.core.admission_controller.buffered_bytes == 0, "every byte given back")
 
 
-class EndTest(WholePath):
+class EndTest(FrontTestCase):
     def test_a_front_stopped_with_joins_out_answers_each_and_ends(self) -> None:
-        self.begin(limits={"stop_ms": 400})
+        self.start_system(limits={"stop_ms": 400})
         for box in self.boxes:
             box.faults.hang = True
         answers: list[tuple[str, int]] = []
@@ -426,7 +428,7 @@
         threads = [threading.Thread(target=ask, args=(room,)) for room in ("free", "once") * 4]
         for thread in threads:
             thread.start()
-        self.wait_seen("set_up", 8)
+        self.wait_for_records("set_up", 8)
         self.front.stop()
         for thread in threads:
             thread.join()
@@ -440,25 +442,25 @@
         assert left == []
 
     def test_a_new_front_takes_over_what_its_boxes_play(self) -> None:
-        self.begin()
+        self.start_system()
         ids = [self.ask("few").body["id"] for _ in range(2)]
         free = self.ask(top_rung=1).body
         self.front.stop()
-        self.front = self.new_front()
+        self.front = self.start_front()
         assert self.get(f"/v1/subscriptions/{free['id']}").body["rung"] == 1
         assert self.ask("few").status == 503
         assert self.get(f"/v1/subscriptions/{ids[0]}", method="DELETE").status == 204
-        self.wait_seen("released", subscription=ids[0], held=True)
+        self.wait_for_records("released", subscription=ids[0], held=True)
         assert self.ask("few").status == 201
 
     def test_what_a_front_no_longer_knows_is_released_when_it_comes_back(self) -> None:
-        self.begin()
+        self.start_system()
         id = self.ask("high").body["id"]
         self.front.stop()
         rooms = [room for room in self.settings.room_types if room.name != "high"]
         self.settings = self.changed(room_types=rooms)
-        self.front = self.new_front()
-        self.wait_seen("released", subscription=id, held=True)
+        self.front = self.start_front()
+        self.wait_for_records("released", subscription=id, held=True)
         assert self.get(f"/v1/subscriptions/{id}").status == 404
 
 
--- a/tests/test_work_per_event.py
+++ b/tests/test_work_per_event.py
@@ -127,7 +127,7 @@
     rows = [row(i) for i in range(servers)]
     known = {"rev": 1, "notices": [notice(1, rows, whole=True)]}
     tree = {"listen": "127.0.0.1:1", "board": "127.0.0.1:2", "known": known, "settings": SETTINGS}
-    clock = ManualClock(wall_from_us=1_700_000_000 * SECOND)
+    clock = ManualClock(wall_start_us=1_700_000_000 * SECOND)
     node = SessionManager(config.parse(tree), clock, Timers(clock), silent)
     for event in node.config.initial_batch.events:
         node.on_discovery_event(event)
