--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -162,7 +162,7 @@
             wait_for(lambda: sides[1].lost == 1, "the stranger's message to be passed over")
         sides[0].sock.sendto(b"\xff\xff", sides[1].addresses[1])
         wait_for(lambda: sides[1].lost == 2, "the malformed message to be passed over")
-        sides[0].tell(1, said)
+        sides[0].send_message(1, said)
         wait_for(lambda: heard, "a message")
         assert heard == [said]
 
--- a/tests/test_socket_door.py
+++ b/tests/test_socket_door.py
@@ -232,7 +232,7 @@
         assert self.connect().ask("resume", subscription=id)["type"] == "resumed"
 
     def test_a_half_open_connection_is_cut_after_the_silence_and_what_it_owned_ends(self) -> None:
-        self.end()
+        self.stop_fronts()
         self.settings = self.changed(limits={"silent_ms": 400})
         self.front = self.start_front()
         alive, dead = self.connect(), self.connect()
