--- a/benchmarks/release_worlds.py
+++ b/benchmarks/release_worlds.py
@@ -260,7 +260,7 @@
 FAULTS: dict[str, tuple[type, str, object]] = {
     "forgets": (Grantor, "advance", _forgets),  # a permit that runs out frees its place
     "trusts": (Grantor, "__post_init__", _trusts_itself),  # a new life promises at once
-    "open": (Grantor, "_judge", _open_minded),  # yes to several asks at once
+    "open": (Grantor, "_verdict_on", _open_minded),  # yes to several asks at once
     "careless": (Requester, "_is_within_limits", _careless),  # what the voices name is not counted
     "gullible": (Acceptor, "may_vote", _gullible),  # who forgot gives its voice
     "anything": (Acceptor, "on_proposal", _takes_anything),  # a record of a leader that is over is taken
--- a/packages/rollouts/src/fennelcove/rollouts/available_capacity.py
+++ b/packages/rollouts/src/fennelcove/rollouts/available_capacity.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
+class AvailableTarget:
     """Who can take the next session, and from when on; `target` is None where nobody offers capacity."""
 
     target: int | None
@@ -31,13 +31,13 @@
         known_us = self.available_at_us
         self.available_at_us = {target: known_us.get(target, now_us) for target in self.interval_us}
 
-    def earliest(self, now_us: int) -> Opening:
+    def earliest(self, now_us: int) -> AvailableTarget:
         """Who can take a session first."""
         if not self.available_at_us:
-            return Opening(None, now_us)
-        openings = [(max(now_us, at_us), target) for target, at_us in self.available_at_us.items()]
-        at_us, target = min(openings)
-        return Opening(target, at_us)
+            return AvailableTarget(None, now_us)
+        candidates = [(max(now_us, at_us), target) for target, at_us in self.available_at_us.items()]
+        at_us, target = min(candidates)
+        return AvailableTarget(target, at_us)
 
     def reserve(self, target: int, at_us: int) -> None:
         """Count a session that goes to a target at a time."""
--- a/packages/rollouts/src/fennelcove/rollouts/coordinator.py
+++ b/packages/rollouts/src/fennelcove/rollouts/coordinator.py
@@ -81,7 +81,7 @@
         fronts: tuple[Location, ...],
         incarnation: int,
         now_us: int,
-        memory: PersistedState | None = None,
+        persisted: PersistedState | None = None,
     ) -> None:
         """Start an incarnation.
 
@@ -91,16 +91,16 @@
             fronts: the location of each front, by index.
             incarnation: higher than all earlier ones of this front.
             now_us: the present time.
-            memory: what the previous incarnation persisted; None where that is lost.
+            persisted: what the previous incarnation persisted; None where that is lost.
         """
         self.settings = settings
         self.incarnation = incarnation
         self.is_superseded = False
-        self.persisted: PersistedState | None = memory
+        self.persisted: PersistedState | None = persisted
         self.actions = ActionQueue()
         self.zones = {index: location.zone for index, location in enumerate(fronts)}
         self.front = LocalFront(settings.front_index, incarnation, FrontStatus(ServingState.STARTING))
-        restored = memory or PersistedState(sure=False, whole=False)
+        restored = persisted or PersistedState(sure=False, whole=False)
         permit_settings = {kind: settings.permit_settings(kind, limits) for kind in PlaceKind}
         maps = {PlaceKind.FRONT: DisruptionMap(dict(enumerate(fronts))), PlaceKind.BOX: DisruptionMap({})}
         self.grantors = {
@@ -144,12 +144,12 @@
         """What to send at a heartbeat interval; `status`: this front's, `jitter`: random, from 0 to 1."""
         self.front.status, self.front.jitter = status, jitter
         self.permits.expire_orders(now_us)
-        post = self.heartbeats.send(now_us)
+        outbox = self.heartbeats.send(now_us)
         if not self.is_superseded:
-            post += self.permits.send_requests(now_us)
-            post += self.controller.tick(status, now_us, jitter)
+            outbox += self.permits.send_requests(now_us)
+            outbox += self.controller.tick(status, now_us, jitter)
         self.permits.cancel_outdated()
-        return post
+        return outbox
 
     def on_message(self, sender: int, message: RolloutMessage, now_us: int) -> Outbox:
         """Take in another front's message; what to send for it."""
@@ -157,9 +157,9 @@
             return []
         if self.is_superseded and not isinstance(message, Heartbeat):
             return []  # two votes of one front would make two majorities without a common front
-        post = self.handlers[type(message)](sender, message, now_us)
+        outbox = self.handlers[type(message)](sender, message, now_us)
         self.permits.cancel_outdated()
-        return post
+        return outbox
 
     def _on_heartbeat(self, sender: int, heartbeat: Heartbeat, now_us: int) -> Outbox:
         if heartbeat.acked_incarnation > self.incarnation and not self.is_superseded:
@@ -179,9 +179,9 @@
 
     def command(self, command: Command, now_us: int) -> tuple[int, CommandOutcome, Outbox]:
         """Begin to carry out an operator's command: its number, its outcome so far, and what to send."""
-        number, post = self.controller.command(command, now_us)
+        number, outbox = self.controller.command(command, now_us)
         self.permits.cancel_outdated()
-        return number, self.controller.commands.outcome(number), post
+        return number, self.controller.commands.outcome(number), outbox
 
     def command_outcome(self, number: int) -> CommandOutcome:
         """The outcome of a command; one that is no longer remembered counts as lost."""
@@ -235,11 +235,11 @@
 
     def state_to_persist(self) -> PersistedState | None:
         """The state to persist now; None where it is the same as at the last call."""
-        memory = take_changed_state(self.acceptor, self.grantors)
-        if memory is None or memory == self.persisted:
+        persisted = take_changed_state(self.acceptor, self.grantors)
+        if persisted is None or persisted == self.persisted:
             return None
-        self.persisted = memory
-        return memory
+        self.persisted = persisted
+        return persisted
 
     def record(self) -> RolloutRecord:
         """The rollout record as this front knows it."""
--- a/packages/rollouts/src/fennelcove/rollouts/disruption_budget.py
+++ b/packages/rollouts/src/fennelcove/rollouts/disruption_budget.py
@@ -70,14 +70,14 @@
         return next(self._exceeded_limits(limit, place, frozenset(others) | {place}), None)
 
     def _exceeded_limits(
-        self, limit: DisruptionLimit, place: int, out: frozenset[int]
+        self, limit: DisruptionLimit, place: int, disrupted: frozenset[int]
     ) -> Iterator[ExceededLimit]:
-        if len(out) > limit.total:
+        if len(disrupted) > limit.total:
             yield ExceededLimit.TOTAL
         location = self.places.get(place)
         if location is None:
             return  # a place that is not listed has no zone, no titles and no load
-        listed = [self.places[index] for index in out if index in self.places]
+        listed = [self.places[index] for index in disrupted if index in self.places]
         if sum(other.zone == location.zone for other in listed) > limit.per_zone:
             yield ExceededLimit.ZONE
         replicas = Counter(title for other in listed for title in other.titles & location.titles)
@@ -91,7 +91,7 @@
 
     def _has_last_warm_replica(self, location: Location, listed: list[Location]) -> bool:
         """Whether a title of the location would have no warm replica left."""
-        warm_out = Counter(
+        disrupted_warm = Counter(
             title for other in listed if other.is_warm for title in other.titles & location.titles
         )
-        return any(self.warm_replicas[title] <= warm_out[title] for title in location.titles)
+        return any(self.warm_replicas[title] <= disrupted_warm[title] for title in location.titles)
--- a/packages/rollouts/src/fennelcove/rollouts/draining.py
+++ b/packages/rollouts/src/fennelcove/rollouts/draining.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Draining:
+class Drain:
     """One front or server that drains; the caller provides time and randomness and carries out the steps."""
 
     times: DrainTimes
@@ -103,11 +103,11 @@
         """The immediate answer to a new set-up; None before the drain, or where it was answered already."""
         if self.state is DrainState.OPEN or not self._record_answer(request_id):
             return None
-        opening = self.capacity.earliest(now_us)
-        if opening.target is None:
+        available = self.capacity.earliest(now_us)
+        if available.target is None:
             return DrainReply(self.times.spread_us, None)
-        self.capacity.reserve(opening.target, opening.at_us)
-        return DrainReply(opening.at_us - now_us, opening.target)
+        self.capacity.reserve(available.target, available.at_us)
+        return DrainReply(available.at_us - now_us, available.target)
 
     def on_request_pending(self, request_id: str, until_us: int) -> None:
         """Note a pending request and its client's timeout."""
@@ -147,12 +147,12 @@
     def _notify_next(self, now_us: int) -> list[DrainStep]:
         steps: list[DrainStep] = []
         for client_id, due_us in list(self.queue.items()):
-            opening = self.capacity.earliest(now_us)
-            if due_us > now_us or opening.target is None or opening.at_us > now_us:
+            available = self.capacity.earliest(now_us)
+            if due_us > now_us or available.target is None or available.at_us > now_us:
                 break  # the queue is in order of time, and no target has capacity earlier
             del self.queue[client_id]
-            self.capacity.reserve(opening.target, now_us)
-            steps += self._apply_client_event(client_id, ClientEvent.NOTIFIED, opening.target)
+            self.capacity.reserve(available.target, now_us)
+            steps += self._apply_client_event(client_id, ClientEvent.NOTIFIED, available.target)
         return steps
 
     def _close_remaining(self, now_us: int) -> list[DrainStep]:
@@ -160,11 +160,11 @@
         steps: list[DrainStep] = []
         self.queue.clear()
         for client_id in list(self.clients):
-            opening = self.capacity.earliest(now_us)
-            if opening.target is not None:
-                self.capacity.reserve(opening.target, opening.at_us)
+            available = self.capacity.earliest(now_us)
+            if available.target is not None:
+                self.capacity.reserve(available.target, available.at_us)
             steps += self._apply_client_event(
-                client_id, ClientEvent.DEADLINE_PASSED, opening.target, opening.at_us - now_us
+                client_id, ClientEvent.DEADLINE_PASSED, available.target, available.at_us - now_us
             )
         self.closed_count += len(steps)
         return steps
--- a/packages/rollouts/src/fennelcove/rollouts/front_permits.py
+++ b/packages/rollouts/src/fennelcove/rollouts/front_permits.py
@@ -43,19 +43,19 @@
 
     def send_requests(self, now_us: int) -> Outbox:
         """The requests to send at a heartbeat interval, and what follows of this front's own votes."""
-        post: Outbox = []
+        outbox: Outbox = []
         for kind, requester in self.requesters.items():
             if kind is PlaceKind.FRONT and self.front.status.serving_state is not ServingState.SERVING:
                 continue  # a front that does not serve needs no permit
             request = requester.next_request(now_us)
             if request is not None:
-                post += self._send(request, now_us)
-        return post
+                outbox += self._send(request, now_us)
+        return outbox
 
     def _send(self, request: PermitRequest, now_us: int) -> Outbox:
-        post: Outbox = [(index, request) for index in self.peers]
+        outbox: Outbox = [(index, request) for index in self.peers]
         own_vote = self._vote_on(self.front.index, request, now_us)
-        return post + self.on_vote(self.front.index, own_vote, now_us)
+        return outbox + self.on_vote(self.front.index, own_vote, now_us)
 
     def on_request(self, sender: int, request: PermitRequest, now_us: int) -> Outbox:
         """Vote on the request of another front."""
@@ -75,8 +75,8 @@
             counted = [one.place for one in requester.requests.values() if one.state is asking]
             granted = requester.on_vote(sender, vote, self.grantors[kind], self.front.jitter, now_us)
             if granted is not None:
-                do = ActionKind.DRAIN_FRONT if kind is PlaceKind.FRONT else ActionKind.DRAIN_SERVER
-                self.actions.add(Action(do, kind, granted.place, granted.version))
+                action_kind = ActionKind.DRAIN_FRONT if kind is PlaceKind.FRONT else ActionKind.DRAIN_SERVER
+                self.actions.add(Action(action_kind, kind, granted.place, granted.version))
             if any(requester.requests[place].state is not asking for place in counted):
                 return self.heartbeats.send(now_us)
         return []
--- a/packages/rollouts/src/fennelcove/rollouts/permit_grantor.py
+++ b/packages/rollouts/src/fennelcove/rollouts/permit_grantor.py
@@ -71,9 +71,9 @@
     def update_map(self, disruption_map: DisruptionMap) -> None:
         """Replace the known places."""
         if not self.has_full_history:
-            fresh = disruption_map.places.keys() - self.entries.keys() - self.health.views.keys()
+            new_places = disruption_map.places.keys() - self.entries.keys() - self.health.views.keys()
             # A server that is listed later may be new, or one that the previous incarnation promised.
-            for place in fresh:
+            for place in new_places:
                 self.entries[place] = PermitEntry(PermitState.UNKNOWN, since_us=self.recovering_until_us)
         self.health.retain(disruption_map.places.keys())
         self.disruption_map = disruption_map
@@ -104,7 +104,7 @@
         if is_stale or self._is_over(requester, request):
             verdict = PermitVerdict.STALE
         else:
-            verdict = self._judge(requester, request, now_us)
+            verdict = self._verdict_on(requester, request, now_us)
         if verdict is not PermitVerdict.GRANTED:
             return PermitVote(request.incarnation, request.number, verdict)
         entry = self.entries.get(request.place)
@@ -113,7 +113,7 @@
         others = tuple(sorted(self.promised_places() - {request.place}))
         return PermitVote(request.incarnation, request.number, verdict, others)
 
-    def _judge(self, requester: int, request: PermitRequest, now_us: int) -> PermitVerdict:
+    def _verdict_on(self, requester: int, request: PermitRequest, now_us: int) -> PermitVerdict:
         if now_us < self.recovering_until_us:
             return PermitVerdict.RECOVERING
         entry = self.entries.get(request.place)
--- a/packages/rollouts/src/fennelcove/rollouts/permit_requester.py
+++ b/packages/rollouts/src/fennelcove/rollouts/permit_requester.py
@@ -121,16 +121,16 @@
     def next_request(self, now_us: int) -> PermitRequest | None:
         """The request to send to all fronts now, if any: a new one, or the one being counted again."""
         self.advance(now_us)
-        request = self._counting()
+        request = self._request_in_progress()
         if request is None:
             request = self._next_wanted(now_us)
             if request is None:
                 return None
-            self._start_counting(request, now_us)
+            self._start_attempt(request, now_us)
         term, turn = request.revision
         return PermitRequest(self.incarnation, request.number, self.settings.kind, request.place, term, turn)
 
-    def _counting(self) -> PendingRequest | None:
+    def _request_in_progress(self) -> PendingRequest | None:
         asking = (one for one in self.requests.values() if one.state is RequestState.ASKING)
         return next(asking, None)
 
@@ -138,7 +138,7 @@
         wanted = (one for one in self.requests.values() if one.state is RequestState.WANTED)
         return next((one for one in wanted if now_us >= one.not_before_us), None)
 
-    def _start_counting(self, request: PendingRequest, now_us: int) -> None:
+    def _start_attempt(self, request: PendingRequest, now_us: int) -> None:
         self._apply(request, RequestEvent.SENT)
         request.number = next(self.numbers)
         request.sent_us = now_us
--- a/packages/rollouts/src/fennelcove/rollouts/persisted_state.py
+++ b/packages/rollouts/src/fennelcove/rollouts/persisted_state.py
@@ -14,27 +14,27 @@
 
 
 def restore_grantor(
-    settings: PermitSettings, disruption_map: DisruptionMap, memory: PersistedState, now_us: int
+    settings: PermitSettings, disruption_map: DisruptionMap, persisted: PersistedState, now_us: int
 ) -> Grantor:
     """A grantor with the promises and the written-off places of the previous incarnation."""
     entries = {
         permit.place: PermitEntry(PermitState.GRANTED, permit.asker, permit.life, permit.number)
-        for permit in memory.promises
+        for permit in persisted.promises
         if permit.kind is settings.kind
     }
-    for kind, place in memory.off:
+    for kind, place in persisted.off:
         if kind is settings.kind:
             entries[place] = PermitEntry(PermitState.WRITTEN_OFF)
-    return Grantor(settings, disruption_map, now_us, memory.whole, entries)
+    return Grantor(settings, disruption_map, now_us, persisted.whole, entries)
 
 
 def take_changed_state(acceptor: Acceptor, grantors: Mapping[PlaceKind, Grantor]) -> PersistedState | None:
     """The state to persist, and mark it as taken; None where nothing has changed since the last call."""
-    books: list[Acceptor | Grantor] = [*grantors.values(), acceptor]
-    if not any(book.has_unsaved_changes for book in books):
+    sources: list[Acceptor | Grantor] = [*grantors.values(), acceptor]
+    if not any(source.has_unsaved_changes for source in sources):
         return None
-    for book in books:
-        book.has_unsaved_changes = False
+    for source in sources:
+        source.has_unsaved_changes = False
     return PersistedState(
         acceptor.term,
         acceptor.record,
--- a/packages/rollouts/src/fennelcove/rollouts/plan_execution.py
+++ b/packages/rollouts/src/fennelcove/rollouts/plan_execution.py
@@ -58,8 +58,8 @@
     def on_record_agreed(self, record: RolloutRecord, now_us: int) -> None:
         """Continue with the plan's next record."""
         is_same_plan = record.plan.number == self.record.plan.number
-        is_same_way = record.back == self.record.back
-        if not (is_same_plan and is_same_way) or record.phase not in ACTIVE_PHASES:
+        is_same_direction = record.back == self.record.back
+        if not (is_same_plan and is_same_direction) or record.phase not in ACTIVE_PHASES:
             self.analysis = CanaryAnalysis(self.zones, now_us)
             self.ordered_incarnations.clear()
             self.seen_leaving.clear()
@@ -88,16 +88,16 @@
         return Finding(event)
 
     def _halt_reason(self, fleet: FleetView, now_us: int) -> HaltReason:
-        if self._has_returned_wrong(fleet):
+        if self._has_returned_with_wrong_version(fleet):
             return HaltReason.WRONG
-        if self._is_any_out_long(fleet, now_us):
+        if self._has_long_outage(fleet, now_us):
             return HaltReason.OUT_LONG
         if self.record.back:
             return HaltReason.NONE
         serving = {i: one for i, one in fleet.heartbeats.items() if i not in fleet.unavailable}
         return self.analysis.evaluate(serving, self.record.plan, now_us)
 
-    def _has_returned_wrong(self, fleet: FleetView) -> bool:
+    def _has_returned_with_wrong_version(self, fleet: FleetView) -> bool:
         """Whether a front has drained by an order and serves again without the target version."""
         target = target_version(self.record)
         for index, incarnation in self.ordered_incarnations.items():
@@ -114,7 +114,7 @@
                 return True
         return False
 
-    def _is_any_out_long(self, fleet: FleetView, now_us: int) -> bool:
+    def _has_long_outage(self, fleet: FleetView, now_us: int) -> bool:
         """Whether a front has been unavailable for longer than the plan allows."""
         is_back = self.record.back
         since_us = [
--- a/packages/rollouts/src/fennelcove/rollouts/rollout_controller.py
+++ b/packages/rollouts/src/fennelcove/rollouts/rollout_controller.py
@@ -109,10 +109,10 @@
         if role is Role.PROPOSER:
             return self._proposals(self.election.proposal)
         if role is Role.LEADER:
-            post = self._proposals(self.acceptor.record)
+            outbox = self._proposals(self.acceptor.record)
             if self.execution is not None:
-                post += self._advance_plan(self.execution, now_us)
-            return post
+                outbox += self._advance_plan(self.execution, now_us)
+            return outbox
         self.execution = None
         if role is Role.CANDIDATE:
             return self._to_all_peers(LeaderVoteRequest(self.incarnation, self.election.term))
@@ -157,11 +157,11 @@
 
     def _publish(self, record: RolloutRecord, now_us: int) -> Outbox:
         """Propose a record to all fronts, this one among them."""
-        post = self._proposals(record)
+        outbox = self._proposals(record)
         ack = self.acceptor.on_proposal(record, now_us)
         if ack is not None:
-            post += self.on_ack(self.settings.front_index, ack, now_us)
-        return post
+            outbox += self.on_ack(self.settings.front_index, ack, now_us)
+        return outbox
 
     def _on_agreed(self, now_us: int) -> Outbox:
         """A majority has accepted what this front proposed."""
--- a/packages/rollouts/src/fennelcove/rollouts/rollout_plan.py
+++ b/packages/rollouts/src/fennelcove/rollouts/rollout_plan.py
@@ -51,7 +51,7 @@
 
 
 FORWARD, BACKWARD = False, True
-BOTH_WAYS = (FORWARD, BACKWARD)
+BOTH_DIRECTIONS = (FORWARD, BACKWARD)
 FINISHED_PHASES = (RolloutPhase.NONE, RolloutPhase.DONE, RolloutPhase.UNDONE)
 MOVING, SOAKING = PlanState(RolloutPhase.MOVING, FORWARD), PlanState(RolloutPhase.SOAKING, FORWARD)
 MOVING_BACK = PlanState(RolloutPhase.MOVING, BACKWARD)
@@ -61,25 +61,25 @@
 TRANSITIONS: TransitionTable[PlanState, RolloutEvent, RolloutAction] = TransitionTable(
     {
         **{
-            (PlanState(phase, way), RolloutEvent.START): Transition(MOVING, (RolloutAction.NEW_PLAN,))
+            (PlanState(phase, direction), RolloutEvent.START): Transition(MOVING, (RolloutAction.NEW_PLAN,))
             for phase in FINISHED_PHASES
-            for way in BOTH_WAYS
+            for direction in BOTH_DIRECTIONS
         },
         **{
             (state, RolloutEvent.CHANGE): Transition(HALTED, (RolloutAction.NEW_PLAN,))
             for state in (MOVING, SOAKING, HALTED)
         },
         **{
-            (PlanState(phase, way), event): Transition(PlanState(RolloutPhase.HALTED, way))
+            (PlanState(phase, direction), event): Transition(PlanState(RolloutPhase.HALTED, direction))
             for phase in ACTIVE_PHASES
-            for way in BOTH_WAYS
+            for direction in BOTH_DIRECTIONS
             for event in (RolloutEvent.HALT, RolloutEvent.HALT_REASON_FOUND)
         },
         **{
-            (PlanState(RolloutPhase.HALTED, way), RolloutEvent.RESUME): Transition(
-                PlanState(RolloutPhase.MOVING, way)
+            (PlanState(RolloutPhase.HALTED, direction), RolloutEvent.RESUME): Transition(
+                PlanState(RolloutPhase.MOVING, direction)
             )
-            for way in BOTH_WAYS
+            for direction in BOTH_DIRECTIONS
         },
         **{
             (state, RolloutEvent.ROLL_BACK): Transition(MOVING_BACK, (RolloutAction.ROLL_BACK,))
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -13,7 +13,7 @@
 from fennelcove.rollouts.coordinator import Command, CommandKind, CommandOutcome, PersistedState
 from fennelcove.rollouts.disruption_budget import DisruptionLimit, DisruptionMap, ExceededLimit, Location
 from fennelcove.rollouts.drain_states import DrainAction, DrainState
-from fennelcove.rollouts.draining import Draining, DrainTimes
+from fennelcove.rollouts.draining import Drain, DrainTimes
 from fennelcove.rollouts.fleet_view import FleetView
 from fennelcove.rollouts.messages import (
     ACTIVE_PHASES,
@@ -540,7 +540,7 @@
         """One leaving with rooms that change, moves that fail and viewers who go by themselves."""
         chance = Random(seed)
         times = DrainTimes(4_000_000, 12_000_000, 200_000)
-        one = Draining(times, moves_sessions=chance.random() < 0.5)
+        one = Drain(times, moves_sessions=chance.random() < 0.5)
         held = [f"v{i}" for i in range(chance.randrange(1, 60))]
         rooms = {to: chance.uniform(0.5, 8) for to in range(chance.randrange(4))}
         pending = {f"r{i}": chance.randrange(400_000, 9_000_000) for i in range(5)}
@@ -596,9 +596,9 @@
 
     def test_planted_faults_are_found(self) -> None:
         faults = {
-            "answers again": (Draining, "_record_answer", lambda self, id: True),
+            "answers again": (Drain, "_record_answer", lambda self, id: True),
             "ignores rooms": (AvailableCapacity, "reserve", lambda self, to, at_us: None),
-            "ends nobody": (Draining, "_close_remaining", lambda self, now_us: []),
+            "ends nobody": (Drain, "_close_remaining", lambda self, now_us: []),
         }
         for name, (kind, attribute, fault) in faults.items():
             with self.subTest(name), mock.patch.object(kind, attribute, fault):
@@ -612,7 +612,7 @@
         return False
 
     def test_it_can_be_called_off(self) -> None:
-        one = Draining(DrainTimes())
+        one = Drain(DrainTimes())
         one.begin(["a", "b"], {1: 5.0}, 0, 0.0)
         one.cancel()
         assert one.state is DrainState.OPEN
