--- a/packages/rollouts/src/fennelcove/rollouts/__init__.py
+++ b/packages/rollouts/src/fennelcove/rollouts/__init__.py
@@ -1,1 +1,4 @@
-"""Disruption permits, rollouts in waves, and drains of a fleet. No I/O, clock or randomness of its own."""
+"""Disruption permits, staged rollouts and drains for a fleet.
+
+The package does no I/O and reads no clock: callers pass in time, random numbers and messages.
+"""
--- a/packages/rollouts/src/fennelcove/rollouts/canary_analysis.py
+++ b/packages/rollouts/src/fennelcove/rollouts/canary_analysis.py
@@ -1,8 +1,8 @@
-"""Whether a rollout has to be halted, by what the fronts count while it is active.
+"""Decides from the fronts' counters whether an active rollout has to be halted.
 
-All figures are differences of what a front counted within one incarnation, so a lost heartbeat costs nothing.
-Fronts with the new version are compared with their neighbours that do not have it, zone by zone and window by
-window: a change of load meets both alike. Times are in microseconds.
+All figures are differences between cumulative counters of one incarnation, so a lost heartbeat loses no data.
+Fronts with the new version are compared with the other fronts of the same zone in the same window, so that a
+change of load affects both groups alike. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from fennelcove.rollouts.messages import HaltReason, Heartbeat, Plan
 
 WINDOW_US = 5_000_000
-MIN_REQUESTS = 60  # fewer set-ups in a window are not judged
-MIN_STANDARD_ERRORS = 2.5  # by which the new version has to be behind
-PER_MILLE = 1000  # a plan's ratios are in thousandths
+MIN_REQUESTS = 60  # with fewer session set-ups no ratio is evaluated
+MIN_STANDARD_ERRORS = 2.5  # the shortfall of the new version has to exceed this many
+PER_MILLE = 1000  # the ratios of a plan are in thousandths
 
 
 @dataclass(slots=True)
 class OutcomeCounts:
-    """The outcomes of session set-ups of some fronts in one window."""
+    """Outcomes of session set-ups, summed over a group of fronts in one window."""
 
     requested: int = 0
     served: int = 0
@@ -30,7 +30,7 @@
     failed: int = 0
 
     def add(self, before: Heartbeat, after: Heartbeat) -> None:
-        """Add what a front counted between two heartbeats; impossible counts are ignored."""
+        """Add the differences between two heartbeats of a front; inconsistent counters are ignored."""
         requested, served = after.requested - before.requested, after.served - before.served
         refused, failed = after.refused - before.refused, after.failed - before.failed
         if min(requested, served, refused, failed) < 0 or served > requested:
@@ -42,20 +42,23 @@
 
     @property
     def success_ratio(self) -> float:
-        """The ratio of set-ups that were served without a failed attempt."""
+        """The fraction of set-ups that were served without a failed attempt."""
         return max(0.0, (self.served - self.failed) / self.requested) if self.requested else 1.0
 
 
 @dataclass(slots=True)
 class PairedOutcomes:
-    """How far the new version is behind its neighbours, over all windows; weighted by set-ups."""
+    """The success ratio of the new version compared with the old one, weighted by session set-ups.
+
+    Accumulated over all zones and windows.
+    """
 
     weight: float = 0.0
     weighted_shortfall: float = 0.0
     variance: float = 0.0
 
     def add(self, new: OutcomeCounts, old: OutcomeCounts) -> None:
-        """Add one zone in one window."""
+        """Add the counts of one zone in one window."""
         if not new.requested or not old.requested:
             return
         successes = new.success_ratio * new.requested + old.success_ratio * old.requested
@@ -66,7 +69,7 @@
         self.variance += new.requested**2 * pooled_ratio * (1 - pooled_ratio) * sampling
 
     def is_worse(self, margin: float) -> bool:
-        """Whether the new version is behind by more than a margin, and not by chance."""
+        """Return whether the new version's shortfall exceeds a margin and is statistically significant."""
         if self.weight < MIN_REQUESTS:
             return False
         mean, error = self.weighted_shortfall / self.weight, sqrt(self.variance) / self.weight
@@ -85,17 +88,17 @@
 
 @dataclass(slots=True)
 class CanaryAnalysis:
-    """Judges a plan window by window; started again with each plan, direction and leader."""
+    """Evaluates a plan window by window; a new one is used for each plan, direction and leader."""
 
-    zones: Mapping[int, int]  # of each front
+    zones: Mapping[int, int]  # by front
     window_began_us: int
-    window_start: dict[int, Heartbeat] = field(default_factory=dict)  # heartbeats at its beginning
+    window_start: dict[int, Heartbeat] = field(default_factory=dict)  # heartbeats at the start of the window
     comparison: PairedOutcomes = field(default_factory=PairedOutcomes)
 
     def evaluate(self, heartbeats: Mapping[int, Heartbeat], plan: Plan, now_us: int) -> HaltReason:
-        """The reason to halt that a window shows which ends now, if it does.
+        """Evaluate the window if it has ended, and return the reason to halt or `HaltReason.NONE`.
 
-        `heartbeats` are the newest ones of all fronts that serve.
+        `heartbeats` holds the newest heartbeat of each serving front.
         """
         if now_us < self.window_began_us + WINDOW_US:
             return HaltReason.NONE
@@ -112,7 +115,7 @@
         return self._halt_reason(_total([*new.values(), *old.values()]), heartbeats, plan)
 
     def _compare(self, new: Mapping[int, OutcomeCounts], old: Mapping[int, OutcomeCounts]) -> None:
-        """Compare each zone with itself, or with the whole fleet where it has no neighbours."""
+        """Compare the versions by zone; a zone without the old version is compared with the whole fleet."""
         whole_fleet = _total(old.values())
         for zone, counts in new.items():
             neighbours = old.get(zone)
--- a/packages/rollouts/src/fennelcove/rollouts/coordinator.py
+++ b/packages/rollouts/src/fennelcove/rollouts/coordinator.py
@@ -1,8 +1,8 @@
-"""One front's part in permits and rollouts: the entry points for messages, commands and observations.
+"""One front's coordinator of permits and rollouts: entry points for messages, commands and observations.
 
-After each call the state that `keep` returns has to be persisted (where the front has a store) before the
-messages that the call returned are sent; then `acts` returns what to do. Times are in microseconds of this
-front's monotonic clock.
+After each call the caller persists the state that `state_to_persist` returns (if the front has a store)
+before it sends the messages that the call returned, and then carries out the actions from `take_actions`.
+Times are in microseconds of this front's monotonic clock.
 """
 
 from __future__ import annotations
@@ -67,11 +67,11 @@
     """One front's coordinator of permits and rollouts.
 
     Attributes:
-        requesters: this front's requests, by kind of place.
-        grantors: this front's promises, by kind of place.
+        requesters: this front's own permit requests, by kind of place.
+        grantors: this front's votes on and promises for permit requests, by kind of place.
         acceptor: this front's copy of the rollout record.
         election: this front's role in leading a plan.
-        is_superseded: another process sends with a later incarnation under this front's index.
+        is_superseded: whether a process with a later incarnation runs under this front's index.
     """
 
     def __init__(
@@ -83,15 +83,15 @@
         now_us: int,
         persisted: PersistedState | None = None,
     ) -> None:
-        """Start an incarnation.
+        """Start an incarnation of this front.
 
         Args:
             settings: the coordinator's settings.
-            limits: of disruptions, the same at all fronts.
+            limits: the disruption limits, the same at all fronts.
             fronts: the location of each front, by index.
-            incarnation: higher than all earlier ones of this front.
-            now_us: the present time.
-            persisted: what the previous incarnation persisted; None where that is lost.
+            incarnation: number of this incarnation, higher than all earlier ones of this front.
+            now_us: the current time.
+            persisted: the state that the previous incarnation persisted; None if there is none.
         """
         self.settings = settings
         self.incarnation = incarnation
@@ -111,7 +111,7 @@
         self._connect(numbers, restored, now_us)
 
     def _connect(self, numbers: RequestNumbers, restored: PersistedState, now_us: int) -> None:
-        """Make the parts that work on the grantors and requesters."""
+        """Create the components that work on the grantors and requesters."""
         front, actions = self.front, self.actions
         requesters, grantors = self.requesters, self.grantors
         front_grantor = grantors[PlaceKind.FRONT]
@@ -141,7 +141,13 @@
         }
 
     def tick(self, status: FrontStatus, now_us: int, jitter: float) -> Outbox:
-        """What to send at a heartbeat interval; `status`: this front's, `jitter`: random, from 0 to 1."""
+        """Return the messages to send at a heartbeat interval.
+
+        Args:
+            status: the current status of this front.
+            now_us: the current time.
+            jitter: random, in [0, 1).
+        """
         self.front.status, self.front.jitter = status, jitter
         self.permits.expire_orders(now_us)
         outbox = self.heartbeats.send(now_us)
@@ -152,11 +158,11 @@
         return outbox
 
     def on_message(self, sender: int, message: RolloutMessage, now_us: int) -> Outbox:
-        """Take in another front's message; what to send for it."""
+        """Process another front's message and return the messages to send."""
         if sender not in self.zones or sender == self.settings.front_index:
             return []
         if self.is_superseded and not isinstance(message, Heartbeat):
-            return []  # two votes of one front would make two majorities without a common front
+            return []  # with two processes voting as one front, two majorities need not overlap
         outbox = self.handlers[type(message)](sender, message, now_us)
         self.permits.cancel_outdated()
         return outbox
@@ -164,7 +170,9 @@
     def _on_heartbeat(self, sender: int, heartbeat: Heartbeat, now_us: int) -> Outbox:
         if heartbeat.acked_incarnation > self.incarnation and not self.is_superseded:
             self.is_superseded = True
-            self.actions.log(f"incarnation {heartbeat.acked_incarnation} runs under this front's index")
+            self.actions.log(
+                f"superseded by incarnation {heartbeat.acked_incarnation}; this process no longer votes"
+            )
         as_of_us = None
         if heartbeat.acked_incarnation == self.incarnation:
             as_of_us = self.heartbeats.sent_at_us(heartbeat.acked_sequence)
@@ -178,17 +186,17 @@
         return []
 
     def command(self, command: Command, now_us: int) -> tuple[int, CommandOutcome, Outbox]:
-        """Begin to carry out an operator's command: its number, its outcome so far, and what to send."""
+        """Start an operator's command; return its number, its outcome so far, and the messages to send."""
         number, outbox = self.controller.command(command, now_us)
         self.permits.cancel_outdated()
         return number, self.controller.commands.outcome(number), outbox
 
     def command_outcome(self, number: int) -> CommandOutcome:
-        """The outcome of a command; one that is no longer remembered counts as lost."""
+        """Return the outcome of a command; a command that is no longer recorded counts as lost."""
         return self.controller.commands.outcome(number)
 
     def request_front_drain(self, version: int, now_us: int) -> Outbox:
-        """Request a permit to drain this front, by an operator's command."""
+        """Request a permit to drain this front and restart it with a version, by an operator's command."""
         self.requesters[PlaceKind.FRONT].request_permit(self.settings.front_index, now_us, version)
         return []
 
@@ -198,43 +206,50 @@
         return []
 
     def write_off(self, kind: PlaceKind, place: int, now_us: int) -> None:
-        """Do not count a place until it is observed to serve again, by an operator's command."""
+        """Exclude a place from the limits until it is observed to serve again, by an operator's command."""
         self.grantors[kind].write_off(place, now_us)
 
     def accept_record_as_complete(self) -> None:
-        """Take the known record for complete, by an operator's command; an active plan is halted."""
+        """Treat the known record as the latest one, by an operator's command; an active plan is halted."""
         self.election.step_down()
         self.acceptor.accept_as_complete()
 
     def begin(self, kind: PlaceKind, place: int, now_us: int) -> bool:
-        """Whether a drain may begin now; called directly before it does."""
+        """Return whether a permitted drain may begin now; to be called immediately before it begins."""
         if self.is_superseded:
             return False
         if kind is PlaceKind.FRONT and self.front.status.serving_state is not ServingState.SERVING:
-            return True  # it takes no capacity away
+            return True  # a front that does not serve provides no capacity that its drain could remove
         return self.requesters[kind].begin(place, now_us)
 
     def release(self, kind: PlaceKind, place: int, now_us: int) -> Outbox:
-        """The place serves (again): its permit ends, used or not."""
+        """Release the permit of a place that serves again, or that was not drained after all."""
         return self.heartbeats.send(now_us) if self.requesters[kind].on_returned(place) else []
 
     def update_servers(self, servers: Mapping[int, Location], now_us: int) -> None:
-        """Replace the known servers, by first cell, with their present loads."""
+        """Replace the known servers, by first cell, and their current loads."""
         self.grantors[PlaceKind.BOX].advance(now_us)
         self.grantors[PlaceKind.BOX].update_map(DisruptionMap(servers))
 
     def observe_server(self, cell: int, serving: bool, as_of_us: int, now_us: int) -> None:
-        """Take in whether a server served at `as_of_us`, was warmed up and was not told to drain."""
+        """Record an observation of a server.
+
+        Args:
+            cell: the first cell of the server.
+            serving: whether it served, was warmed up and was not requested to drain.
+            as_of_us: when that was so.
+            now_us: the current time.
+        """
         self.grantors[PlaceKind.BOX].observe(cell, as_of_us, now_us, is_serving=serving)
         if serving:
             self.requesters[PlaceKind.BOX].on_server_observed(cell, as_of_us)
 
     def take_actions(self) -> list[Action]:
-        """What to do, since the last call."""
+        """Return the actions that were queued since the last call."""
         return self.actions.take()
 
     def state_to_persist(self) -> PersistedState | None:
-        """The state to persist now; None where it is the same as at the last call."""
+        """Return the state to persist now; None if it is unchanged since the last call."""
         persisted = take_changed_state(self.acceptor, self.grantors)
         if persisted is None or persisted == self.persisted:
             return None
@@ -242,11 +257,11 @@
         return persisted
 
     def record(self) -> RolloutRecord:
-        """The rollout record as this front knows it."""
+        """Return the rollout record that this front knows."""
         return self.acceptor.record
 
     def status(self, now_us: int) -> dict[str, object]:
-        """The status for operators."""
+        """Return the status for operators."""
         return {
             **plan_status(self.acceptor, self.election, self.settings.front_count),
             "outlived": self.is_superseded,
--- a/packages/rollouts/src/fennelcove/rollouts/disruption_budget.py
+++ b/packages/rollouts/src/fennelcove/rollouts/disruption_budget.py
@@ -1,4 +1,4 @@
-"""How many places may be out at once: the limits, and whether a set of places is within them."""
+"""Limits on how many places may be unavailable at once, and the check of a set of places against them."""
 
 from __future__ import annotations
 
@@ -10,48 +10,48 @@
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """A front or a server: where it is, and what it serves."""
+    """The location of a front or a server, its capacity, and the titles that it stores."""
 
     zone: int
-    capacity: float = 1.0  # in the same unit for all places of a kind
-    load: float = 0.0  # at present, in the unit of the capacity
+    capacity: float = 1.0  # in a unit that is the same for all places of a kind
+    load: float = 0.0  # current load, in the unit of the capacity
     titles: frozenset[int] = field(default_factory=frozenset)  # that a server stores
-    is_warm: bool = True  # not warming up
+    is_warm: bool = True  # whether its caches are warmed up
 
 
 @dataclass(frozen=True, slots=True)
 class DisruptionLimit:
-    """How many places of one kind may be out at once."""
+    """How many places of one kind may be unavailable at once."""
 
     total: int
     per_zone: int
-    per_title: int = 1 << 15  # replicas of one title
-    capacity_margin: float = 0.1  # ratio of the remaining capacity that the present load has to leave free
+    per_title: int = 1 << 15  # maximum unavailable replicas of one title
+    capacity_margin: float = 0.1  # fraction of the remaining capacity that has to stay free of load
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLimits:
-    """The limits of a fleet; the same in the settings of all fronts."""
+    """The disruption limits of a fleet, configured alike at all fronts."""
 
     fronts: DisruptionLimit
     servers: DisruptionLimit
 
 
 class ExceededLimit(Enum):
-    """Which limit a set of places exceeds."""
+    """The limit that a set of unavailable places exceeds."""
 
     TOTAL = auto()
     ZONE = auto()
     TITLE_REPLICAS = auto()
-    LAST_WARM_REPLICA = auto()  # of a title
+    LAST_WARM_REPLICA = auto()  # a title would have no warm replica left
     LOAD = auto()
 
 
 class DisruptionMap:
-    """All places of one kind, with their totals: made once for each list of places, used for each request."""
+    """All places of one kind, with totals that are computed once and used for each request."""
 
     def __init__(self, places: Mapping[int, Location]) -> None:
-        """Add up the places."""
+        """Compute the totals of the places."""
         self.places = dict(places)
         self.load = sum(location.load for location in places.values())
         self.capacity = sum(location.capacity for location in places.values())
@@ -62,10 +62,10 @@
     def exceeded_limit(
         self, limit: DisruptionLimit, place: int, others: Collection[int]
     ) -> ExceededLimit | None:
-        """The first limit that taking a place out exceeds, besides all others that are out; None for none.
+        """Return the first limit that is exceeded if a place is drained in addition to `others`, or None.
 
-        Limits of zones and titles that the place has no part in are not checked: a crash elsewhere must not
-        hold up a place that has nothing to do with it.
+        The limits of other zones and of titles that the place doesn't store are not checked, so that a crash
+        elsewhere does not block an unrelated drain.
         """
         return next(self._exceeded_limits(limit, place, frozenset(others) | {place}), None)
 
@@ -76,7 +76,7 @@
             yield ExceededLimit.TOTAL
         location = self.places.get(place)
         if location is None:
-            return  # a place that is not listed has no zone, no titles and no load
+            return  # an unlisted place has no known zone, titles or load
         listed = [self.places[index] for index in disrupted if index in self.places]
         if sum(other.zone == location.zone for other in listed) > limit.per_zone:
             yield ExceededLimit.ZONE
@@ -90,7 +90,7 @@
             yield ExceededLimit.LOAD
 
     def _has_last_warm_replica(self, location: Location, listed: list[Location]) -> bool:
-        """Whether a title of the location would have no warm replica left."""
+        """Return whether a title at the location would have no warm replica left."""
         disrupted_warm = Counter(
             title for other in listed if other.is_warm for title in other.titles & location.titles
         )
--- a/packages/rollouts/src/fennelcove/rollouts/drain_states.py
+++ b/packages/rollouts/src/fennelcove/rollouts/drain_states.py
@@ -1,4 +1,4 @@
-"""The states of a drain and of each client in it, with their transitions."""
+"""State machines of a drain and of each client that is being drained."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 class DrainState(Enum):
     """The state of a drain."""
 
-    OPEN = auto()  # not begun, or cancelled
-    CLOSING = auto()  # some clients have not been notified
-    EMPTYING = auto()  # all clients have been notified, some are still present
-    EMPTY = auto()
+    OPEN = auto()  # accepts sessions: the drain has not begun, or was cancelled
+    CLOSING = auto()  # some clients have not been notified yet
+    EMPTYING = auto()  # all clients have been notified; some are still connected
+    EMPTY = auto()  # no client is connected
 
 
 class DrainEvent(Enum):
-    """What changes the state of a drain."""
+    """Events that change the state of a drain."""
 
     BEGIN = auto()
     ALL_NOTIFIED = auto()
-    RETRY_QUEUED = auto()  # a client that was notified could not leave
+    RETRY_QUEUED = auto()  # a notified client could not leave and will be notified again
     LAST_GONE = auto()
     CANCELLED = auto()
 
@@ -40,29 +40,29 @@
 
 
 class ClientState(Enum):
-    """The state of a client of the front or server that drains."""
+    """The state of a client of the draining front or server."""
 
     PRESENT = auto()
-    NOTIFIED = auto()  # to leave, or its move is under way
-    GONE = auto()  # left, moved or closed
+    NOTIFIED = auto()  # was asked to leave, or its session is being moved
+    GONE = auto()  # left, moved or disconnected
 
 
 class ClientEvent(Enum):
-    """What happens to a client."""
+    """Events that change the state of a client."""
 
     NOTIFIED = auto()
-    FAILED = auto()  # it could not be notified, or its move failed
+    FAILED = auto()  # the notification or the move failed
     LEFT = auto()
     DEADLINE_PASSED = auto()
 
 
 class DrainAction(Enum):
-    """What is to be done with a client or a request."""
+    """Actions that the caller carries out for a client or a pending request."""
 
-    NOTIFY = auto()  # ask the client of a front to reconnect elsewhere
-    MOVE = auto()  # move the session of a server
-    CLOSE = auto()
-    REJECT = auto()  # a pending request
+    NOTIFY = auto()  # ask a client to reconnect elsewhere (drain of a front)
+    MOVE = auto()  # move a session to another server (drain of a server)
+    CLOSE = auto()  # close the client's connection
+    REJECT = auto()  # reject a pending request
 
 
 CLIENT_TRANSITIONS: TransitionTable[ClientState, ClientEvent, DrainAction] = TransitionTable(
--- a/packages/rollouts/src/fennelcove/rollouts/draining.py
+++ b/packages/rollouts/src/fennelcove/rollouts/draining.py
@@ -1,11 +1,11 @@
-"""The drain of one front or one server, once it is permitted.
+"""The drain of one front or one server for which a permit was granted.
 
-From its beginning no new session set-ups are accepted: each is answered at once, with a time and a target to
-retry at. The present clients are asked to leave one after another, spread over a set time and over the
-capacity that others offer. The clients that are still present at the deadline are closed. Requests that were
-pending at the beginning go on, and are answered before their client's timeout at the latest.
+During the drain new session set-ups are rejected at once, with a target and a time to retry at. The connected
+clients are asked to leave one after another, spread over a configured time and limited by the capacity that
+others offer. Clients that are still connected at the deadline are disconnected. Requests that were pending
+when the drain began continue, and are answered before their client's timeout at the latest.
 
-Times are in microseconds, capacities in session set-ups a second.
+Times are in microseconds, capacities in session set-ups per second.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
     DrainState,
 )
 
-RETRY_US = 500_000
-MAX_ANSWERED = 8192  # requests that are remembered as answered
+RETRY_US = 500_000  # before a failed notification or move is repeated
+MAX_ANSWERED = 8192  # request ids kept to detect duplicate answers
 
 
 @dataclass(frozen=True, slots=True)
 class DrainTimes:
-    """The times of one drain."""
+    """Durations of one drain."""
 
-    spread_us: int = 10_000_000  # over which the clients are asked to leave
-    deadline_us: int = 30_000_000  # from the beginning until the remaining clients are closed
-    reply_margin_us: int = 200_000  # before its client's timeout a pending request is answered
+    spread_us: int = 10_000_000  # period over which the clients are asked to leave
+    deadline_us: int = 30_000_000  # after the beginning; then the remaining clients are disconnected
+    reply_margin_us: int = 200_000  # how long before its client's timeout a pending request is answered
 
 
 @dataclass(frozen=True, slots=True)
 class DrainStep:
-    """One thing to do, once, with the client or the request of this id."""
+    """One action to carry out once, for the client or request with this id."""
 
     id: str
     action: DrainAction
-    target: int | None = None  # who has capacity
+    target: int | None = None  # front or server to move or reconnect to
     retry_after_us: int = 0
 
 
@@ -58,16 +58,16 @@
 
 @dataclass(slots=True)
 class Drain:
-    """One front or server that drains; the caller provides time and randomness and carries out the steps."""
+    """The drain of one front or server; the caller passes in time and jitter and carries out the steps."""
 
     times: DrainTimes
-    moves_sessions: bool = False  # of a server: sessions are moved, not asked to reconnect
+    moves_sessions: bool = False  # for a server: sessions are moved instead of asking clients to reconnect
     state: DrainState = DrainState.OPEN
     began_us: int = 0
     capacity: AvailableCapacity = field(default_factory=AvailableCapacity)
-    clients: dict[str, ClientState] = field(default_factory=dict)  # that are present
-    queue: OrderedDict[str, int] = field(default_factory=OrderedDict)  # when to notify each client
-    pending_requests: dict[str, int] = field(default_factory=dict)  # with their clients' timeouts
+    clients: dict[str, ClientState] = field(default_factory=dict)  # connected clients, by id
+    queue: OrderedDict[str, int] = field(default_factory=OrderedDict)  # when to notify, by client id
+    pending_requests: dict[str, int] = field(default_factory=dict)  # client's timeout, by request id
     answered_requests: OrderedDict[str, None] = field(default_factory=OrderedDict)
     closed_count: int = 0
 
@@ -77,10 +77,10 @@
         """Begin to drain.
 
         Args:
-            client_ids: the present clients, in the order in which they are to leave.
-            capacities: what others offer.
-            now_us: the present time.
-            jitter: random, from 0 to below 1.
+            client_ids: the connected clients, in the order in which they are asked to leave.
+            capacities: the capacities that others offer, by target.
+            now_us: the current time.
+            jitter: random, in [0, 1).
         """
         if self.state is not DrainState.OPEN:
             return
@@ -96,11 +96,11 @@
         self._update_state()
 
     def update_capacity(self, capacities: Mapping[int, float], now_us: int) -> None:
-        """Replace what others offer."""
+        """Replace the capacities that others offer."""
         self.capacity.update(capacities, now_us)
 
     def on_request(self, request_id: str, now_us: int) -> DrainReply | None:
-        """The immediate answer to a new set-up; None before the drain, or where it was answered already."""
+        """Return the rejection of a new set-up; None if not draining, or if it was already answered."""
         if self.state is DrainState.OPEN or not self._record_answer(request_id):
             return None
         available = self.capacity.earliest(now_us)
@@ -110,12 +110,12 @@
         return DrainReply(available.at_us - now_us, available.target)
 
     def on_request_pending(self, request_id: str, until_us: int) -> None:
-        """Note a pending request and its client's timeout."""
+        """Register a pending request and its client's timeout."""
         if request_id not in self.answered_requests:
             self.pending_requests[request_id] = until_us
 
     def on_request_answered(self, request_id: str) -> bool:
-        """Whether the answer to a request may be sent, which is so once."""
+        """Return whether the answer to a request may be sent: True only once per request."""
         self.pending_requests.pop(request_id, None)
         return self._record_answer(request_id)
 
@@ -128,7 +128,7 @@
         return True
 
     def due_steps(self, now_us: int) -> list[DrainStep]:
-        """What to do now."""
+        """Return the steps that are due now."""
         steps = self._reject_expiring(now_us)
         if self.state is DrainState.CLOSING or self.state is DrainState.EMPTYING:
             is_over = now_us >= self.began_us + self.times.deadline_us
@@ -149,14 +149,14 @@
         for client_id, due_us in list(self.queue.items()):
             available = self.capacity.earliest(now_us)
             if due_us > now_us or available.target is None or available.at_us > now_us:
-                break  # the queue is in order of time, and no target has capacity earlier
+                break  # the queue is ordered by time, and no other target has capacity earlier
             del self.queue[client_id]
             self.capacity.reserve(available.target, now_us)
             steps += self._apply_client_event(client_id, ClientEvent.NOTIFIED, available.target)
         return steps
 
     def _close_remaining(self, now_us: int) -> list[DrainStep]:
-        """Close the present clients, each with a time to retry at by the capacity of its target."""
+        """Disconnect the remaining clients, each with a retry time that fits the capacity of its target."""
         steps: list[DrainStep] = []
         self.queue.clear()
         for client_id in list(self.clients):
@@ -170,13 +170,13 @@
         return steps
 
     def on_left(self, client_id: str) -> None:
-        """A client is no longer present."""
+        """Handle that a client has left."""
         self._apply_client_event(client_id, ClientEvent.LEFT)
         self.queue.pop(client_id, None)
         self._update_state()
 
     def on_failed(self, client_id: str, now_us: int) -> None:
-        """A client could not be notified, or its move failed: try again later."""
+        """Queue a client again after its notification or move failed."""
         if self.clients.get(client_id) is ClientState.NOTIFIED:
             self._apply_client_event(client_id, ClientEvent.FAILED)
             last_due_us = next(reversed(self.queue.values()), 0)
@@ -184,13 +184,13 @@
             self._apply(DrainEvent.RETRY_QUEUED)
 
     def cancel(self) -> None:
-        """Cancel the drain: new set-ups are accepted again, and no further client is asked to leave."""
+        """Cancel the drain: accept new set-ups again and ask no further client to leave."""
         self._apply(DrainEvent.CANCELLED)
         self.queue.clear()
         self.clients.clear()
 
     def next_due_us(self, now_us: int) -> int:
-        """How long until `due_steps` may have something to do, at most RETRY_US."""
+        """Return the time until `due_steps` may next return steps, at most RETRY_US."""
         due_us = [until_us - self.times.reply_margin_us for until_us in self.pending_requests.values()]
         if self.queue:
             due_us.append(next(iter(self.queue.values())))
--- a/packages/rollouts/src/fennelcove/rollouts/fleet_view.py
+++ b/packages/rollouts/src/fennelcove/rollouts/fleet_view.py
@@ -1,4 +1,4 @@
-"""What a leader observes of the fleet, for its decisions about a plan."""
+"""The state of the fleet as observed by the leader of a rollout."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What a leader observes of all fronts at one moment."""
+    """A snapshot of the state of all fronts."""
 
     size: int
     leader_index: int
-    heartbeats: Mapping[int, Heartbeat]  # the newest of each front, the leader's own too
-    unavailable: frozenset[int]  # without those written off
+    heartbeats: Mapping[int, Heartbeat]  # the newest of each front, including the leader
+    unavailable: frozenset[int]  # excluding those written off
     written_off: frozenset[int]
     unavailable_since_us: Mapping[int, int]
 
     def fronts_with(self, version: int) -> list[int]:
-        """The fronts that serve with a version."""
+        """Return the available fronts that run a version."""
         return [i for i, one in self.heartbeats.items() if self._is_counted(i) and one.version == version]
 
     def fronts_without(self, version: int) -> list[int]:
-        """The fronts that serve with another version."""
+        """Return the available fronts that run another version."""
         return [i for i, one in self.heartbeats.items() if self._is_counted(i) and one.version != version]
 
     def _is_counted(self, index: int) -> bool:
@@ -33,12 +33,12 @@
 
     @property
     def expected_count(self) -> int:
-        """The number of fronts without those written off."""
+        """The number of fronts that are not written off."""
         return self.size - len(self.written_off)
 
 
 def view_fleet(grantor: Grantor, unavailable_since_us: Mapping[int, int], now_us: int) -> FleetView:
-    """What the front of a grantor (of permits for fronts) observes now."""
+    """Return what this front observes of the fleet now; `grantor` is its grantor of front permits."""
     settings = grantor.settings
     return FleetView(
         settings.front_count,
--- a/packages/rollouts/src/fennelcove/rollouts/front_permits.py
+++ b/packages/rollouts/src/fennelcove/rollouts/front_permits.py
@@ -1,4 +1,4 @@
-"""One front's permits of both kinds: requests sent, votes given and counted, requests given up."""
+"""One front's permit traffic for both kinds of place: sends requests, votes, counts votes, cancels."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 @dataclass(slots=True)
 class FrontPermits:
-    """Connects this front's requesters and grantors with the record and with its peers.
+    """Connects this front's requesters and grantors with the rollout record and with the peers.
 
-    `actions` is shared with the coordinator: what this front has to do is appended.
+    `actions` is shared with the coordinator.
     """
 
     front: LocalFront
@@ -39,10 +39,10 @@
     acceptor: Acceptor
     heartbeats: HeartbeatSender
     actions: ActionQueue
-    compared_record: RolloutRecord  # that the requests were last compared with
+    compared_record: RolloutRecord  # the record against which the requests were last checked
 
     def send_requests(self, now_us: int) -> Outbox:
-        """The requests to send at a heartbeat interval, and what follows of this front's own votes."""
+        """Return the requests to send at a heartbeat interval, and the effects of this front's own votes."""
         outbox: Outbox = []
         for kind, requester in self.requesters.items():
             if kind is PlaceKind.FRONT and self.front.status.serving_state is not ServingState.SERVING:
@@ -58,18 +58,18 @@
         return outbox + self.on_vote(self.front.index, own_vote, now_us)
 
     def on_request(self, sender: int, request: PermitRequest, now_us: int) -> Outbox:
-        """Vote on the request of another front."""
+        """Return this front's vote on another front's request."""
         return [(sender, self._vote_on(sender, request, now_us))]
 
     def _vote_on(self, sender: int, request: PermitRequest, now_us: int) -> PermitVote:
         revision = (request.term, request.turn)
         is_older = revision < self.acceptor.record.revision
-        # A front that may have forgotten that a plan is halted lets no front drain by it.
+        # A front that may have lost the record of a halt must not permit drains for that plan.
         is_stale = revision != NO_REVISION and (is_older or not self.acceptor.is_record_known)
         return self.grantors[request.kind].on_permit_request(sender, request, now_us, is_stale=is_stale)
 
     def on_vote(self, sender: int, vote: PermitVote, now_us: int) -> Outbox:
-        """Count a vote; where a request changes by it, the grantors are sent heartbeats at once."""
+        """Count a vote; if it decides a request, send heartbeats at once so that the grantors learn of it."""
         for kind, requester in self.requesters.items():
             asking = RequestState.ASKING
             counted = [one.place for one in requester.requests.values() if one.state is asking]
@@ -82,7 +82,7 @@
         return []
 
     def expire_orders(self, now_us: int) -> None:
-        """Give up what was ordered by a leader that does not order it any more."""
+        """Cancel requests that a leader ordered but no longer repeats."""
         requester = self.requesters[PlaceKind.FRONT]
         requester.advance(now_us)
         for request in list(requester.requests.values()):
@@ -93,7 +93,7 @@
                 self.actions.add(Action(ActionKind.CANCEL, PlaceKind.FRONT, request.place))
 
     def cancel_outdated(self) -> None:
-        """Give up what the record does not want any more, unless its drain has begun."""
+        """Cancel requests that the current record no longer calls for, unless the drain has begun."""
         record = self.acceptor.record
         if record.revision == self.compared_record.revision:
             return
--- a/packages/rollouts/src/fennelcove/rollouts/heartbeat_sender.py
+++ b/packages/rollouts/src/fennelcove/rollouts/heartbeat_sender.py
@@ -1,4 +1,4 @@
-"""The heartbeats that one front sends, and when each was sent."""
+"""Sends one front's heartbeats and records when each was sent."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from fennelcove.rollouts.record_acceptor import Acceptor
 from fennelcove.rollouts.types import LocalFront, Outbox
 
-MAX_SENT_HEARTBEATS = 256  # own heartbeats whose times are known
+MAX_SENT_HEARTBEATS = 256  # sent heartbeats whose send time is kept
 
 
 @dataclass(slots=True)
 class HeartbeatSender:
-    """Makes this front's heartbeats: at each interval, and at once where a grantor waits for one."""
+    """Creates this front's heartbeats, at each interval and whenever a grantor waits for one."""
 
     front: LocalFront
     peers: Collection[int]
@@ -29,11 +29,11 @@
     _sent_us: OrderedDict[int, int] = field(default_factory=OrderedDict)
 
     def sent_at_us(self, sequence: int) -> int | None:
-        """When a heartbeat was sent; None where that is not remembered."""
+        """Return when a heartbeat was sent; None if that is no longer recorded."""
         return self._sent_us.get(sequence)
 
     def send(self, now_us: int) -> Outbox:
-        """A heartbeat for each peer; this front's own grantors take it in at once."""
+        """Return a heartbeat for each peer, and apply it to this front's own grantors at once."""
         self._sequence += 1
         self._sent_us[self._sequence] = now_us
         if len(self._sent_us) > MAX_SENT_HEARTBEATS:
--- a/packages/rollouts/src/fennelcove/rollouts/leader_election.py
+++ b/packages/rollouts/src/fennelcove/rollouts/leader_election.py
@@ -1,10 +1,11 @@
-"""Election of the front that leads a plan, and replication of the plan's record.
+"""Election of the front that leads a rollout, and replication of the rollout record.
 
-Any front may become a candidate. A majority that knows of no later term grants it their votes, each with the
-newest record that the voter has accepted. The newest of these is at least as new as any record that a
-majority ever accepted; the new leader proposes it again under its own term before it does anything else. A
-record is agreed once a majority has accepted it. A term belongs to one front, so no two fronts lead in the
-same term. A leader that loses its quorum, or learns of a later term, steps down.
+Any front may become a candidate for a new term. A front that has voted in no later term grants its vote and
+sends the newest record that it has accepted. The votes of a majority elect the candidate. The newest of the
+received records is at least as new as any record that a majority ever accepted, and the new leader first
+proposes that record again under its own term. A record is agreed once a majority has accepted it. Each term
+number belongs to one front, so no two fronts lead in the same term. A leader that loses its quorum or learns
+of a later term steps down.
 
 Times are in microseconds of this front's monotonic clock.
 """
@@ -27,21 +28,21 @@
 
 
 class Role(Enum):
-    """A front's role in leading a plan."""
+    """A front's role in the election."""
 
     FOLLOWER = auto()
     CANDIDATE = auto()
-    PROPOSER = auto()  # it is elected; no majority has accepted its present proposal yet
-    LEADER = auto()
+    PROPOSER = auto()  # elected; no majority has accepted its current proposal yet
+    LEADER = auto()  # a majority has accepted its latest proposal
 
 
 class ElectionEvent(Enum):
-    """What changes the role."""
+    """Events that change the role."""
 
     CANDIDACY = auto()
     MAJORITY = auto()
     PROPOSAL = auto()
-    TIMED_OUT = auto()  # no majority within the window
+    TIMED_OUT = auto()  # no majority within the permit window
     QUORUM_LOST = auto()
     HIGHER_TERM_SEEN = auto()
 
@@ -68,20 +69,20 @@
 
 @dataclass(slots=True)
 class LeaderElection:
-    """One front as follower, candidate, proposer or leader; `acceptor` is its own."""
+    """The role of one front; `acceptor` is this front's own acceptor."""
 
     settings: PermitSettings
     incarnation: int
     acceptor: Acceptor
     role: Role = Role.FOLLOWER
     term: int = 0
-    round_began_us: int = 0  # of the candidacy or the proposal
-    supporters: set[int] = field(default_factory=set)  # that voted for it, or accepted its proposal
-    newest_record: RolloutRecord = field(default_factory=RolloutRecord)  # among the votes
+    round_began_us: int = 0  # when the candidacy or the proposal began
+    supporters: set[int] = field(default_factory=set)  # fronts that voted for it or accepted its proposal
+    newest_record: RolloutRecord = field(default_factory=RolloutRecord)  # of those received with votes
     proposal: RolloutRecord = field(default_factory=RolloutRecord)
 
     def start_election(self, now_us: int) -> LeaderVoteRequest | None:
-        """Become a candidate: the request for all fronts and its own acceptor; None where it can't be one."""
+        """Become a candidate and return the vote request for all fronts; None if this front can't vote."""
         if self.role is not Role.FOLLOWER or not self.acceptor.may_vote(now_us):
             return None
         front_count = self.settings.front_count
@@ -91,7 +92,7 @@
         return LeaderVoteRequest(self.incarnation, self.term)
 
     def on_vote(self, sender: int, vote: LeaderVote, now_us: int) -> RolloutRecord | None:
-        """Count a vote: the record to propose, where it makes a majority."""
+        """Count a vote; return the record to propose once a majority has voted for this front."""
         self.advance(now_us)
         is_own = (vote.candidate_incarnation, vote.term) == (self.incarnation, self.term)
         if self.role is not Role.CANDIDATE or not is_own or not vote.is_granted:
@@ -105,14 +106,15 @@
         return self._begin_proposal(record, now_us)
 
     def _note_record(self, record: RolloutRecord) -> None:
-        # Two records have one revision where an operator declared the record complete, which halts it.
+        # An operator's declaration that the record is complete halts the plan without a new revision, so two
+        # records can have the same revision: the halted one takes precedence.
         is_same_revision = record.revision == self.newest_record.revision
         is_halted = is_same_revision and record.phase is RolloutPhase.HALTED
         if record.revision > self.newest_record.revision or is_halted:
             self.newest_record = record
 
     def propose(self, record: RolloutRecord, now_us: int) -> RolloutRecord | None:
-        """Begin a change of the record: what to propose to all; None where this front does not lead."""
+        """Start to propose a changed record; return it with its revision, or None if not leading."""
         self.advance(now_us)
         if self.role is not Role.LEADER:
             return None
@@ -124,7 +126,7 @@
         return record
 
     def on_ack(self, sender: int, ack: ProposalAck, now_us: int) -> bool:
-        """Count an acknowledgement; whether a majority now has accepted the proposal, for the first time."""
+        """Count an acknowledgement; return True when a majority first has accepted the proposal."""
         self.advance(now_us)
         if self.role is not Role.PROPOSER or (ack.term, ack.turn) != self.proposal.revision:
             return False
@@ -135,7 +137,10 @@
         return True
 
     def advance(self, now_us: int, serving_count: int | None = None) -> None:
-        """Step down where that is due; `serving_count`: the fronts that serve, this one among them."""
+        """Step down if the round timed out, a later term was seen, or the quorum is lost.
+
+        `serving_count` is the number of serving fronts, including this one.
+        """
         if self.acceptor.term > self.term:
             self._apply(ElectionEvent.HIGHER_TERM_SEEN)
         is_in_round = self.role is Role.CANDIDATE or self.role is Role.PROPOSER
@@ -145,7 +150,7 @@
             self._apply(ElectionEvent.QUORUM_LOST)
 
     def step_down(self) -> None:
-        """Become a follower: this front drains, or can't lead for another reason."""
+        """Become a follower, because this front drains or must not lead for another reason."""
         self._apply(ElectionEvent.QUORUM_LOST)
 
     def _apply(self, event: ElectionEvent) -> None:
--- a/packages/rollouts/src/fennelcove/rollouts/order_handler.py
+++ b/packages/rollouts/src/fennelcove/rollouts/order_handler.py
@@ -1,4 +1,4 @@
-"""What a front does with the orders of a plan's leader."""
+"""Handling of the orders that a front receives from the leader of a rollout."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 @dataclass(slots=True)
 class OrderHandler:
-    """Turns orders into requests for permits, or into a drain where the front does not serve."""
+    """Turns orders into permit requests, or directly into a drain if the front does not serve."""
 
     front: LocalFront
     front_count: int
     requester: Requester  # of permits for fronts
     acceptor: Acceptor
     actions: ActionQueue  # shared with the coordinator
-    ordered_version: int | None = None  # that this front was last ordered to return with
+    ordered_version: int | None = None  # of the last order that was applied while not serving
 
     def on_order(self, sender: int, order: RolloutOrder, now_us: int) -> Outbox:
-        """Apply an order that is for this incarnation, of the term's leader, and not out of date."""
+        """Apply an order if it comes from the term's leader, is for this incarnation and is not outdated."""
         revision = (order.term, order.turn)
         is_from_leader = sender == order.term % self.front_count
         is_addressed = order.receiver_incarnation == self.front.incarnation
@@ -32,7 +32,7 @@
         return []
 
     def apply(self, version: int, revision: tuple[int, int], now_us: int) -> None:
-        """Drain, once that is permitted, and return with a version."""
+        """Drain when permitted, and restart with a version."""
         status, index = self.front.status, self.front.index
         request = self.requester.requests.get(index)
         is_out = request is not None and request.state is RequestState.OUT
@@ -43,6 +43,6 @@
             return
         current = request.version if request is not None else status.version
         if (self.ordered_version or current) != version:
-            # The front does not serve: its drain takes no capacity away, and its return needs no permit.
+            # The front does not serve, so draining it removes no capacity and needs no permit.
             self.ordered_version = version
             self.actions.add(Action(ActionKind.DRAIN_FRONT, PlaceKind.FRONT, index, version))
--- a/packages/rollouts/src/fennelcove/rollouts/pending_command.py
+++ b/packages/rollouts/src/fennelcove/rollouts/pending_command.py
@@ -1,4 +1,4 @@
-"""The one command of an operator that a front has in progress, and the outcomes of the latest ones."""
+"""The operator's command that a front has in progress, and the outcomes of recent commands."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from fennelcove.rollouts.types import Command, CommandOutcome
 
-MAX_OUTCOMES = 16
-COMMAND_TIMEOUT_US = 4_000_000  # after which a command that no majority has accepted counts as lost
+MAX_OUTCOMES = 16  # outcomes that are kept
+COMMAND_TIMEOUT_US = 4_000_000  # a command that no majority has accepted by then counts as lost
 
 
 @dataclass(slots=True)
@@ -18,43 +18,43 @@
     number: int
     command: Command
     since_us: int
-    revision: tuple[int, int] | None = None  # of the record that it is proposed with
+    revision: tuple[int, int] | None = None  # of the record that carries it, once proposed
 
 
 @dataclass(slots=True)
 class CommandTracker:
-    """Numbers commands, holds the one in progress, and remembers the latest outcomes."""
+    """Numbers commands, tracks the one in progress and stores the latest outcomes."""
 
     pending: PendingCommand | None = None
     _last_number: int = 0
     _outcomes: OrderedDict[int, CommandOutcome] = field(default_factory=OrderedDict)
 
     def start(self, command: Command, now_us: int) -> int:
-        """Put a command in progress; its number."""
+        """Start a command and return its number."""
         self._last_number += 1
         self.pending = PendingCommand(self._last_number, command, now_us)
         self._set_outcome(self._last_number, CommandOutcome.PENDING)
         return self._last_number
 
     def refuse(self) -> int:
-        """Refuse a command as busy; its number."""
+        """Reject a command as busy and return its number."""
         self._last_number += 1
         self._set_outcome(self._last_number, CommandOutcome.BUSY)
         return self._last_number
 
     def finish(self, outcome: CommandOutcome) -> None:
-        """End the command in progress, if there is one."""
+        """End the command in progress, if any, with an outcome."""
         if self.pending is not None:
             self._set_outcome(self.pending.number, outcome)
         self.pending = None
 
     def expire(self, now_us: int) -> None:
-        """End the command in progress as lost, where its time is over."""
+        """End the command in progress as lost if it has timed out."""
         if self.pending is not None and now_us >= self.pending.since_us + COMMAND_TIMEOUT_US:
             self.finish(CommandOutcome.LOST)
 
     def outcome(self, number: int) -> CommandOutcome:
-        """The outcome of a command; one that is no longer remembered counts as lost."""
+        """Return the outcome of a command; a command that is no longer recorded counts as lost."""
         return self._outcomes.get(number, CommandOutcome.LOST)
 
     def _set_outcome(self, number: int, outcome: CommandOutcome) -> None:
--- a/packages/rollouts/src/fennelcove/rollouts/permit_entry.py
+++ b/packages/rollouts/src/fennelcove/rollouts/permit_entry.py
@@ -1,4 +1,4 @@
-"""The state of one place in a grantor's book: which request it is promised to, and how far that is."""
+"""A grantor's entry for one place: the request that it is promised to, and the state of that promise."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class PermitState(Enum):
-    """What a grantor holds of a place."""
+    """The state of a place at one grantor."""
 
     FREE = auto()
     PROMISED = auto()  # the requester may still be counting votes
-    GRANTED = auto()  # the requester has its permit, or may have
-    UNKNOWN = auto()  # this incarnation does not know what the previous one promised
-    WRITTEN_OFF = auto()  # does not count until it is observed to serve
+    GRANTED = auto()  # the requester has its permit, or may have it
+    UNKNOWN = auto()  # the previous incarnation may have promised it
+    WRITTEN_OFF = auto()  # an operator excluded it until it is observed to serve
 
 
 class PermitEvent(Enum):
-    """What happens to a place."""
+    """Events that change the state of a place."""
 
     PROMISED = auto()
     SETTLED = auto()  # the requester has its majority, or no longer counts votes
-    RELEASED = auto()  # the request is released, or the place has returned
-    SEEN_SERVING = auto()  # by an observation that is later than any drain that may have been permitted
+    RELEASED = auto()  # the request is released, or the place serves again
+    SEEN_SERVING = auto()  # observed after any permitted drain would have become visible
     WRITTEN_OFF = auto()
 
 
@@ -48,15 +48,15 @@
 
 @dataclass(slots=True)
 class PermitEntry:
-    """A place in a grantor's book, with the request that it is promised to."""
+    """A place at one grantor, with the request that it is promised to."""
 
     state: PermitState
-    requester: int = 0  # index of the front
+    requester: int = 0  # index of the requesting front
     incarnation: int = 0  # of the requester
     request_number: int = 0
     since_us: int = 0  # when it was promised or written off, or this incarnation began
 
     def is_for(self, requester: int, request: PermitRequest) -> bool:
-        """Whether it is promised to this very request."""
+        """Return whether the entry belongs to this request of this front."""
         same_front = (self.requester, self.incarnation) == (requester, request.incarnation)
         return same_front and self.request_number == request.number
--- a/packages/rollouts/src/fennelcove/rollouts/permit_grantor.py
+++ b/packages/rollouts/src/fennelcove/rollouts/permit_grantor.py
@@ -1,18 +1,21 @@
 """Disruption permits, the granting side: one front's votes on requests, and the places it has promised.
 
-A place may be taken out once a majority of all fronts has granted a request for it, one request at a time.
-Each front is a grantor. A promise is never forgotten by time alone: it ends when a heartbeat of the requester
-shows that the request is released, when a new incarnation of the place serves, when a server is observed to
-serve so late that the request can't lead to a drain any more, or when an operator writes the place off. While
-a requester may still be counting votes, the grantor grants no other request. So permits come one after
-another, as if one front granted them all: of two granted requests one was settled at a common grantor before
-the other arrived there, and that grantor names its place in the vote. The requester counts all places that
-its grantors name, the places it observes to be unavailable, and its own; it begins only within the limits. (A
-majority alone would not do: with a limit of two, each of three grantors can know of another two of three.)
-
-A grantor that has just started grants nothing until no request that it may have forgotten can be counted or
-begun any more. Without persisted state it then takes each place for promised until an observation from after
-that time shows otherwise.
+A place may be drained once a majority of all fronts has granted a request for it. Each front is a grantor and
+grants one request at a time: while a requester may still be counting votes, its grantors grant no other
+request. Any two majorities have a grantor in common. Of two granted requests, one was therefore settled at
+that grantor before the other arrived, and the grantor's second vote lists the first place, so that permits
+are serialized as if a single front granted them. The requester adds up all places that its grantors list, the
+places that it observes to be unavailable, and its own; it begins only if the sum is within the limits. (A
+majority of votes alone would not suffice: with a limit of two, each of three grantors may know of a different
+two of three requests.)
+
+A promise never expires by time alone. It ends when a heartbeat of the requester shows that the request is
+released, when a new incarnation of the place serves, when a server is observed to serve at a time by which
+the request can no longer lead to a drain, or when an operator writes the place off.
+
+A grantor that has just started grants nothing until any request that its previous incarnation may have
+granted can no longer be counted or begun. Without persisted state it then treats each place as promised until
+a later observation shows otherwise.
 
 Times are in microseconds of this front's monotonic clock.
 """
@@ -42,14 +45,14 @@
 from fennelcove.rollouts.permit_settings import PermitSettings
 from fennelcove.rollouts.place_health import HealthView, PlaceHealth
 
-NEVER_US = 1 << 62
+NEVER_US = 1 << 62  # later than any time
 
 
 @dataclass(slots=True)
 class Grantor:
     """One front's votes and promises for one kind of place.
 
-    `has_full_history`: `entries` hold all that the previous incarnation may have promised.
+    `has_full_history` states whether `entries` has all that the previous incarnation may have promised.
     """
 
     settings: PermitSettings
@@ -58,10 +61,10 @@
     has_full_history: bool = False
     entries: dict[int, PermitEntry] = field(default_factory=dict)
     health: PlaceHealth = field(default_factory=PlaceHealth)
-    heartbeats: dict[int, Heartbeat] = field(default_factory=dict)  # the newest of each front
+    heartbeats: dict[int, Heartbeat] = field(default_factory=dict)  # the newest heartbeat of each front
     recovering_until_us: int = 0
     has_unsaved_changes: bool = False
-    _settles_at_us: int = 0  # when the promise that is not settled settles by time
+    _settles_at_us: int = 0  # when the unsettled promise is settled by the passing of time
 
     def __post_init__(self) -> None:
         self.recovering_until_us = self.now_us + self.settings.permit_expiry_us
@@ -72,34 +75,34 @@
         """Replace the known places."""
         if not self.has_full_history:
             new_places = disruption_map.places.keys() - self.entries.keys() - self.health.views.keys()
-            # A server that is listed later may be new, or one that the previous incarnation promised.
+            # A server that is listed for the first time may be one that the previous incarnation promised.
             for place in new_places:
                 self.entries[place] = PermitEntry(PermitState.UNKNOWN, since_us=self.recovering_until_us)
         self.health.retain(disruption_map.places.keys())
         self.disruption_map = disruption_map
 
     def promised_places(self) -> set[int]:
-        """All places that count as promised."""
+        """Return all places that count as promised."""
         return {place for place, entry in self.entries.items() if entry.state in OCCUPIED_STATES}
 
     def written_off_places(self) -> set[int]:
-        """All places that an operator has written off."""
+        """Return all places that an operator has written off."""
         return {place for place, entry in self.entries.items() if entry.state is PermitState.WRITTEN_OFF}
 
     def unavailable_places(self, now_us: int) -> set[int]:
-        """All places that do not serve, as far as this front observes, without those written off."""
+        """Return all places that do not serve as observed by this front, excluding those written off."""
         places, timeout_us = self.disruption_map.places.keys(), self.settings.health_timeout_us
         return self.health.unavailable(places, timeout_us, now_us) - self.written_off_places()
 
     def disrupted_places(self, now_us: int) -> set[int]:
-        """All places that are unavailable or promised."""
+        """Return all places that are unavailable or promised."""
         self.advance(now_us)
         return self.promised_places() | self.unavailable_places(now_us)
 
     def on_permit_request(
         self, requester: int, request: PermitRequest, now_us: int, *, is_stale: bool = False
     ) -> PermitVote:
-        """Vote on a request; `is_stale`: it belongs to an older record than this front's."""
+        """Vote on a request; `is_stale` states that it belongs to an older record than this front's."""
         self.advance(now_us)
         if is_stale or self._is_over(requester, request):
             verdict = PermitVerdict.STALE
@@ -119,7 +122,7 @@
         entry = self.entries.get(request.place)
         if entry is not None:
             if entry.is_for(requester, request) and entry.state in PROMISED_STATES:
-                return PermitVerdict.GRANTED  # a repeated request, or the vote was lost
+                return PermitVerdict.GRANTED  # the request was repeated or duplicated
             if not self._may_replace(requester, request, entry):
                 return PermitVerdict.BUSY
         others = self.promised_places() - {request.place}
@@ -132,15 +135,15 @@
         return PermitVerdict.GRANTED if exceeded is None else PermitVerdict.LIMIT_REACHED
 
     def _may_replace(self, requester: int, request: PermitRequest, entry: PermitEntry) -> bool:
-        """Whether this request shows that the entry's one is over."""
+        """Return whether this request proves that the request of the entry is over."""
         if entry.state is PermitState.FREE or entry.state is PermitState.WRITTEN_OFF:
             return True
         if self.settings.kind is PlaceKind.FRONT:
-            # A front requests for itself, while it serves, one request at a time.
+            # A front requests permits only for itself, only while it serves, and one at a time.
             entry_request = (entry.incarnation, entry.request_number)
             is_newer = entry_request < (request.incarnation, request.number)
             return entry.state is PermitState.UNKNOWN or is_newer
-        # Another front, or another incarnation of this one, may have had the server drained a moment ago.
+        # Another front, or another incarnation of this one, may just have started to drain the server.
         is_same_front = (entry.requester, entry.incarnation) == (requester, request.incarnation)
         is_known = entry.state is not PermitState.UNKNOWN
         return is_known and is_same_front and entry.request_number < request.number
@@ -161,16 +164,16 @@
         entry.incarnation = request.incarnation
         entry.request_number = request.number
         entry.since_us = now_us
-        self._settles_at_us = now_us + self.settings.permit_expiry_us  # there is one at a time
+        self._settles_at_us = now_us + self.settings.permit_expiry_us  # at most one promise is unsettled
 
     def on_heartbeat(self, sender: int, heartbeat: Heartbeat, as_of_us: int | None, now_us: int) -> None:
-        """Take in a front's heartbeat, where it is newer than the last.
+        """Process a front's heartbeat, if it is newer than the last one.
 
         Args:
             sender: the front's index.
             heartbeat: its heartbeat.
-            as_of_us: when the heartbeat that it acknowledges was sent from here; None where that is unknown.
-            now_us: the present time.
+            as_of_us: when this front sent the heartbeat that it acknowledges; None if that is unknown.
+            now_us: the current time.
         """
         known = self.heartbeats.get(sender)
         if known is not None:
@@ -191,7 +194,7 @@
         is_front = self.settings.kind is PlaceKind.FRONT
         is_serving = heartbeat.serving_state is ServingState.SERVING
         if entry.incarnation < heartbeat.incarnation:
-            # The requester's incarnation has ended. It may still have had a server drained.
+            # The requester's incarnation has ended; a server drain that it began may still be in progress.
             if is_front and is_serving:
                 self._apply(place, PermitEvent.RELEASED)
             return
@@ -200,14 +203,14 @@
         matching = [one for one in heartbeat.open_requests if one.number == entry.request_number]
         if matching and matching[0].is_granted:
             self._apply(place, PermitEvent.SETTLED)
-        # A front that is unavailable for another reason is not free because it releases a request.
+        # A front that releases its request while it does not serve is unavailable for another reason.
         if not matching and (is_serving or not is_front):
             self._apply(place, PermitEvent.RELEASED)
 
     def observe(self, place: int, as_of_us: int, now_us: int, *, is_serving: bool) -> None:
-        """Take in an observation of a place: whether it served at `as_of_us` or later.
+        """Record an observation of a place: whether it served at `as_of_us` or later.
 
-        Fronts are observed by their heartbeats.
+        For fronts this is called from `on_heartbeat`.
         """
         self.advance(now_us)
         if place not in self.disruption_map.places:
@@ -220,7 +223,7 @@
             self._apply(place, PermitEvent.SEEN_SERVING)
 
     def _free_from_us(self, place: int, entry: PermitEntry) -> int:
-        """From when on an observation that the place serves shows that it is not about to drain."""
+        """Return the earliest time at which an observation of serving proves that no drain is pending."""
         is_front = self.settings.kind is PlaceKind.FRONT
         drain_visible_us = self.settings.drain_visible_us
         if entry.state is PermitState.UNKNOWN:
@@ -228,7 +231,7 @@
                 return NEVER_US
             return max(entry.since_us, self.recovering_until_us) + drain_visible_us
         if entry.state is PermitState.GRANTED:
-            # Only a front's own heartbeat shows that its request is over; a server sends none.
+            # A front's request is ended only by its own heartbeats; servers send no heartbeats.
             expires_us = entry.since_us + self.settings.permit_expiry_us + drain_visible_us
             return NEVER_US if is_front else expires_us
         return entry.since_us
@@ -238,13 +241,13 @@
         return heartbeat is None or any(one.kind is PlaceKind.FRONT for one in heartbeat.open_requests)
 
     def write_off(self, place: int, now_us: int) -> None:
-        """Do not count a place until it is observed to serve again."""
+        """Exclude a place from the limits until it is observed to serve again."""
         self.advance(now_us)
         self._apply(place, PermitEvent.WRITTEN_OFF)
         self.entries[place].since_us = now_us
 
     def advance(self, now_us: int) -> None:
-        """Settle the pending promise, where its time is over."""
+        """Settle the unsettled promise if its time has passed."""
         self.now_us = max(self.now_us, now_us)
         if self.now_us < self._settles_at_us:
             return
--- a/packages/rollouts/src/fennelcove/rollouts/permit_requester.py
+++ b/packages/rollouts/src/fennelcove/rollouts/permit_requester.py
@@ -14,24 +14,24 @@
 from fennelcove.rollouts.permit_settings import PermitSettings
 from fennelcove.state_machine import Transition, TransitionTable, Unlisted
 
-MAX_REQUESTS = 15  # the open requests of both kinds have to fit into a heartbeat
-MAX_BACKOFF_DOUBLINGS = 3  # of the pause between two attempts
-BACKOFF_DIVISOR = 8  # the first pause is this part of the permit window
-NO_REVISION = (0, 0)  # of a request that belongs to no plan
+MAX_REQUESTS = 15  # with the front's request for itself, all fit into a heartbeat
+MAX_BACKOFF_DOUBLINGS = 3  # of the delay between two attempts
+BACKOFF_DIVISOR = 8  # the first delay is the permit window divided by this
+NO_REVISION = (0, 0)  # for a request that belongs to no plan
 
 
 class RequestState(Enum):
-    """The state of a request. The names appear in status JSON."""
+    """The state of a request. The member names appear in status JSON."""
 
-    WANTED = auto()  # not sent, or to be sent again with a new number
-    ASKING = auto()  # votes are counted
-    GRANTED = auto()
+    WANTED = auto()  # to be sent for the first time, or again with a new number
+    ASKING = auto()  # sent; votes are being counted
+    GRANTED = auto()  # a majority granted it; the drain has not begun
     OUT = auto()  # the drain has begun
-    GONE = auto()  # over
+    GONE = auto()  # released or cancelled
 
 
 class RequestEvent(Enum):
-    """What happens to a request."""
+    """Events that change the state of a request."""
 
     SENT = auto()
     MAJORITY = auto()
@@ -39,7 +39,7 @@
     TIMED_OUT = auto()  # the permit window is over
     BEGUN = auto()
     CANCELLED = auto()
-    RETURNED = auto()
+    RETURNED = auto()  # the place serves again
 
 
 REQUEST_TRANSITIONS: TransitionTable[RequestState, RequestEvent, None] = TransitionTable(
@@ -67,13 +67,13 @@
     """A place that this front wants to drain, and the votes for it."""
 
     place: int
-    version: int = 0  # to return with
-    revision: tuple[int, int] = NO_REVISION  # of the record that orders it
+    version: int = 0  # to restart with
+    revision: tuple[int, int] = NO_REVISION  # of the record that ordered it
     state: RequestState = RequestState.WANTED
     number: int = 0
     sent_us: int = 0
-    not_before_us: int = 0  # the next attempt
-    wanted_us: int = 0  # when it was last ordered
+    not_before_us: int = 0  # earliest time of the next attempt
+    wanted_us: int = 0  # when it was last ordered or requested
     attempts: int = 0
     granted_by: set[int] = field(default_factory=set)
     denied_by: dict[int, PermitVerdict] = field(default_factory=dict)
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class RequestNumbers(Iterator[int]):
-    """The numbers of permit requests in this incarnation, for all kinds."""
+    """Issues the permit request numbers of this incarnation, shared by both kinds of place."""
 
     last: int = 0
 
@@ -93,17 +93,17 @@
 
 @dataclass(slots=True)
 class Requester:
-    """One front's requests for one kind of place; the votes of one at a time are counted."""
+    """One front's requests for one kind of place. Votes are counted for one request at a time."""
 
     settings: PermitSettings
     incarnation: int
-    numbers: Iterator[int]  # the next request number in this incarnation, for all kinds
+    numbers: Iterator[int]  # request numbers of this incarnation, shared by both kinds of place
     requests: dict[int, PendingRequest] = field(default_factory=dict)
 
     def request_permit(
         self, place: int, now_us: int, version: int = 0, revision: tuple[int, int] = NO_REVISION
     ) -> bool:
-        """Request that a place be drained; False where too many are, or where it is under way."""
+        """Register a request to drain a place; False if there are too many or it is already in progress."""
         known = self.requests.get(place)
         if known is not None:
             known.wanted_us = now_us
@@ -119,7 +119,7 @@
         return True
 
     def next_request(self, now_us: int) -> PermitRequest | None:
-        """The request to send to all fronts now, if any: a new one, or the one being counted again."""
+        """Return the request to send to all fronts now, if any: the one in progress, or the next one."""
         self.advance(now_us)
         request = self._request_in_progress()
         if request is None:
@@ -154,12 +154,12 @@
         Args:
             sender: index of the front that voted.
             vote: its vote.
-            grantor: this front's own grantor, for the places that it observes.
-            jitter: random, from 0 to below 1.
-            now_us: the present time.
+            grantor: this front's own grantor, which knows the places that this front observes.
+            jitter: random, in [0, 1).
+            now_us: the current time.
 
         Returns:
-            The request that is granted by this vote, if it is.
+            The request, if this vote completes its permit; otherwise None.
         """
         self.advance(now_us)
         for request in self.requests.values():
@@ -196,7 +196,7 @@
         return grantor.disruption_map.exceeded_limit(limit, request.place, disrupted) is None
 
     def _retry_later(self, request: PendingRequest, event: RequestEvent, jitter: float, now_us: int) -> None:
-        # The number is not used again: the next heartbeat shows the grantors that it is over.
+        # The next attempt gets a new number, so the next heartbeat shows the grantors that this one is over.
         self._apply(request, event)
         doublings = min(request.attempts, MAX_BACKOFF_DOUBLINGS)
         pause_us = self.settings.permit_window_us // BACKOFF_DIVISOR << doublings
@@ -204,7 +204,7 @@
         request.not_before_us = now_us + round(pause_us * (0.5 + jitter))
 
     def begin(self, place: int, now_us: int) -> bool:
-        """Whether the drain may begin now; called directly before it does."""
+        """Return whether the drain may begin now; to be called immediately before it begins."""
         self.advance(now_us)
         request = self.requests.get(place)
         if request is None or request.state not in PERMITTED_STATES:
@@ -213,11 +213,11 @@
         return True
 
     def cancel(self, place: int) -> bool:
-        """Give up a request whose drain has not begun; whether there was one."""
+        """Cancel a request whose drain has not begun; return whether there was one."""
         return self._end(place, RequestEvent.CANCELLED)
 
     def on_returned(self, place: int) -> bool:
-        """The place serves again: its permit ends, used or not. Whether there was one."""
+        """Release the permit of a place that serves again, used or not; return whether there was one."""
         return self._end(place, RequestEvent.RETURNED)
 
     def _end(self, place: int, event: RequestEvent) -> bool:
@@ -231,7 +231,7 @@
         return True
 
     def on_server_observed(self, place: int, as_of_us: int) -> None:
-        """A server served at that time: its permit ends, unless its drain could not be seen by then."""
+        """Release the permit of a server that served at `as_of_us`, if its drain would have been visible."""
         request = self.requests.get(place)
         visible_us = self.settings.permit_expiry_us + self.settings.drain_visible_us
         if request is None or request.state is not RequestState.OUT:
@@ -240,14 +240,14 @@
             self.on_returned(place)
 
     def advance(self, now_us: int) -> None:
-        """Time out the requests whose window is over, however long this process was delayed."""
+        """Time out requests whose permit window has ended, also after a long pause of this process."""
         for request in self.requests.values():
             is_timed = request.state in (RequestState.ASKING, RequestState.GRANTED)
             if is_timed and now_us >= request.sent_us + self.settings.permit_window_us:
                 self._retry_later(request, RequestEvent.TIMED_OUT, 0.5, now_us)
 
     def open_requests(self) -> list[OpenRequest]:
-        """The requests that are not over, for the next heartbeat."""
+        """Return the open requests, for the next heartbeat."""
         return [
             OpenRequest(self.settings.kind, one.place, one.number, one.state in PERMITTED_STATES)
             for one in self.requests.values()
--- a/packages/rollouts/src/fennelcove/rollouts/persisted_state.py
+++ b/packages/rollouts/src/fennelcove/rollouts/persisted_state.py
@@ -1,4 +1,4 @@
-"""What a front persists about permits and records, and how its grantors are restored from it."""
+"""Conversion between a coordinator's components and the state that it persists."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def restore_grantor(
     settings: PermitSettings, disruption_map: DisruptionMap, persisted: PersistedState, now_us: int
 ) -> Grantor:
-    """A grantor with the promises and the written-off places of the previous incarnation."""
+    """Create a grantor with the promises and written-off places of the previous incarnation."""
     entries = {
         permit.place: PermitEntry(PermitState.GRANTED, permit.asker, permit.life, permit.number)
         for permit in persisted.promises
@@ -29,7 +29,7 @@
 
 
 def take_changed_state(acceptor: Acceptor, grantors: Mapping[PlaceKind, Grantor]) -> PersistedState | None:
-    """The state to persist, and mark it as taken; None where nothing has changed since the last call."""
+    """Return the state to persist and clear the change flags; None if nothing changed since the last call."""
     sources: list[Acceptor | Grantor] = [*grantors.values(), acceptor]
     if not any(source.has_unsaved_changes for source in sources):
         return None
--- a/packages/rollouts/src/fennelcove/rollouts/place_health.py
+++ b/packages/rollouts/src/fennelcove/rollouts/place_health.py
@@ -1,4 +1,4 @@
-"""Which places are unavailable, by what one front observes of them."""
+"""Tracks which places are unavailable, as observed by one front."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
     views: dict[int, HealthView] = field(default_factory=dict)
     _unavailable: set[int] = field(default_factory=set)
-    _cached_until_us: int = 0  # no other place times out before
+    _cached_until_us: int = 0  # before this time no further place times out
 
     def observe(self, place: int, view: HealthView, timeout_us: int, now_us: int) -> bool:
-        """Take in an observation; False where a later one is known already."""
+        """Record an observation; return False if a later one is already known."""
         known = self.views.get(place)
         if known is not None and view.as_of_us < known.as_of_us:
             return False
@@ -37,13 +37,13 @@
         return True
 
     def retain(self, places: Collection[int]) -> None:
-        """Forget all other places."""
+        """Remove all places that are not among the given ones."""
         for place in self.views.keys() - places:
             del self.views[place]
         self._cached_until_us = 0
 
     def unavailable(self, places: Collection[int], timeout_us: int, now_us: int) -> set[int]:
-        """Those of the places that do not serve, or that were last observed longer ago than the timeout."""
+        """Return the places that do not serve, or whose last observation is older than the timeout."""
         if now_us >= self._cached_until_us:
             expiries_us = [view.as_of_us + timeout_us for view in self.views.values() if view.is_serving]
             pending_us = [at_us for at_us in expiries_us if now_us < at_us]
--- a/packages/rollouts/src/fennelcove/rollouts/rollout_controller.py
+++ b/packages/rollouts/src/fennelcove/rollouts/rollout_controller.py
@@ -1,4 +1,4 @@
-"""One front's part in leading a plan: elections, proposals, orders to fronts, and operators' commands.
+"""Control of a rollout by one front: elections, proposals, orders to fronts and operators' commands.
 
 Times are in microseconds of this front's monotonic clock.
 """
@@ -35,7 +35,7 @@
     RolloutSettings,
 )
 
-# Over so many heartbeat intervals the fronts that miss a leader become candidates.
+# Fronts without a leader become candidates at random times within this many heartbeat intervals.
 ELECTION_SPREAD_HEARTBEATS = 8
 COMMAND_EVENTS = {
     CommandKind.START: RolloutEvent.START,
@@ -48,12 +48,12 @@
 
 
 class RolloutController:
-    """Follows or leads a plan.
+    """Follows or leads a rollout.
 
     Attributes:
         acceptor: this front's copy of the record.
-        election: this front's role.
-        execution: what this front does for the plan while it leads, otherwise None.
+        election: this front's role in the election.
+        execution: the execution of the plan while this front leads, otherwise None.
     """
 
     def __init__(
@@ -70,11 +70,11 @@
 
         Args:
             settings: the coordinator's settings.
-            zones: the zone of each front.
-            incarnation: this front's.
+            zones: the zone of each front, by index.
+            incarnation: the incarnation of this front.
             acceptor: this front's copy of the record.
             grantor: this front's grantor of permits for fronts.
-            order_own_front: called with version, revision and time where this front orders itself to drain.
+            order_own_front: called with version, revision and time when this front orders itself to drain.
             log: writes a line to the log.
         """
         self.settings = settings
@@ -90,10 +90,10 @@
         self.jitter = 0.5
         self.execution: PlanExecution | None = None
         self.unavailable_since_us: dict[int, int] = {}
-        self.election_at_us: int | None = None  # when to become a candidate, unless a leader is seen
+        self.election_at_us: int | None = None  # when to become a candidate if there is no leader
 
     def tick(self, status: FrontStatus, now_us: int, jitter: float) -> Outbox:
-        """What to send at a heartbeat interval; `jitter`: random, from 0 to below 1."""
+        """Return the messages to send at a heartbeat interval; `jitter` is random, in [0, 1)."""
         self.status, self.jitter = status, jitter
         unavailable = self.grantor.unavailable_places(now_us)
         known_us = self.unavailable_since_us
@@ -119,7 +119,7 @@
         return self._tick_follower(now_us)
 
     def _tick_follower(self, now_us: int) -> Outbox:
-        """Become a candidate where a command is pending, or the leader of an active plan is missed."""
+        """Become a candidate if a command is pending or an active plan has no leader."""
         if self.commands.pending is not None:
             return self._start_election(now_us)
         is_missed = now_us >= self.acceptor.leader_seen_us + self.settings.front_timeout_us
@@ -128,7 +128,7 @@
             self.election_at_us = None
             return []
         if self.election_at_us is None:
-            # All fronts miss it at once: of candidates at the same time none may win.
+            # All fronts notice at the same time, and simultaneous candidates may split the vote.
             spread_us = ELECTION_SPREAD_HEARTBEATS * self.settings.heartbeat_us
             self.election_at_us = now_us + round(self.jitter * spread_us)
         if now_us < self.election_at_us:
@@ -147,7 +147,7 @@
         return [(index, message) for index in self.zones if index != self.settings.front_index]
 
     def _proposals(self, record: RolloutRecord) -> Outbox:
-        """A proposal for each peer whose incarnation is known."""
+        """Return a proposal for each peer whose incarnation is known."""
         own_index = self.settings.front_index
         return [
             (index, Proposal(record, heartbeat.incarnation))
@@ -156,7 +156,7 @@
         ]
 
     def _publish(self, record: RolloutRecord, now_us: int) -> Outbox:
-        """Propose a record to all fronts, this one among them."""
+        """Propose a record to all fronts, including this one."""
         outbox = self._proposals(record)
         ack = self.acceptor.on_proposal(record, now_us)
         if ack is not None:
@@ -164,9 +164,9 @@
         return outbox
 
     def _on_agreed(self, now_us: int) -> Outbox:
-        """A majority has accepted what this front proposed."""
+        """Handle that a majority has accepted this front's proposal."""
         record = self.election.proposal
-        self.log(f"plan {record.plan.number} {record.phase.name.lower()}")
+        self.log(f"rollout plan {record.plan.number}: phase {record.phase.name.lower()} agreed")
         if self.execution is None:
             self.execution = PlanExecution(record, self.zones, now_us)
         else:
@@ -207,7 +207,7 @@
         ]
 
     def command(self, command: Command, now_us: int) -> tuple[int, Outbox]:
-        """Begin to carry out an operator's command: its number, and what to send."""
+        """Start an operator's command; return its number and the messages to send."""
         is_draining = self.status.serving_state is ServingState.DRAINING
         if self.commands.pending is not None or is_draining or not self.acceptor.may_vote(now_us):
             return self.commands.refuse(), []
@@ -216,7 +216,7 @@
         return number, self._propose_pending(now_us) if is_leader else self._start_election(now_us)
 
     def _propose_pending(self, now_us: int) -> Outbox:
-        """Propose the pending command, where this front leads and has not yet."""
+        """Propose the pending command if this front leads and has not proposed it yet."""
         pending = self.commands.pending
         if pending is None or pending.revision is not None or self.election.role is not Role.LEADER:
             return []
@@ -242,21 +242,21 @@
         return next_record(record, COMMAND_EVENTS[command.command_kind], updated_count, command.plan, reason)
 
     def on_vote_request(self, sender: int, vote_request: LeaderVoteRequest, now_us: int) -> Outbox:
-        """Answer a candidate."""
+        """Return this front's vote on a candidate."""
         return [(sender, self.acceptor.on_vote_request(vote_request, now_us))]
 
     def on_vote(self, sender: int, vote: LeaderVote, now_us: int) -> Outbox:
-        """Count a vote; with a majority, what to propose."""
+        """Count a vote; with a majority, return the proposals to send."""
         record = self.election.on_vote(sender, vote, now_us)
         return self._publish(record, now_us) if record is not None else []
 
     def on_proposal(self, sender: int, proposal: Proposal, now_us: int) -> Outbox:
-        """Take in a record, and acknowledge it where it counts."""
+        """Process a proposed record and return the acknowledgement, if there is one."""
         if proposal.receiver_incarnation != self.incarnation:
             return []
         ack = self.acceptor.on_proposal(proposal.record, now_us)
         return [(sender, ack)] if ack is not None else []
 
     def on_ack(self, sender: int, ack: ProposalAck, now_us: int) -> Outbox:
-        """Count an acknowledgement; with a majority, what follows of it."""
+        """Count an acknowledgement; with a majority, return the messages of the next step."""
         return self._on_agreed(now_us) if self.election.on_ack(sender, ack, now_us) else []
--- a/packages/rollouts/src/fennelcove/rollouts/rollout_plan.py
+++ b/packages/rollouts/src/fennelcove/rollouts/rollout_plan.py
@@ -1,8 +1,8 @@
-"""The states of a rollout plan, and how its record changes with what happens to it.
+"""The state machine of a rollout plan, and the changes of its record.
 
-A plan moves in steps: some fronts as canaries, then waves. After each step forward it soaks. It is halted by
-an operator or by what the leader observes, and only an operator resumes it or rolls it back. On the way back
-nothing soaks.
+A plan proceeds in steps: first the canary fronts, then waves. After each forward step it is observed for the
+soak time. An operator or the leader's observations halt it; only an operator resumes it or rolls it back. A
+rollback has no soak time.
 """
 
 from __future__ import annotations
@@ -21,30 +21,30 @@
 
 
 class RolloutEvent(Enum):
-    """What happens to a plan."""
+    """Events that change a plan."""
 
     START = auto()
     CHANGE = auto()
     HALT = auto()
     RESUME = auto()
     ROLL_BACK = auto()
-    STEP_COMPLETED = auto()  # as many fronts as this step's goal have the target version
-    SOAKED = auto()
+    STEP_COMPLETED = auto()  # the step's goal number of fronts has the target version
+    SOAKED = auto()  # the soak time is over
     COMPLETED = auto()  # all fronts have the target version
-    HALT_REASON_FOUND = auto()  # by observation
+    HALT_REASON_FOUND = auto()  # the leader's observations require a halt
 
 
 class RolloutAction(Enum):
-    """What a transition does to the record beside its phase."""
+    """Changes that a transition makes to the record apart from its phase."""
 
-    NEXT_STEP = auto()
-    NEW_PLAN = auto()  # with the goal of its first step
+    NEXT_STEP = auto()  # set the goal of the next step
+    NEW_PLAN = auto()  # store the new plan and set the goal of its first step
     ROLL_BACK = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class PlanState:
-    """The part of a record that decides on its transitions."""
+    """The part of a record that determines its transitions."""
 
     phase: RolloutPhase
     is_rolling_back: bool
@@ -57,7 +57,7 @@
 MOVING_BACK = PlanState(RolloutPhase.MOVING, BACKWARD)
 HALTED, DONE = PlanState(RolloutPhase.HALTED, FORWARD), PlanState(RolloutPhase.DONE, FORWARD)
 
-# An event that is not listed for a state is refused.
+# An event that is not listed for a state is rejected.
 TRANSITIONS: TransitionTable[PlanState, RolloutEvent, RolloutAction] = TransitionTable(
     {
         **{
@@ -92,7 +92,8 @@
         (MOVING_BACK, RolloutEvent.COMPLETED): Transition(PlanState(RolloutPhase.UNDONE, BACKWARD)),
     }
 )
-PLAN_EVENTS = (RolloutEvent.START, RolloutEvent.CHANGE)  # that come with a plan
+PLAN_EVENTS = (RolloutEvent.START, RolloutEvent.CHANGE)  # events that carry a plan
+# Events that increment the fence, so that commands based on the earlier state become stale.
 FENCED_EVENTS = (
     RolloutEvent.START,
     RolloutEvent.CHANGE,
@@ -110,17 +111,17 @@
     plan: Plan | None = None,
     reason: HaltReason = HaltReason.NONE,
 ) -> RolloutRecord | None:
-    """What a record becomes by an event.
+    """Return the record after an event.
 
     Args:
-        record: the present record.
-        event: what happens.
-        updated_count: fronts that have the target version of `record`, or of `plan` where there is one.
-        plan: the new plan of START and CHANGE.
+        record: the current record.
+        event: the event to apply.
+        updated_count: number of fronts with the target version of `record`, or of `plan` if there is one.
+        plan: the new plan, for START and CHANGE.
         reason: why the plan is halted.
 
     Returns:
-        The next record, without its new revision; None where the event is refused.
+        The changed record, still with its old revision; None if the event is rejected.
     """
     transition = TRANSITIONS.find(PlanState(record.phase, record.back), event)
     if transition is None or (plan is not None) is not (event in PLAN_EVENTS):
@@ -139,10 +140,10 @@
 
 
 def _can_end(plan: Plan) -> bool:
-    """Whether the plan replaces any front: one that does not would stay active for ever."""
+    """Return whether the plan can complete: without fronts to update it would stay active for ever."""
     return min(plan.canary, plan.wave, plan.wanted) >= 1 and plan.wanted != plan.before
 
 
 def target_version(record: RolloutRecord) -> int:
-    """The version that fronts are to have."""
+    """Return the version that fronts are to run: the wanted one, or the previous one in a rollback."""
     return record.plan.before if record.back else record.plan.wanted
--- a/packages/rollouts/src/fennelcove/rollouts/status.py
+++ b/packages/rollouts/src/fennelcove/rollouts/status.py
@@ -1,4 +1,4 @@
-"""The status of rollouts, as operators read it. Its keys and words are part of the HTTP interface."""
+"""The rollout status for operators. Its keys and values are part of the HTTP interface."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def plan_status(acceptor: Acceptor, election: LeaderElection, front_count: int) -> dict[str, object]:
-    """The plan as this front knows it, and who leads it."""
+    """Return the plan that this front knows, and its leader."""
     record = acceptor.record
     return {
         "fence": record.fence,
@@ -30,7 +30,7 @@
 
 
 def disruption_status(grantors: Mapping[PlaceKind, Grantor], now_us: int) -> dict[str, dict[str, list[int]]]:
-    """The places that are unavailable, promised and written off, by kind."""
+    """Return the unavailable (`dark`), promised (`held`) and written-off (`off`) places, by kind."""
     return {
         kind.name.lower(): {
             "dark": sorted(grantor.unavailable_places(now_us)),
@@ -42,7 +42,7 @@
 
 
 def request_status(requesters: Mapping[PlaceKind, Requester]) -> list[dict[str, object]]:
-    """This front's own requests."""
+    """Return this front's own permit requests."""
     return [
         {"kind": kind.name.lower(), "place": request.place, "stage": request.state.name.lower()}
         for kind, requester in requesters.items()
--- a/packages/rollouts/src/fennelcove/rollouts/types.py
+++ b/packages/rollouts/src/fennelcove/rollouts/types.py
@@ -1,6 +1,6 @@
-"""Types that the coordinator of rollouts takes and returns: settings, commands, actions, persisted state.
+"""Types in the interface of the rollout coordinator: settings, commands, actions and persisted state.
 
-The fields of `Memory` and `StoredPermit` are stored under their names: they are not renamed.
+The fields of `PersistedState` and `StoredPermit` are stored under their names and must not be renamed.
 """
 
 from __future__ import annotations
@@ -12,40 +12,40 @@
 from fennelcove.rollouts.messages import PlaceKind, Plan, RolloutMessage, RolloutRecord, ServingState
 from fennelcove.rollouts.permit_settings import PermitSettings
 
-Outbox = list[tuple[int, RolloutMessage]]  # messages to send, each with the index of the front that it is for
+Outbox = list[tuple[int, RolloutMessage]]  # messages to send, each with the index of its receiver
 
 
 @dataclass(frozen=True, slots=True)
 class FrontStatus:
-    """The state of this front; counters are of this incarnation and only grow."""
+    """The state of this front. Counters start at 0 with each incarnation and only grow."""
 
     serving_state: ServingState
     version: int = 0
     serving_for_s: int = 0
-    requested: int = 0  # session set-ups
+    requested: int = 0  # session set-ups, of which `served` and `refused` count outcomes
     served: int = 0
     refused: int = 0
-    failed: int = 0
+    failed: int = 0  # attempts that failed
     shedding_level: int = 0
     storm_phase: int = 0
 
 
 @dataclass(slots=True)
 class LocalFront:
-    """This front, as its supervisor reported it at the last heartbeat interval."""
+    """This front, with the status passed in at the last heartbeat interval."""
 
     index: int
     incarnation: int
     status: FrontStatus
-    jitter: float = 0.5  # random, from 0 to below 1
+    jitter: float = 0.5  # random, in [0, 1)
 
 
 class ActionKind(Enum):
-    """What this front has to do."""
+    """The kinds of actions that the caller carries out for the coordinator."""
 
-    DRAIN_FRONT = auto()  # call `begin`; where it permits that, drain and return with `version`
-    DRAIN_SERVER = auto()  # call `begin`; where it permits that, have the server drained
-    CANCEL = auto()  # a drain that was requested is cancelled
+    DRAIN_FRONT = auto()  # call `begin`; if it returns True, drain and restart with `version`
+    DRAIN_SERVER = auto()  # call `begin`; if it returns True, drain the server
+    CANCEL = auto()  # a requested drain is no longer wanted
     LOG = auto()  # write `text` to the log
 
 
@@ -61,59 +61,59 @@
 
 
 class CommandKind(Enum):
-    """The commands that an operator can give about a plan."""
+    """Commands that an operator can issue for a rollout plan."""
 
     START = auto()
-    CHANGE = auto()  # replaces the active plan; the new one is halted until `ON`
+    CHANGE = auto()  # replaces the active plan; the new plan is halted until `RESUME`
     HALT = auto()
     RESUME = auto()
     ROLL_BACK = auto()
 
 
 class CommandOutcome(Enum):
-    """The outcome of a command. The names appear in HTTP answers."""
+    """The outcome of a command. The member names appear in HTTP responses."""
 
     PENDING = auto()  # no majority has accepted it yet
     DONE = auto()
-    STALE = auto()  # the fence is not the present one
-    WRONG = auto()  # not possible in the plan's present phase
-    BUSY = auto()  # this front has another command in progress, or may not vote now
-    LOST = auto()  # no majority accepted it in time; it may still be accepted
+    STALE = auto()  # the command's fence is not the current one
+    WRONG = auto()  # not allowed in the plan's current phase
+    BUSY = auto()  # this front has another command in progress, or can't vote at present
+    LOST = auto()  # no majority accepted it before the timeout; it may still be accepted later
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A command of an operator, with the fence that the operator saw in the status."""
+    """An operator's command, with the fence that the operator read from the status."""
 
     command_kind: CommandKind
     fence: int
-    plan: Plan | None = None  # of START and CHANGE; the leader assigns its number
+    plan: Plan | None = None  # for START and CHANGE; the leader assigns its number
 
 
 @dataclass(frozen=True, slots=True)
 class StoredPermit:
-    """A place that is promised, as it is persisted."""
+    """A promised place, in the form in which it is persisted."""
 
     kind: PlaceKind
     place: int
-    asker: int  # index of the front that requested it
-    life: int  # the requester's incarnation
-    number: int  # of the request
+    asker: int  # the requester: index of the front that requested the permit
+    life: int  # incarnation of the requester
+    number: int  # request number
 
 
 @dataclass(frozen=True, slots=True)
 class PersistedState:
-    """What has to be persisted for the next incarnation.
+    """The state that the next incarnation of this front needs.
 
-    Without it the next incarnation waits before it promises anything.
+    An incarnation that starts without it promises nothing until earlier promises can no longer be used.
     """
 
-    term: int = 0  # the highest in which this front voted
+    term: int = 0  # the highest term in which this front voted
     record: RolloutRecord = field(default_factory=RolloutRecord)
-    sure: bool = True  # whether `record` is known to be the last one that this front accepted
-    whole: bool = True  # whether `promises` are all that this front may have promised
+    sure: bool = True  # whether `record` is certainly the last one that this front accepted
+    whole: bool = True  # whether `promises` is complete: nothing else may have been promised
     promises: tuple[StoredPermit, ...] = ()
-    off: tuple[tuple[PlaceKind, int], ...] = ()  # places that are written off
+    off: tuple[tuple[PlaceKind, int], ...] = ()  # places that an operator has written off
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,13 +123,13 @@
     front_count: int
     front_index: int
     heartbeat_us: int = 250_000
-    permit_window_us: int = 2_000_000  # from a request, until when its permit may be counted and begun
-    front_timeout_us: int = 2_000_000  # a front without a heartbeat for so long is unavailable
-    server_timeout_us: int = 5_000_000  # a server without an observation for so long is unavailable
-    drain_visible_us: int = 5_000_000  # until when all fronts see that a server drains
+    permit_window_us: int = 2_000_000  # after its request a permit can be granted and used for this long
+    front_timeout_us: int = 2_000_000  # a front without a heartbeat for this long is unavailable
+    server_timeout_us: int = 5_000_000  # a server without an observation for this long is unavailable
+    drain_visible_us: int = 5_000_000  # until all fronts have observed that a server drains
 
     def permit_settings(self, kind: PlaceKind, limits: FleetLimits) -> PermitSettings:
-        """The settings of permits for one kind of place."""
+        """Return the permit settings for one kind of place."""
         if kind is PlaceKind.FRONT:
             limit, health_timeout_us, drain_visible_us = limits.fronts, self.front_timeout_us, 0
         else:
