--- a/benchmarks/release_world.py
+++ b/benchmarks/release_world.py
@@ -1,7 +1,7 @@
-"""A few fronts that agree on who is out, what is on its way between them, and what must not be.
+"""A model of a small fleet that coordinates drains and rollouts, with the invariants that must hold.
 
-The objects are those of the package `releases`; processes, boxes, folders and clocks are played here. Who
-looks for a world in which something is found is `release_worlds` and `tests/test_releases.py`.
+The coordinators are those of the package `rollouts`; processes, servers, stores, clocks and the network are
+simulated. The state search and the random walks are in `release_worlds`; `tests/test_releases.py` runs them.
 """
 
 from __future__ import annotations
@@ -35,383 +35,458 @@
     ServingState,
 )
 
-BEAT_US = 250_000
-WINDOW_US = 1_000_000
-SHOW_US = 2_000_000
-SILENT_US = 1_000_000
+HEARTBEAT_US = 250_000
+PERMIT_WINDOW_US = 1_000_000
+DRAIN_VISIBLE_US = 2_000_000
+FRONT_TIMEOUT_US = 1_000_000
 LIMITS = FleetLimits(
     DisruptionLimit(total=2, per_zone=2, capacity_margin=0.0),
     DisruptionLimit(total=2, per_zone=2, per_title=1, capacity_margin=0.0),
 )
 PLAN = Plan(wanted=2, before=1, canary=1, wave=2, soak_ms=1_000, out_ms=8_000)
-BOXES = {cell: Location(cell % 2, titles=frozenset({cell // 2, 9})) for cell in range(4)}
+SERVERS = {cell: Location(cell % 2, titles=frozenset({cell // 2, 9})) for cell in range(4)}
 
 
 @dataclass
-class Box:
-    """A box as it is: from when it is told to drain it is seen to, by each front after a while of its own."""
-
-    told_us: int | None = None
-    back_us: int = 0
-    taken_by: int = -1  # whose permit it is out by; -1: nobody's
-
-    def serves(self, at_us: int, after_us: int) -> bool:
-        """Whether it is seen to serve by one that hears of a drain so late."""
-        return self.told_us is None or at_us < self.told_us + after_us or at_us >= self.back_us
+class SimulatedServer:
+    """The true state of a server. Each front observes a drain with a delay of its own."""
+
+    drain_began_us: int | None = None
+    serving_from_us: int = 0
+    drained_by: int = -1  # index of the front whose permit drained it; -1 for none
+
+    def is_observed_serving(self, at_us: int, observation_delay_us: int) -> bool:
+        """Return whether a front with this observation delay sees the server as serving."""
+        return (
+            self.drain_began_us is None
+            or at_us < self.drain_began_us + observation_delay_us
+            or at_us >= self.serving_from_us
+        )
 
 
 @dataclass
-class Front:
-    """A front as it is, whatever it believes."""
+class SimulatedFront:
+    """The true state of a front, apart from what its coordinator knows."""
 
     index: int
-    agreed: RolloutAgreement | None = None
+    coordinator: RolloutAgreement | None = None
     version: int = 1
     next_version: int = 1
-    stands: ServingState = ServingState.SERVING
+    serving_state: ServingState = ServingState.SERVING
     paused: bool = False
-    by_permit: bool = False  # it is out by a permit, until it serves again
-    ends_us: int = 0  # when what it is doing is over
-    life: int = 0
-    folder: bool = True
-    memory: PersistedState | None = None
+    is_out_by_permit: bool = False  # drained by a permit and not serving again yet
+    next_change_us: int = 0  # when its current serving state ends
+    incarnation: int = 0
+    has_store: bool = True
+    persisted: PersistedState | None = None
     offset_us: int = 0
-    pace: float = 1.0
-    off: bool = False
-    todo: list[Action] = field(default_factory=list)  # what it was told to do and has not got to
+    clock_rate: float = 1.0
+    is_written_off: bool = False
+    pending: list[Action] = field(default_factory=list)  # actions that it has not carried out yet
 
-    def clock(self, now_us: int) -> int:
-        """Its own time."""
-        return self.offset_us + round(now_us * self.pace)
+    def local_time_us(self, now_us: int) -> int:
+        """Return the time of this front's own clock."""
+        return self.offset_us + round(now_us * self.clock_rate)
 
 
 @dataclass
-class World:
-    """Fronts, what is on its way between them, and what must not be."""
+class FleetModel:
+    """Fronts, the messages in flight between them, and the violations of invariants."""
 
     size: int
     seed: int = 0
     now_us: int = 0
     limits: FleetLimits = LIMITS
-    halls: int = 1
-    fronts: list[Front] = field(default_factory=list)
-    boxes: dict[int, Box] = field(default_factory=dict)
-    air: list[tuple[int, int, int, RolloutMessage]] = field(default_factory=list)  # when, from, to
-    records: dict[tuple[int, int], RolloutRecord] = field(default_factory=dict)  # all that were ever told
-    agreed: list[tuple[int, RolloutRecord]] = field(default_factory=list)  # those a majority took, and when
-    wished: set[tuple[int, CommandKind]] = field(default_factory=set)  # fences of commands that were given
-    led: dict[int, tuple[int, int]] = field(default_factory=dict)  # front and life of each term
-    begun: set[tuple[int, int, int, int]] = field(default_factory=set)
-    found: list[str] = field(default_factory=list)
-    most_out: int = 0
-    granted: int = 0
-    moved: int = 0
-    slow: bool = False  # fronts get to what they are to do when a walk lets them
-    agreed_stamps: set[tuple[int, int]] = field(default_factory=set)
-    hang: bool = False  # restarts don't come back
-    refuse: bool = False  # a new version is refused, and the old one comes back
+    zones: int = 1
+    fronts: list[SimulatedFront] = field(default_factory=list)
+    servers: dict[int, SimulatedServer] = field(default_factory=dict)
+    # Arrival time, sender, receiver.
+    in_flight: list[tuple[int, int, int, RolloutMessage]] = field(default_factory=list)
+    # All records that were ever accepted.
+    records_by_revision: dict[tuple[int, int], RolloutRecord] = field(default_factory=dict)
+    # Accepted by a majority, with the time.
+    agreed_records: list[tuple[int, RolloutRecord]] = field(default_factory=list)
+    # Fence and kind of each command that was given.
+    commands: set[tuple[int, CommandKind]] = field(default_factory=set)
+    leaders_by_term: dict[int, tuple[int, int]] = field(default_factory=dict)  # front and incarnation
+    begun_permits: set[tuple[int, int, int, int]] = field(default_factory=set)
+    violations: list[str] = field(default_factory=list)
+    max_disrupted: int = 0
+    drain_count: int = 0
+    active_record_count: int = 0
+    delays_actions: bool = False  # whether fronts carry out actions only when a random walk lets them
+    agreed_revisions: set[tuple[int, int]] = field(default_factory=set)
+    restarts_hang: bool = False  # drained fronts do not start again
+    rejects_new_version: bool = False  # fronts restart with their old version
 
     def start(self, drift: bool = False) -> None:
-        """All begin at once, their folders empty and whole."""
-        chance = Random(self.seed)
+        """Start all fronts with an empty persisted state; `drift` randomizes their clocks and stores."""
+        rng = Random(self.seed)
         for index in range(self.size):
-            front = Front(index)
+            front = SimulatedFront(index)
             if drift:
-                front.offset_us = chance.randrange(3_600_000_000)
-                front.pace = 1 + chance.uniform(-0.02, 0.02)
-                front.folder = chance.random() < 0.7
-            front.memory = PersistedState()
+                front.offset_us = rng.randrange(3_600_000_000)
+                front.clock_rate = 1 + rng.uniform(-0.02, 0.02)
+                front.has_store = rng.random() < 0.7
+            front.persisted = PersistedState()
             self.fronts.append(front)
-            self.born(front)
-        self.boxes = {cell: Box() for cell in BOXES}
-
-    def born(self, front: Front) -> None:
-        """Its process begins."""
-        front.life += 1
-        terms = RolloutSettings(self.size, front.index, BEAT_US, WINDOW_US, SILENT_US, 8 * BEAT_US, SHOW_US)
-        places = tuple(Location(index % self.halls) for index in range(self.size))
-        now_us = front.clock(self.now_us)
-        front.agreed = RolloutAgreement(terms, self.limits, places, front.life, now_us, front.memory)
-        front.agreed.update_servers(BOXES, now_us)
+            self.start_front(front)
+        self.servers = {cell: SimulatedServer() for cell in SERVERS}
+
+    def start_front(self, front: SimulatedFront) -> None:
+        """Start the front's process with a new incarnation."""
+        front.incarnation += 1
+        settings = RolloutSettings(
+            self.size,
+            front.index,
+            HEARTBEAT_US,
+            PERMIT_WINDOW_US,
+            FRONT_TIMEOUT_US,
+            8 * HEARTBEAT_US,
+            DRAIN_VISIBLE_US,
+        )
+        locations = tuple(Location(index % self.zones) for index in range(self.size))
+        now_us = front.local_time_us(self.now_us)
+        front.coordinator = RolloutAgreement(
+            settings, self.limits, locations, front.incarnation, now_us, front.persisted
+        )
+        front.coordinator.update_servers(SERVERS, now_us)
         front.paused = False
 
-    def crash(self, front: Front) -> None:
-        """Its process ends; without a folder so does what it knew."""
-        front.agreed = None
-        front.todo.clear()
-        front.stands = ServingState.STARTING
-        if not front.folder:
-            front.memory = None
+    def crash(self, front: SimulatedFront) -> None:
+        """End the front's process; without a store its persisted state is lost too."""
+        front.coordinator = None
+        front.pending.clear()
+        front.serving_state = ServingState.STARTING
+        if not front.has_store:
+            front.persisted = None
 
-    # One beat.
+    # One heartbeat interval.
 
     def call(
-        self, front: Front, what: Callable[[RolloutAgreement, int], list[tuple[int, RolloutMessage]]]
+        self,
+        front: SimulatedFront,
+        function: Callable[[RolloutAgreement, int], list[tuple[int, RolloutMessage]]],
     ) -> list[tuple[int, RolloutMessage]]:
-        """A call of a front's, and all that follows of it."""
-        agreed, now_us = front.agreed, front.clock(self.now_us)
-        assert agreed is not None
-        post = what(agreed, now_us)
-        kept = agreed.state_to_persist()
-        if kept is not None:
-            front.memory = kept
-        front.todo += agreed.take_actions()
-        if not self.slow:
-            self.do(front)
-        self.look(front)
-        return post
-
-    def do(self, front: Front) -> None:
-        """It gets to what it was told to do."""
-        agreed, now_us = front.agreed, front.clock(self.now_us)
-        todo, front.todo = front.todo, []
-        if agreed is None:
+        """Call a front's coordinator, persist its state, carry out its actions and check its record."""
+        coordinator, now_us = front.coordinator, front.local_time_us(self.now_us)
+        assert coordinator is not None
+        outbox = function(coordinator, now_us)
+        state = coordinator.state_to_persist()
+        if state is not None:
+            front.persisted = state
+        front.pending += coordinator.take_actions()
+        if not self.delays_actions:
+            self.carry_out_actions(front)
+        self.check_record(front)
+        return outbox
+
+    def carry_out_actions(self, front: SimulatedFront) -> None:
+        """Carry out the pending actions of a front."""
+        coordinator, now_us = front.coordinator, front.local_time_us(self.now_us)
+        pending, front.pending = front.pending, []
+        if coordinator is None:
             return
-        for act in todo:
-            if act.action_kind is ActionKind.DRAIN_FRONT and agreed.begin(act.kind, act.place, now_us):
-                self.leave(front, act.version)
-            elif act.action_kind is ActionKind.DRAIN_SERVER and agreed.begin(act.kind, act.place, now_us):
-                self.take_box(front, act.place)
-
-    def leave(self, front: Front, version: int) -> None:
-        """It goes out."""
+        for action in pending:
+            if action.action_kind is ActionKind.DRAIN_FRONT and coordinator.begin(
+                action.kind, action.place, now_us
+            ):
+                self.drain_front(front, action.version)
+            elif action.action_kind is ActionKind.DRAIN_SERVER and coordinator.begin(
+                action.kind, action.place, now_us
+            ):
+                self.drain_server(front, action.place)
+
+    def drain_front(self, front: SimulatedFront, version: int) -> None:
+        """Begin the drain of a front."""
         front.next_version = version or front.version
-        if front.stands is not ServingState.SERVING:
-            front.ends_us = min(front.ends_us, self.now_us + BEAT_US)
+        if front.serving_state is not ServingState.SERVING:
+            front.next_change_us = min(front.next_change_us, self.now_us + HEARTBEAT_US)
             return
-        assert front.agreed is not None
-        asked = front.agreed.requesters[PlaceKind.FRONT].requests[front.index]
-        key = (0, front.index, front.life, asked.number)
-        if key in self.begun:
-            self.found.append(f"permit {key} twice")
-        self.begun.add(key)
-        self.granted += 1
-        self.check_halt(asked.revision)
-        front.stands, front.by_permit = ServingState.DRAINING, True
-        front.ends_us = self.now_us + 2 * BEAT_US
-        self.count()
-
-    def take_box(self, front: Front, cell: int) -> None:
-        """The list is told to drain it."""
-        box = self.boxes[cell]
-        if box.told_us is None or self.now_us >= box.back_us:
-            box.told_us, box.back_us = self.now_us, self.now_us + SHOW_US + 6 * BEAT_US
-            box.taken_by = front.index
-            self.granted += 1
-            self.count()
-
-    def count(self) -> None:
-        """Never more out by permits than allowed, in all and in a hall and among holders."""
-        out = [front for front in self.fronts if front.by_permit and not front.off]
-        halls = Counter(front.index % self.halls for front in out)
-        self.most_out = max(self.most_out, len(out))
+        assert front.coordinator is not None
+        request = front.coordinator.requesters[PlaceKind.FRONT].requests[front.index]
+        key = (0, front.index, front.incarnation, request.number)
+        if key in self.begun_permits:
+            self.violations.append(f"permit {key} begun twice")
+        self.begun_permits.add(key)
+        self.drain_count += 1
+        self.check_halt(request.revision)
+        front.serving_state, front.is_out_by_permit = ServingState.DRAINING, True
+        front.next_change_us = self.now_us + 2 * HEARTBEAT_US
+        self.check_limits()
+
+    def drain_server(self, front: SimulatedFront, cell: int) -> None:
+        """Begin the drain of a server."""
+        server = self.servers[cell]
+        if server.drain_began_us is None or self.now_us >= server.serving_from_us:
+            server.drain_began_us, server.serving_from_us = (
+                self.now_us,
+                self.now_us + DRAIN_VISIBLE_US + 6 * HEARTBEAT_US,
+            )
+            server.drained_by = front.index
+            self.drain_count += 1
+            self.check_limits()
+
+    def check_limits(self) -> None:
+        """Check that the permitted drains are within the limits: in total, per zone and per title."""
+        disrupted = [front for front in self.fronts if front.is_out_by_permit and not front.is_written_off]
+        zones = Counter(front.index % self.zones for front in disrupted)
+        self.max_disrupted = max(self.max_disrupted, len(disrupted))
         if (
-            len(out) > self.limits.fronts.total
-            or max(halls.values(), default=0) > self.limits.fronts.per_zone
+            len(disrupted) > self.limits.fronts.total
+            or max(zones.values(), default=0) > self.limits.fronts.per_zone
         ):
-            self.found.append(f"{len(out)} fronts out by permits")
-        cells = [c for c, b in self.boxes.items() if b.told_us is not None and self.now_us < b.back_us]
-        titles = Counter(title for cell in cells for title in BOXES[cell].titles if title != 9)
+            self.violations.append(f"limit exceeded: {len(disrupted)} fronts drained by permits")
+        cells = [
+            c
+            for c, s in self.servers.items()
+            if s.drain_began_us is not None and self.now_us < s.serving_from_us
+        ]
+        titles = Counter(title for cell in cells for title in SERVERS[cell].titles if title != 9)
         if len(cells) > self.limits.servers.total or max(titles.values(), default=0) > 1:
-            self.found.append(f"{len(cells)} boxes out by permits")
-
-    def check_halt(self, stamp: tuple[int, int]) -> None:
-        """What was asked under a state before a halt is counted no more a window after that."""
-        for at_us, record in self.agreed:
-            late = self.now_us > at_us + 1.06 * WINDOW_US + BEAT_US
-            if stamp != (0, 0) and stamp < record.revision and record.phase is RolloutPhase.HALTED and late:
-                self.found.append(f"{stamp} begun after {record.revision} was halted")
-
-    def look(self, front: Front) -> None:
-        """Records: none twice under one stamp, none moved but by a command."""
-        agreed = front.agreed
-        assert agreed is not None
-        record = agreed.acceptor.record
-        known = self.records.setdefault(record.revision, record)
+            self.violations.append(f"limit exceeded: {len(cells)} servers drained by permits")
+
+    def check_halt(self, revision: tuple[int, int]) -> None:
+        """Check that no permit requested before a halt is begun more than a permit window after it."""
+        for at_us, record in self.agreed_records:
+            late = self.now_us > at_us + 1.06 * PERMIT_WINDOW_US + HEARTBEAT_US
+            if (
+                revision != (0, 0)
+                and revision < record.revision
+                and record.phase is RolloutPhase.HALTED
+                and late
+            ):
+                self.violations.append(
+                    f"drain ordered by {revision} begun after the halt in {record.revision}"
+                )
+
+    def check_record(self, front: SimulatedFront) -> None:
+        """Check that records have unique revisions and terms one leader each; check new agreed records."""
+        coordinator = front.coordinator
+        assert coordinator is not None
+        record = coordinator.acceptor.record
+        known = self.records_by_revision.setdefault(record.revision, record)
         if known != record and record.reason.name != "FORGOTTEN":
-            self.found.append(f"two records of {record.revision}")
-        if agreed.election.role is Role.LEADER:
-            term = agreed.election.term
-            if self.led.setdefault(term, (front.index, front.life)) != (front.index, front.life):
-                self.found.append(f"term {term} led twice")
-            written = agreed.election.proposal
-            if written.revision not in self.agreed_stamps:
-                self.agreed_stamps.add(written.revision)
-                self.agree(written)
-
-    def agree(self, record: RolloutRecord) -> None:
-        """A majority has taken it."""
-        before = max((r for _, r in self.agreed), key=lambda r: r.revision, default=RolloutRecord())
-        self.agreed.append((self.now_us, record))
+            self.violations.append(f"two records with revision {record.revision}")
+        if coordinator.election.role is Role.LEADER:
+            term = coordinator.election.term
+            if self.leaders_by_term.setdefault(term, (front.index, front.incarnation)) != (
+                front.index,
+                front.incarnation,
+            ):
+                self.violations.append(f"two leaders in term {term}")
+            proposal = coordinator.election.proposal
+            if proposal.revision not in self.agreed_revisions:
+                self.agreed_revisions.add(proposal.revision)
+                self.on_record_agreed(proposal)
+
+    def on_record_agreed(self, record: RolloutRecord) -> None:
+        """Check a record that a majority accepted: only a command may reactivate a halted plan."""
+        before = max((r for _, r in self.agreed_records), key=lambda r: r.revision, default=RolloutRecord())
+        self.agreed_records.append((self.now_us, record))
         moving = record.phase in ACTIVE_PHASES
         if record.revision < before.revision and moving:
-            self.found.append(f"{record.revision} agreed after {before.revision}")
+            self.violations.append(f"{record.revision} agreed after {before.revision}")
         if before.phase is RolloutPhase.HALTED and moving and record.revision > before.revision:
             moves = {CommandKind.RESUME, CommandKind.ROLL_BACK, CommandKind.START, CommandKind.CHANGE}
-            fences = {fence for fence, wish in self.wished if wish in moves}
+            fences = {fence for fence, command_kind in self.commands if command_kind in moves}
             if record.fence <= before.fence or record.fence - 1 not in fences:
-                self.found.append(f"{before.revision} was halted and moved as {record.revision}")
-        self.moved += moving
-
-    def remembered(self, stamp: tuple[int, int]) -> bool:
-        """Whether anybody, or a folder, knows of a record as new."""
-        known = [front.memory.record.revision for front in self.fronts if front.memory is not None]
-        known += [front.agreed.record().revision for front in self.fronts if front.agreed is not None]
-        return max(known, default=(0, 0)) >= stamp
-
-    def act(self, front: Front) -> None:
-        """What its process does by itself."""
-        if front.ends_us > self.now_us:
+                self.violations.append(
+                    f"plan halted in {before.revision} is active in {record.revision} without a command"
+                )
+        self.active_record_count += moving
+
+    def is_revision_known(self, revision: tuple[int, int]) -> bool:
+        """Return whether any front or store has a record that is at least as new."""
+        known = [front.persisted.record.revision for front in self.fronts if front.persisted is not None]
+        known += [
+            front.coordinator.record().revision for front in self.fronts if front.coordinator is not None
+        ]
+        return max(known, default=(0, 0)) >= revision
+
+    def advance_process(self, front: SimulatedFront) -> None:
+        """Advance the front's process to its next serving state when that is due."""
+        if front.next_change_us > self.now_us:
             return
-        if front.agreed is not None and front.stands is ServingState.DRAINING:
+        if front.coordinator is not None and front.serving_state is ServingState.DRAINING:
             self.crash(front)
-            front.stands, front.ends_us = ServingState.STARTING, self.now_us + 4 * BEAT_US
+            front.serving_state, front.next_change_us = ServingState.STARTING, self.now_us + 4 * HEARTBEAT_US
         elif (
-            front.agreed is None
-            and front.stands is ServingState.STARTING
-            and not (self.hang and front.by_permit)
+            front.coordinator is None
+            and front.serving_state is ServingState.STARTING
+            and not (self.restarts_hang and front.is_out_by_permit)
         ):
-            front.version = front.version if self.refuse else front.next_version
+            front.version = front.version if self.rejects_new_version else front.next_version
             front.next_version = front.version
-            self.born(front)
-            front.ends_us = self.now_us + 2 * BEAT_US
-        elif front.agreed is not None and front.stands is ServingState.STARTING:
-            front.stands, front.by_permit, front.off = ServingState.SERVING, False, False
-
-    def beat(
+            self.start_front(front)
+            front.next_change_us = self.now_us + 2 * HEARTBEAT_US
+        elif front.coordinator is not None and front.serving_state is ServingState.STARTING:
+            front.serving_state, front.is_out_by_permit, front.is_written_off = (
+                ServingState.SERVING,
+                False,
+                False,
+            )
+
+    def step(
         self,
-        draw: float = 0.0,
-        apart: frozenset[int] = frozenset(),
-        delays: Callable[[int, int], list[int]] = lambda sender, taker: [0],
+        jitter: float = 0.0,
+        partition: frozenset[int] = frozenset(),
+        delays: Callable[[int, int], list[int]] = lambda sender, receiver: [0],
     ) -> None:
-        """One beat of all that run, and all that comes of it at once. `delays`: of each copy of a message."""
-        self.now_us += BEAT_US
-        if self.agreed and not self.remembered(max(record.revision for _, record in self.agreed)):
-            # All that knew have lost their folders: there is nothing left to hold on to.
-            self.agreed.clear()
-            self.led.clear()
-            self.records.clear()
-        todo: list[tuple[int, list[tuple[int, RolloutMessage]]]] = []
+        """Advance all fronts by one heartbeat interval and deliver the messages that are due.
+
+        `delays` returns the delay of each copy of a message from a sender to a receiver.
+        """
+        self.now_us += HEARTBEAT_US
+        if self.agreed_records and not self.is_revision_known(
+            max(record.revision for _, record in self.agreed_records)
+        ):
+            # All fronts that knew the record lost their state, so earlier agreements bind no one any more.
+            self.agreed_records.clear()
+            self.leaders_by_term.clear()
+            self.records_by_revision.clear()
+        pending: list[tuple[int, list[tuple[int, RolloutMessage]]]] = []
         for front in self.fronts:
-            self.act(front)
-            if front.agreed is not None and not front.paused:
-                self.sights(front)
-                mine = FrontStatus(front.stands, front.version, serving_for_s=self.now_us // 1_000_000)
-                todo.append((front.index, self.call(front, lambda a, t, m=mine: a.tick(m, t, draw))))
-        due = [item for item in self.air if item[0] <= self.now_us]
-        self.air = [item for item in self.air if item[0] > self.now_us]
-        for _, sender, to, said in due:
-            todo.append((to, self.hear(sender, to, said)))
-        for _ in range(12):  # what is answered at once is heard in the same beat, to a bound
+            self.advance_process(front)
+            if front.coordinator is not None and not front.paused:
+                self.observe_servers(front)
+                status = FrontStatus(
+                    front.serving_state, front.version, serving_for_s=self.now_us // 1_000_000
+                )
+                pending.append((front.index, self.call(front, lambda a, t, m=status: a.tick(m, t, jitter))))
+        due = [item for item in self.in_flight if item[0] <= self.now_us]
+        self.in_flight = [item for item in self.in_flight if item[0] > self.now_us]
+        for _, sender, receiver, message in due:
+            pending.append((receiver, self.deliver(sender, receiver, message)))
+        for _ in range(12):  # replies are delivered in the same interval, up to a bound
             following = []
-            for sender, post in todo:
-                for to, said in post:
-                    if (sender in apart) != (to in apart):
+            for sender, outbox in pending:
+                for receiver, message in outbox:
+                    if (sender in partition) != (receiver in partition):
                         continue
-                    for delay_us in delays(sender, to):
+                    for delay_us in delays(sender, receiver):
                         if delay_us:
-                            self.air.append((self.now_us + delay_us, sender, to, said))
+                            self.in_flight.append((self.now_us + delay_us, sender, receiver, message))
                         else:
-                            following.append((to, self.hear(sender, to, said)))
-            todo = following
-        self.count()
-
-    def hear(self, sender: int, to: int, said: RolloutMessage) -> list[tuple[int, RolloutMessage]]:
-        """A message comes, where somebody is there."""
-        front = self.fronts[to]
-        if front.agreed is None or front.paused:
-            return []
-        return self.call(front, lambda agreed, now_us: agreed.on_message(sender, said, now_us))
+                            following.append((receiver, self.deliver(sender, receiver, message)))
+            pending = following
+        self.check_limits()
 
-    def sights(self, front: Front) -> None:
-        """It looks at all boxes; a drain is seen after a while that differs by front, within `SHOW_US`."""
-        assert front.agreed is not None
-        after_us = (front.index + 1) * SHOW_US // (self.size + 1)
-        now_us = front.clock(self.now_us)
-        for cell, box in self.boxes.items():
-            front.agreed.observe_server(cell, box.serves(self.now_us, after_us), now_us, now_us)
+    def deliver(
+        self, sender: int, receiver: int, message: RolloutMessage
+    ) -> list[tuple[int, RolloutMessage]]:
+        """Deliver a message if the receiver is running."""
+        front = self.fronts[receiver]
+        if front.coordinator is None or front.paused:
+            return []
+        return self.call(front, lambda coordinator, now_us: coordinator.on_message(sender, message, now_us))
+
+    def observe_servers(self, front: SimulatedFront) -> None:
+        """Observe all servers; each front sees a drain after its own delay, within `DRAIN_VISIBLE_US`."""
+        assert front.coordinator is not None
+        observation_delay_us = (front.index + 1) * DRAIN_VISIBLE_US // (self.size + 1)
+        now_us = front.local_time_us(self.now_us)
+        for cell, server in self.servers.items():
+            front.coordinator.observe_server(
+                cell, server.is_observed_serving(self.now_us, observation_delay_us), now_us, now_us
+            )
 
     def command(
-        self, front: Front, wish: CommandKind, plan: Plan | None = None, fence: int | None = None
+        self,
+        front: SimulatedFront,
+        command_kind: CommandKind,
+        plan: Plan | None = None,
+        fence: int | None = None,
     ) -> None:
-        """An operator's word, by the fence that this front knows, or an old one."""
-        if front.agreed is None or front.paused:
+        """Issue an operator's command to a front, with the fence that it knows or a given one."""
+        if front.coordinator is None or front.paused:
             return
-        seen = front.agreed.record().fence if fence is None else fence
-        self.wished.add((seen, wish))
-        told = Command(wish, seen, plan)
-        post = self.call(front, lambda agreed, now_us: agreed.command(told, now_us)[2])
-        self.air += [(self.now_us, front.index, to, said) for to, said in post]
-
-    def want(self, front: Front, cell: int | None = None) -> None:
-        """An operator wants a front or a box out."""
-        if front.agreed is None or front.paused:
+        seen = front.coordinator.record().fence if fence is None else fence
+        self.commands.add((seen, command_kind))
+        operator_command = Command(command_kind, seen, plan)
+        outbox = self.call(
+            front, lambda coordinator, now_us: coordinator.command(operator_command, now_us)[2]
+        )
+        self.in_flight += [(self.now_us, front.index, receiver, message) for receiver, message in outbox]
+
+    def request_drain(self, front: SimulatedFront, cell: int | None = None) -> None:
+        """Request the drain of the front itself or of a server, as an operator."""
+        if front.coordinator is None or front.paused:
             return
         if cell is None:
-            self.call(front, lambda agreed, now_us: agreed.request_front_drain(front.version, now_us))
+            self.call(
+                front, lambda coordinator, now_us: coordinator.request_front_drain(front.version, now_us)
+            )
         else:
-            self.call(front, lambda agreed, now_us: agreed.request_server_drain(cell, now_us))
-
-    # Breadth first.
-
-    def next(self) -> Iterator[World]:
-        """Every world that may come next."""
-        cuts: tuple[frozenset[int], ...] = (frozenset(), frozenset({0}), frozenset({1}), frozenset({2}))
-        for before in ("", "dies", "stands", "want 0", "want 1", "want 2"):
-            for apart in cuts:
-                for late_us in (0, 2 * BEAT_US):
-                    after = copy.deepcopy(self)
-                    if not after.prepare(before):
+            self.call(front, lambda coordinator, now_us: coordinator.request_server_drain(cell, now_us))
+
+    # Breadth-first search.
+
+    def successors(self) -> Iterator[FleetModel]:
+        """Yield every possible successor state."""
+        partitions: tuple[frozenset[int], ...] = (frozenset(), frozenset({0}), frozenset({1}), frozenset({2}))
+        for event in ("", "crash", "pause", "drain 0", "drain 1", "drain 2"):
+            for partition in partitions:
+                for delay_us in (0, 2 * HEARTBEAT_US):
+                    successor = copy.deepcopy(self)
+                    if not successor.inject_event(event):
                         continue
-                    after.beat(0.0, apart, lambda sender, taker, us=late_us: [us])
-                    yield after
+                    successor.step(0.0, partition, lambda sender, receiver, delay_us=delay_us: [delay_us])
+                    yield successor
 
-    def prepare(self, what: str) -> bool:
-        """Something happens before a beat; whether it can."""
+    def inject_event(self, event: str) -> bool:
+        """Apply an event before a step: front 0 crashes, front 1 pauses or resumes, or a drain is requested.
+
+        Returns False if the event is not possible.
+        """
         zero, one = self.fronts[0], self.fronts[1]
-        if what == "dies":
-            if zero.agreed is None:
+        if event == "crash":
+            if zero.coordinator is None:
                 return False
             self.crash(zero)
-            zero.ends_us = self.now_us + 2 * BEAT_US
-        elif what == "stands":
-            if one.agreed is None:
+            zero.next_change_us = self.now_us + 2 * HEARTBEAT_US
+        elif event == "pause":
+            if one.coordinator is None:
                 return False
             one.paused = not one.paused
-        elif what:
-            front = self.fronts[int(what[-1])]
-            if front.agreed is None or front.paused or front.agreed.requesters[PlaceKind.FRONT].requests:
+        elif event:
+            front = self.fronts[int(event[-1])]
+            if (
+                front.coordinator is None
+                or front.paused
+                or front.coordinator.requesters[PlaceKind.FRONT].requests
+            ):
                 return False
-            self.want(front)
+            self.request_drain(front)
         return True
 
-    def key(self) -> object:
-        """All of it, with times as they are seen from now."""
-        return tuple(plain(front, front.clock(self.now_us)) for front in self.fronts), plain(
-            self.air, self.now_us
-        )
-
-
-def plain(thing: object, now_us: int) -> object:
-    """A value that is equal for what differs in nothing but the hour."""
-    if isinstance(thing, Enum | str | bool | type(None)):
-        return thing
-    if isinstance(thing, int):
-        # Times lie so far from all numbers here that a value tells what it is.
-        return ("t", max(-8 * BEAT_US, thing - now_us)) if thing > 100_000 else thing
-    if isinstance(thing, float):
-        return thing
-    if isinstance(thing, RolloutAgreement):
-        left = {"handlers", "persisted", "settings", "heartbeats"}
-        return tuple((k, plain(v, now_us)) for k, v in sorted(vars(thing).items()) if k not in left)
-    if isinstance(thing, DisruptionMap):
+    def state_key(self) -> object:
+        """Return a hashable key of the state, with times relative to the present."""
+        return tuple(
+            normalized(front, front.local_time_us(self.now_us)) for front in self.fronts
+        ), normalized(self.in_flight, self.now_us)
+
+
+def normalized(value: object, now_us: int) -> object:
+    """Convert a value so that states which differ only in absolute time compare equal."""
+    if isinstance(value, Enum | str | bool | type(None)):
+        return value
+    if isinstance(value, int):
+        # Times are far larger than all other numbers of the model, so the size shows which value is a time.
+        return ("t", max(-8 * HEARTBEAT_US, value - now_us)) if value > 100_000 else value
+    if isinstance(value, float):
+        return value
+    if isinstance(value, RolloutAgreement):
+        excluded = {"handlers", "persisted", "settings", "heartbeats"}
+        return tuple((k, normalized(v, now_us)) for k, v in sorted(vars(value).items()) if k not in excluded)
+    if isinstance(value, DisruptionMap):
         return None
-    if isinstance(thing, dict):
-        return tuple(sorted(((repr(k), plain(v, now_us)) for k, v in thing.items()), key=repr))
-    if isinstance(thing, set | frozenset):
-        return tuple(sorted(map(repr, thing)))
-    if isinstance(thing, list | tuple):
-        return tuple(plain(one, now_us) for one in thing)
-    if is_dataclass(thing):
-        return tuple(plain(getattr(thing, one.name), now_us) for one in fields(thing))
-    return repr(thing)
+    if isinstance(value, dict):
+        return tuple(sorted(((repr(k), normalized(v, now_us)) for k, v in value.items()), key=repr))
+    if isinstance(value, set | frozenset):
+        return tuple(sorted(map(repr, value)))
+    if isinstance(value, list | tuple):
+        return tuple(normalized(one, now_us) for one in value)
+    if is_dataclass(value):
+        return tuple(normalized(getattr(value, one.name), now_us) for one in fields(value))
+    return repr(value)
--- a/benchmarks/release_worlds.py
+++ b/benchmarks/release_worlds.py
@@ -1,13 +1,16 @@
-"""Small worlds of 3 to 5 fronts that agree on who is out by the package `releases` as it is.
+"""Model check of the package `rollouts` on fleets of 3 to 5 fronts.
 
     python -m benchmarks.release_worlds [--steps 5] [--most 6000] [--walks 300] [--first 0] [--fault NAME]
 
-First a search breadth first over three fronts: a step is a beat under one of four cuts, in time or late,
-before it front 0 dies or begins anew, front 1 stands still or goes on, or one front is wanted out. Then walks
-drawn from seeds: crash, return with and without a folder, pause, partition, loss, late and double messages,
-clocks that are hours apart and differ in pace, operators of plans and of single fronts and boxes, restarts
-that hang and versions that are refused; then all faults end. What must not be is in `World.found`. Prints
-worlds, steps, time and what was found; ends with 1 where something was. `--fault` plants one first.
+First a breadth-first search over the states of three fronts. A step is one heartbeat interval under one of
+four network partitions, with messages in time or late; before it front 0 may crash, front 1 may pause or
+resume, or the drain of one front may be requested. Then random walks, one for each seed: crashes, restarts
+with and without persisted state, pauses, partitions, lost, late and duplicate messages, clocks that differ by
+hours and in rate, operators' commands for plans and for single fronts and servers, restarts that hang and
+versions that are rejected. At the end of a walk all faults end and the plan has to settle. Violations of
+invariants are collected in `FleetModel.violations`. Prints the numbers of states, steps and walks, the time
+and the violations; the exit status is 1 if there are any. `--fault` plants a fault first, `--most` bounds the
+number of states, `--first` is the first seed.
 """
 
 from __future__ import annotations
@@ -39,120 +42,160 @@
 from fennelcove.rollouts.permit_requester import Requester
 from fennelcove.rollouts.record_acceptor import Acceptor
 
-from benchmarks.release_world import BEAT_US, BOXES, LIMITS, PLAN, World
+from benchmarks.release_world import HEARTBEAT_US, LIMITS, PLAN, SERVERS, FleetModel
 
 
-def search(steps: int, most: int, limits: FleetLimits = LIMITS) -> tuple[int, int, list[str]]:
-    """Worlds of three fronts seen, whole steps done, and what was found; ends early with the first find."""
-    world = World(3, now_us=1_000_000, limits=limits)
-    world.start()
+def search_states(steps: int, max_states: int, limits: FleetLimits = LIMITS) -> tuple[int, int, list[str]]:
+    """Search the states of three fronts breadth first, until the first violation.
+
+    Returns the number of distinct states, the number of completed steps, and the violations.
+    """
+    model = FleetModel(3, now_us=1_000_000, limits=limits)
+    model.start()
     for _ in range(12):
-        world.beat()
-    seen, edge = {world.key()}, [world]
-    for done in range(steps):
+        model.step()
+    visited, frontier = {model.state_key()}, [model]
+    for depth in range(steps):
         following = []
-        for at in edge:
-            for after in at.next():
-                if after.found or len(seen) >= most:
-                    return len(seen), done, after.found
-                key = after.key()
-                if key not in seen:
-                    seen.add(key)
-                    following.append(after)
-        edge = following
-    return len(seen), steps, []
+        for current in frontier:
+            for successor in current.successors():
+                if successor.violations or len(visited) >= max_states:
+                    return len(visited), depth, successor.violations
+                key = successor.state_key()
+                if key not in visited:
+                    visited.add(key)
+                    following.append(successor)
+        frontier = following
+    return len(visited), steps, []
 
 
 @dataclass(frozen=True)
-class Mood:
-    """What a random world is like: chances a beat, and of a message."""
-
-    faults: float
-    wants: float  # of an operator's doing
-    lost: float
-    late: float  # by a few beats
-    doubled: float = 0.06
-    by_hand: float = 0.45  # of what operators do, what is of no plan
-
-
-MOODS = (
-    Mood(faults=0.1, wants=0.25, lost=0.02, late=0.05),  # plans get far
-    Mood(faults=0.4, wants=0.25, lost=0.15, late=0.25),
-    Mood(faults=0.25, wants=0.9, lost=0.02, late=0.6, by_hand=0.85),  # all want out, and answers cross
-    Mood(faults=0.25, wants=0.6, lost=0.05, late=0.5, by_hand=0.1),  # many operators of one plan
-    Mood(faults=0.3, wants=0.95, lost=0.4, late=0.3, by_hand=0.95),  # no two know the same
-    Mood(faults=0.5, wants=0.7, lost=0.3, late=0.3, by_hand=0.05),
+class FaultProfile:
+    """Probabilities of a random walk, per heartbeat interval or per message."""
+
+    fault_probability: float  # per interval
+    command_probability: float  # of an operator's command, per interval
+    loss_probability: float  # per message
+    delay_probability: float  # by a few intervals, per copy of a message
+    duplicate_probability: float = 0.06
+    manual_fraction: float = 0.45  # fraction of the commands that belong to no plan
+
+
+FAULT_PROFILES = (
+    # Few faults, so that plans advance far.
+    FaultProfile(
+        fault_probability=0.1, command_probability=0.25, loss_probability=0.02, delay_probability=0.05
+    ),
+    FaultProfile(
+        fault_probability=0.4, command_probability=0.25, loss_probability=0.15, delay_probability=0.25
+    ),
+    # Many concurrent drain requests, replies out of order.
+    FaultProfile(
+        fault_probability=0.25,
+        command_probability=0.9,
+        loss_probability=0.02,
+        delay_probability=0.6,
+        manual_fraction=0.85,
+    ),
+    # Many concurrent commands for one plan.
+    FaultProfile(
+        fault_probability=0.25,
+        command_probability=0.6,
+        loss_probability=0.05,
+        delay_probability=0.5,
+        manual_fraction=0.1,
+    ),
+    # Heavy loss: fronts have different knowledge.
+    FaultProfile(
+        fault_probability=0.3,
+        command_probability=0.95,
+        loss_probability=0.4,
+        delay_probability=0.3,
+        manual_fraction=0.95,
+    ),
+    FaultProfile(
+        fault_probability=0.5,
+        command_probability=0.7,
+        loss_probability=0.3,
+        delay_probability=0.3,
+        manual_fraction=0.05,
+    ),
 )
 
 
-def walk(seed: int, size: int, steps: int = 300) -> World:
-    """One random world: faults for so many beats, then none until the plan rests."""
-    chance = Random(seed)
-    mood = MOODS[seed % len(MOODS)]
-    whole = chance.choice((1, 2))
-    limits = FleetLimits(DisruptionLimit(whole, whole, capacity_margin=0.0), LIMITS.servers)
-    world = World(size, seed, now_us=1_000_000, limits=limits, halls=chance.choice((1, 2)))
-    world.start(drift=True)
-    apart: frozenset[int] = frozenset()
+def random_walk(seed: int, size: int, steps: int = 300) -> FleetModel:
+    """Run one random walk: a number of steps with faults, then steps without until the plan settles."""
+    rng = Random(seed)
+    profile = FAULT_PROFILES[seed % len(FAULT_PROFILES)]
+    total_limit = rng.choice((1, 2))
+    limits = FleetLimits(DisruptionLimit(total_limit, total_limit, capacity_margin=0.0), LIMITS.servers)
+    model = FleetModel(size, seed, now_us=1_000_000, limits=limits, zones=rng.choice((1, 2)))
+    model.start(drift=True)
+    partition: frozenset[int] = frozenset()
     for _ in range(16):
-        world.beat(chance.random())
-    world.slow = mood.late > 0.3
+        model.step(rng.random())
+    model.delays_actions = profile.delay_probability > 0.3
     for _ in range(steps):
-        if chance.random() < mood.faults:
-            apart = fault(world, chance, apart)
-        if chance.random() < mood.wants:
-            operate(world, chance, mood)
-        for front in world.fronts:
-            if not front.paused and chance.random() < 0.35:
-                world.do(front)
-        world.beat(chance.random(), apart, lambda sender, taker: copies(chance, mood))
-        if world.found:
-            return world
-    heal(world, chance)
-    return world
-
-
-def copies(chance: Random, mood: Mood) -> list[int]:
-    """When each copy of a message comes: none, one or two, some a minute late."""
-    if chance.random() < mood.lost:
+        if rng.random() < profile.fault_probability:
+            partition = inject_fault(model, rng, partition)
+        if rng.random() < profile.command_probability:
+            issue_command(model, rng, profile)
+        for front in model.fronts:
+            if not front.paused and rng.random() < 0.35:
+                model.carry_out_actions(front)
+        model.step(rng.random(), partition, lambda sender, receiver: copy_delays_us(rng, profile))
+        if model.violations:
+            return model
+    recover(model, rng)
+    return model
+
+
+def copy_delays_us(rng: Random, profile: FaultProfile) -> list[int]:
+    """Draw the delay of each copy of a message: none, one or two copies, some delayed by a minute."""
+    if rng.random() < profile.loss_probability:
         return []
-    late = chance.choice((1, 1, 2, 2, 3, 4, 9, 240)) if chance.random() < mood.late else 0
-    return [late * BEAT_US, *([chance.randrange(8) * BEAT_US] if chance.random() < mood.doubled else [])]
+    delay_intervals = (
+        rng.choice((1, 1, 2, 2, 3, 4, 9, 240)) if rng.random() < profile.delay_probability else 0
+    )
+    return [
+        delay_intervals * HEARTBEAT_US,
+        *([rng.randrange(8) * HEARTBEAT_US] if rng.random() < profile.duplicate_probability else []),
+    ]
 
 
-def fault(world: World, chance: Random, apart: frozenset[int]) -> frozenset[int]:
-    """One thing goes wrong, or right again; who is cut off from now on."""
-    front = chance.choice(world.fronts)
-    draw = chance.random()
+def inject_fault(model: FleetModel, rng: Random, partition: frozenset[int]) -> frozenset[int]:
+    """Inject or end one fault; return the fronts that are cut off from now on."""
+    front = rng.choice(model.fronts)
+    draw = rng.random()
     if draw < 0.25:
-        some = frozenset(i for i in range(world.size) if chance.random() < 0.4)
-        return some if chance.random() < 0.5 else frozenset()
-    if draw < 0.4 and front.agreed is not None:
-        world.crash(front)
+        cut_off = frozenset(i for i in range(model.size) if rng.random() < 0.4)
+        return cut_off if rng.random() < 0.5 else frozenset()
+    if draw < 0.4 and front.coordinator is not None:
+        model.crash(front)
         front.next_version = front.version
-        front.ends_us = world.now_us + chance.choice((1, 1, 2, 4, 20)) * BEAT_US
+        front.next_change_us = model.now_us + rng.choice((1, 1, 2, 4, 20)) * HEARTBEAT_US
     elif draw < 0.75:
-        front.paused = not front.paused and front.agreed is not None and chance.random() < 0.5
+        front.paused = not front.paused and front.coordinator is not None and rng.random() < 0.5
     elif draw < 0.82:
-        world.hang = not world.hang
+        model.restarts_hang = not model.restarts_hang
     elif draw < 0.87:
-        world.refuse = not world.refuse
-    return apart
-
-
-def operate(world: World, chance: Random, mood: Mood) -> None:
-    """An operator does something, not always wise."""
-    front = chance.choice(world.fronts)
-    draw = chance.random()
-    old = chance.randrange(6) if chance.random() < 0.1 else None
-    if chance.random() < mood.by_hand:
-        for some in chance.sample(world.fronts, chance.choice((1, 1, 2, 3))):
-            world.want(some, chance.choice(list(BOXES)) if draw < 0.5 else None)
+        model.rejects_new_version = not model.rejects_new_version
+    return partition
+
+
+def issue_command(model: FleetModel, rng: Random, profile: FaultProfile) -> None:
+    """Issue a random operator's command, not always a sensible one."""
+    front = rng.choice(model.fronts)
+    draw = rng.random()
+    fence = rng.randrange(6) if rng.random() < 0.1 else None
+    if rng.random() < profile.manual_fraction:
+        for requester in rng.sample(model.fronts, rng.choice((1, 1, 2, 3))):
+            model.request_drain(requester, rng.choice(list(SERVERS)) if draw < 0.5 else None)
     elif draw < 0.5:
-        plan = replace(PLAN, wanted=chance.choice((2, 3)), before=front.version)
-        world.command(front, CommandKind.START, plan, old)
+        plan = replace(PLAN, wanted=rng.choice((2, 3)), before=front.version)
+        model.command(front, CommandKind.START, plan, fence)
     else:
-        wish = chance.choice(
+        command_kind = rng.choice(
             (
                 CommandKind.HALT,
                 CommandKind.RESUME,
@@ -161,46 +204,48 @@
                 CommandKind.CHANGE,
             )
         )
-        another = replace(PLAN, wanted=4, before=front.version)
-        world.command(front, wish, another if wish is CommandKind.CHANGE else None, old)
+        changed_plan = replace(PLAN, wanted=4, before=front.version)
+        model.command(
+            front, command_kind, changed_plan if command_kind is CommandKind.CHANGE else None, fence
+        )
 
 
-def heal(world: World, chance: Random) -> None:
-    """All faults end: every plan is to end, halt or go back."""
-    world.hang = world.refuse = world.slow = False
-    for front in world.fronts:
+def recover(model: FleetModel, rng: Random) -> None:
+    """End all faults; the plan has to complete, halt or be rolled back."""
+    model.restarts_hang = model.rejects_new_version = model.delays_actions = False
+    for front in model.fronts:
         front.paused = False
-        front.ends_us = min(front.ends_us, world.now_us)
-    resting = 0
-    for beat in range(700):
-        if beat % 100 == 99:
-            # So many may have lost their folders that only an operator knows that nobody knows more.
-            for front in world.fronts:
-                if front.agreed is not None:
-                    front.agreed.accept_record_as_complete()
-        world.beat(chance.random())
-        records = [front.agreed.record() for front in world.fronts if front.agreed is not None]
-        rests = all(r == records[0] and r.phase not in ACTIVE_PHASES for r in records)
-        serves = all(front.stands is ServingState.SERVING for front in world.fronts)
-        resting = resting + 1 if rests and serves and len(records) == world.size else 0
-        if resting >= 8 or world.found:
+        front.next_change_us = min(front.next_change_us, model.now_us)
+    settled_steps = 0
+    for step in range(700):
+        if step % 100 == 99:
+            # If too many fronts lost their state, only an operator can declare that no newer record exists.
+            for front in model.fronts:
+                if front.coordinator is not None:
+                    front.coordinator.accept_record_as_complete()
+        model.step(rng.random())
+        records = [front.coordinator.record() for front in model.fronts if front.coordinator is not None]
+        is_settled = all(r == records[0] and r.phase not in ACTIVE_PHASES for r in records)
+        all_serving = all(front.serving_state is ServingState.SERVING for front in model.fronts)
+        settled_steps = settled_steps + 1 if is_settled and all_serving and len(records) == model.size else 0
+        if settled_steps >= 8 or model.violations:
             return
-    told = [
+    front_states = [
         (
             f.index,
-            f.stands.name,
+            f.serving_state.name,
             f.version,
-            f.agreed and (f.agreed.record().phase.name, f.agreed.acceptor.is_record_known),
+            f.coordinator and (f.coordinator.record().phase.name, f.coordinator.acceptor.is_record_known),
         )
-        for f in world.fronts
+        for f in model.fronts
     ]
-    world.found.append(f"the plan does not end: {told}")
+    model.violations.append(f"the plan does not settle: {front_states}")
 
 
-# Faults that are planted to see that they are found.
+# Faults that are planted to verify that the checks detect them.
 
 
-def _forgets(self: Grantor, now_us: int) -> None:
+def _expire_promises_by_time(self: Grantor, now_us: int) -> None:
     self.now_us = max(self.now_us, now_us)
     for place, entry in list(self.entries.items()):
         if (
@@ -210,113 +255,128 @@
             del self.entries[place]
 
 
-def _trusts_itself(self: Grantor) -> None:
+def _skip_recovery(self: Grantor) -> None:
     self.recovering_until_us = self.now_us
     self.has_full_history = True
 
 
-def _open_minded(self: Grantor, asker: int, ask: object, now_us: int) -> PermitVerdict:
-    others = {place for place in self.promised_places() if place != ask.place}  # type: ignore[attr-defined]
-    full = self.disruption_map.exceeded_limit(self.settings.limit, ask.place, others) is not None  # type: ignore[attr-defined]
-    return PermitVerdict.LIMIT_REACHED if full else PermitVerdict.GRANTED
+def _grant_concurrent_requests(self: Grantor, requester: int, request: object, now_us: int) -> PermitVerdict:
+    others = {place for place in self.promised_places() if place != request.place}  # type: ignore[attr-defined]
+    is_exceeded = self.disruption_map.exceeded_limit(self.settings.limit, request.place, others) is not None  # type: ignore[attr-defined]
+    return PermitVerdict.LIMIT_REACHED if is_exceeded else PermitVerdict.GRANTED
 
 
-def _careless(self: Requester, one: object, seen: Grantor, now_us: int) -> bool:
+def _ignore_limits(self: Requester, request: object, grantor: Grantor, now_us: int) -> bool:
     return True
 
 
-def _gullible(self: Acceptor, now_us: int) -> bool:
+def _vote_without_known_record(self: Acceptor, now_us: int) -> bool:
     return True
 
 
-def _takes_anything(self: Acceptor, record: RolloutRecord, now_us: int) -> object:
+def _accept_outdated_record(self: Acceptor, record: RolloutRecord, now_us: int) -> object:
     if record.revision < self.record.revision:
         return None
     self._learn(record)
     return ProposalAck(record.term, record.turn)
 
 
-def _starts_alone(
-    self: leader_election.LeaderElection, sender: int, voice: LeaderVote, now_us: int
+def _lead_without_majority(
+    self: leader_election.LeaderElection, sender: int, vote: LeaderVote, now_us: int
 ) -> RolloutRecord | None:
     if self.role is not Role.CANDIDATE:
         return None
     self._apply(leader_election.ElectionEvent.MAJORITY)
-    best = self.acceptor.record
-    return self._begin_proposal(replace(best, term=self.term, turn=best.turn + 1), now_us)
+    record = self.acceptor.record
+    return self._begin_proposal(replace(record, term=self.term, turn=record.turn + 1), now_us)
 
 
-def _never_stale(self: FrontPermits, sender: int, ask: object, now_us: int) -> object:
-    return self.grantors[ask.kind].on_permit_request(sender, ask, now_us)  # type: ignore[attr-defined, arg-type]
+def _accept_stale_orders(self: FrontPermits, sender: int, request: object, now_us: int) -> object:
+    return self.grantors[request.kind].on_permit_request(sender, request, now_us)  # type: ignore[attr-defined, arg-type]
 
 
-def _restless(self: leader_election.LeaderElection, record: RolloutRecord, now_us: int) -> RolloutRecord:
+def _resume_halted_plan(
+    self: leader_election.LeaderElection, record: RolloutRecord, now_us: int
+) -> RolloutRecord:
     self.round_began_us, self.supporters = now_us, set()
-    again = record.phase is RolloutPhase.HALTED and record.term != self.proposal.term
-    self.proposal = replace(record, phase=RolloutPhase.MOVING) if again else record
+    is_taken_over = record.phase is RolloutPhase.HALTED and record.term != self.proposal.term
+    self.proposal = replace(record, phase=RolloutPhase.MOVING) if is_taken_over else record
     return self.proposal
 
 
-FAULTS: dict[str, tuple[type, str, object]] = {
-    "forgets": (Grantor, "advance", _forgets),  # a permit that runs out frees its place
-    "trusts": (Grantor, "__post_init__", _trusts_itself),  # a new life promises at once
-    "open": (Grantor, "_verdict_on", _open_minded),  # yes to several asks at once
-    "careless": (Requester, "_is_within_limits", _careless),  # what the voices name is not counted
-    "gullible": (Acceptor, "may_vote", _gullible),  # who forgot gives its voice
-    "anything": (Acceptor, "on_proposal", _takes_anything),  # a record of a leader that is over is taken
-    "alone": (leader_election.LeaderElection, "on_vote", _starts_alone),  # a minority leads
-    "stale": (FrontPermits, "_vote_on", _never_stale),  # orders from before a halt are permitted
+PLANTED_FAULTS: dict[str, tuple[type, str, object]] = {
+    "forgets": (Grantor, "advance", _expire_promises_by_time),  # a promise expires by time
+    "trusts": (Grantor, "__post_init__", _skip_recovery),  # a new incarnation promises at once
+    "open": (Grantor, "_verdict_on", _grant_concurrent_requests),  # several unsettled requests are granted
+    "careless": (Requester, "_is_within_limits", _ignore_limits),  # the promised places in votes are ignored
+    "gullible": (Acceptor, "may_vote", _vote_without_known_record),  # a front that lost its state votes
+    # A record of an earlier term is acknowledged.
+    "anything": (
+        Acceptor,
+        "on_proposal",
+        _accept_outdated_record,
+    ),
+    # A front leads without a majority.
+    "alone": (
+        leader_election.LeaderElection,
+        "on_vote",
+        _lead_without_majority,
+    ),
+    "stale": (FrontPermits, "_vote_on", _accept_stale_orders),  # requests ordered before a halt are granted
+    # A new leader resumes a halted plan.
     "restless": (
         leader_election.LeaderElection,
         "_begin_proposal",
-        _restless,
-    ),  # who takes over goes on with a plan that is halted
+        _resume_halted_plan,
+    ),
 }
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
-    """One fault is there while this lasts; none by the name of ''."""
+def planted_fault(name: str) -> Iterator[None]:
+    """Plant a fault for the duration of the context; an empty name plants none."""
     if not name:
         yield
         return
-    kind, attribute, fault_ = FAULTS[name]
-    kept = getattr(kind, attribute)
-    setattr(kind, attribute, fault_)
+    owner, attribute, replacement = PLANTED_FAULTS[name]
+    original = getattr(owner, attribute)
+    setattr(owner, attribute, replacement)
     try:
         yield
     finally:
-        setattr(kind, attribute, kept)
+        setattr(owner, attribute, original)
 
 
 def main() -> None:
-    """The search and the walks, and what they found."""
+    """Run the search and the random walks, and print the results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--steps", type=int, default=5)
     parser.add_argument("--most", type=int, default=6_000)
     parser.add_argument("--walks", type=int, default=300)
     parser.add_argument("--first", type=int, default=0)
-    parser.add_argument("--fault", choices=list(FAULTS), default="")
+    parser.add_argument("--fault", choices=list(PLANTED_FAULTS), default="")
     options = parser.parse_args()
-    with planted(options.fault):
+    with planted_fault(options.fault):
         began = time.monotonic()
-        worlds, steps, found = search(options.steps, options.most)
-        print(
-            f"{worlds} worlds, all of {steps} steps and those begun after, {time.monotonic() - began:.0f} s"
-        )
-        began, walks, granted, moved, most = time.monotonic(), 0, 0, 0, 0
+        state_count, steps, violations = search_states(options.steps, options.most)
+        print(f"{state_count} states, {steps} steps complete, {time.monotonic() - began:.0f} s")
+        began, walk_count, drain_count, active_record_count, max_disrupted = time.monotonic(), 0, 0, 0, 0
         for seed in range(options.first, options.first + options.walks):
-            world, walks = walk(seed, 3 + seed // len(MOODS) % 3), walks + 1
-            granted, moved, most = granted + world.granted, moved + world.moved, max(most, world.most_out)
-            if world.found:
-                found.append(f"seed {seed}: {world.found}")
+            model, walk_count = random_walk(seed, 3 + seed // len(FAULT_PROFILES) % 3), walk_count + 1
+            drain_count, active_record_count, max_disrupted = (
+                drain_count + model.drain_count,
+                active_record_count + model.active_record_count,
+                max(max_disrupted, model.max_disrupted),
+            )
+            if model.violations:
+                violations.append(f"seed {seed}: {model.violations}")
                 if options.fault:
                     break
         print(
-            f"{walks} walks, {granted} begun by permits, {moved} states of plans under "
-            f"way, at most {most} fronts out by permits, {time.monotonic() - began:.0f} s: {found}"
+            f"{walk_count} walks, {drain_count} drains, {active_record_count} records of active plans, "
+            f"at most {max_disrupted} fronts drained at once, {time.monotonic() - began:.0f} s: {violations}"
         )
-    sys.exit(bool(found))
+    sys.exit(bool(violations))
 
 
 if __name__ == "__main__":
