--- a/benchmarks/release_sim.py
+++ b/benchmarks/release_sim.py
@@ -1,19 +1,26 @@
-"""A release of a whole fleet in simulated time: agreed, by hand, and in waves without agreement.
+"""Simulation of a rollout to a whole fleet: coordinated by the fronts, one by one, and in blind waves.
 
     python -m benchmarks.release_sim [--fronts 12,50,200] [--seeds 1,2,3,4,5] [--day plain|bad]
 
-`Voter`, `Asker`, `Lead`, `Judge` and the table of plans are the modules as they are; one round of messages a
-second, of which a twentieth is lost (words come again, asks and votes too). Sockets, doors and the choice of
-a leader are not in it: one that stops serving is followed by the next after 3 s. A front leaves for 30 s and
-restarts for 20 to 60 s, one in a hundred for 20 minutes; each crashes once in five hours on average, for 1
-to 3 minutes; one hall of four is lost for 2 to 5 minutes. All is drawn from the seed, alike for all three.
-The load is 0.8 of what all fronts can serve. `by hand` restarts one front after another with a pause that
-makes the same pace as the agreed waves without faults, `waves` as many at once as the limit says; neither
-looks whether others serve. On the day `bad` the new version serves nine of ten. An operator of the agreed
-release looks once a minute at one that is halted: writes off what is out for five minutes, says on when all
-others are back; on the bad day says back. Prints medians and ranges over the seeds: most fronts out at once
-(by the release alone, without those written off, and by all causes), seconds of the whole fleet's service
-lost until ten minutes after the end of the agreed release, and minutes to the end (360: not within the day).
+`Grantor`, `Requester`, `PlanExecution`, `CanaryAnalysis` and the state machine of plans are the production
+modules. Messages are exchanged in one round per second, and a twentieth of them is lost; heartbeats,
+requests and votes are repeated. Sockets, listeners and leader elections are not simulated: a leader that
+stops serving is replaced after 3 s. A front drains for 30 s and restarts in 20 to 60 s, one in a hundred in
+20 minutes. Each front crashes once in five hours on average, for 1 to 3 minutes. One of four zones fails
+for 2 to 5 minutes. All of this is drawn from the seed, alike for the three methods. The load is 0.8 of the
+capacity of all fronts.
+
+`agreed` is the coordinated rollout. `by hand` restarts one front after another, at an interval that gives
+the same pace as the coordinated waves without faults. `waves` restarts as many fronts at once as the limit
+permits. Neither of these two checks whether other fronts serve. With `--day bad` the new version serves
+nine of ten requests. Once a minute an operator of the coordinated rollout checks whether it is halted,
+writes off fronts that are unavailable for five minutes, and resumes it when all other fronts serve; with
+`--day bad` the operator rolls it back.
+
+Prints medians and ranges over the seeds: the maximum number of fronts that are unavailable at once (drained
+by the rollout, excluding those written off, and for all reasons), the lost service in seconds of the whole
+fleet's service, until ten minutes after the end of the coordinated rollout, and the minutes until the
+rollout is complete (360: not complete within the simulated time).
 """
 
 from __future__ import annotations
@@ -45,389 +52,440 @@
 from fennelcove.rollouts.plan_execution import PlanExecution
 from fennelcove.rollouts.rollout_plan import RolloutEvent
 
-SECOND = 1_000_000
-HALLS = 4
-LOAD = 0.8
-LEAVES_S, SOAK_S, STEP_S = 30, 30, 100
-LOST = 0.05
-MOST_S = 6 * 3600
+US_PER_S = 1_000_000
+ZONE_COUNT = 4
+LOAD_RATIO = 0.8
+DRAIN_S, SOAK_S, STEP_INTERVAL_S = 30, 30, 100
+LOSS_PROBABILITY = 0.05
+MAX_DURATION_S = 6 * 3600
 
 
-class State(Enum):
-    """What a front does."""
+class FrontState(Enum):
+    """The state of a simulated front."""
 
-    SERVES = auto()
-    LEAVES = auto()
-    RESTARTS = auto()
+    SERVING = auto()
+    DRAINING = auto()
+    RESTARTING = auto()
     CRASHED = auto()
 
 
 @dataclass
-class Front:
-    """One front as it is."""
+class SimulatedFront:
+    """The true state of one front."""
 
     index: int
-    state: State = State.SERVES
-    until_s: int = 0
-    since_s: int = 0
+    state: FrontState = FrontState.SERVING
+    until_s: int = 0  # end of the current state
+    since_s: int = 0  # when it last began to serve
     version: int = 1
     next_version: int = 1
-    life: int = 1
+    incarnation: int = 1
 
 
 @dataclass
-class Day:
-    """What happens to a fleet, whoever releases. Drawn for each front and second alike."""
+class Scenario:
+    """A fleet with its crashes, outages and restart times, which are the same for each rollout method."""
 
     size: int
     seed: int
-    bad: bool
+    has_bad_version: bool
     now_s: int = 0
-    fronts: list[Front] = field(default_factory=list)
-    most: int = 0
-    most_released: int = 0
-    lost_s: float = 0.0
+    fronts: list[SimulatedFront] = field(default_factory=list)
+    max_unavailable: int = 0
+    max_drained: int = 0
+    lost_service_s: float = 0.0
     ended_s: int = 0
-    off: set[int] = field(default_factory=set)  # written off
+    written_off: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        chance = Random(self.seed)
-        self.fronts = [Front(i) for i in range(self.size)]
+        rng = Random(self.seed)
+        self.fronts = [SimulatedFront(i) for i in range(self.size)]
         self.limit = max(1, self.size // 20)
-        self.hall_s = chance.randrange(300, 1200)
-        self.hall_for_s = chance.randrange(120, 300)
-        self.crashes: dict[int, list[tuple[int, int]]] = {}
+        self.zone_outage_s = rng.randrange(300, 1200)
+        self.zone_outage_duration_s = rng.randrange(120, 300)
+        self.crashes_by_second: dict[int, list[tuple[int, int]]] = {}
         for i in range(self.size):
-            at_s = 0.0
-            while (at_s := at_s + chance.expovariate(1 / 18_000)) < MOST_S:
-                self.crashes.setdefault(round(at_s), []).append((i, chance.randrange(60, 180)))
-        self.restarts = [
-            1200 if chance.random() < 0.01 else chance.randrange(20, 60) for _ in range(self.size)
+            crash_s = 0.0
+            while (crash_s := crash_s + rng.expovariate(1 / 18_000)) < MAX_DURATION_S:
+                self.crashes_by_second.setdefault(round(crash_s), []).append((i, rng.randrange(60, 180)))
+        self.restart_durations_s = [
+            1200 if rng.random() < 0.01 else rng.randrange(20, 60) for _ in range(self.size)
         ]
 
     def tick(self) -> None:
-        """A second passes."""
+        """Advance the fleet by one second."""
         self.now_s += 1
         for front in self.fronts:
-            if front.state is not State.SERVES and self.now_s >= front.until_s:
-                self.next(front)
-        for index, for_s in self.crashes.get(self.now_s, ()):
-            self.crash(self.fronts[index], for_s)
-        if self.now_s == self.hall_s:
-            for front in self.fronts[::HALLS]:
-                self.crash(front, self.hall_for_s)
-        out = [front for front in self.fronts if front.state is not State.SERVES]
-        self.most = max(self.most, len(out))
-        released = sum(front.state is not State.CRASHED and front.index not in self.off for front in out)
-        self.most_released = max(self.most_released, released)
+            if front.state is not FrontState.SERVING and self.now_s >= front.until_s:
+                self.end_state(front)
+        for index, duration_s in self.crashes_by_second.get(self.now_s, ()):
+            self.crash(self.fronts[index], duration_s)
+        if self.now_s == self.zone_outage_s:
+            for front in self.fronts[::ZONE_COUNT]:
+                self.crash(front, self.zone_outage_duration_s)
+        unavailable_fronts = [front for front in self.fronts if front.state is not FrontState.SERVING]
+        self.max_unavailable = max(self.max_unavailable, len(unavailable_fronts))
+        drained_count = sum(
+            front.state is not FrontState.CRASHED and front.index not in self.written_off
+            for front in unavailable_fronts
+        )
+        self.max_drained = max(self.max_drained, drained_count)
         serving = sum(
-            0.9 if self.bad and front.version == 2 else 1.0
+            0.9 if self.has_bad_version and front.version == 2 else 1.0
             for front in self.fronts
-            if front.state is State.SERVES
+            if front.state is FrontState.SERVING
         )
-        living = self.size - len(out)
-        good = serving / living if living else 0.0
-        self.lost_s += 1 - good * min(1.0, living / (LOAD * self.size))
-
-    def next(self, front: Front) -> None:
-        """What it did is over."""
-        if front.state is State.LEAVES:
-            front.state, front.until_s = State.RESTARTS, self.now_s + self.restarts[front.index]
+        available_count = self.size - len(unavailable_fronts)
+        success_ratio = serving / available_count if available_count else 0.0
+        self.lost_service_s += 1 - success_ratio * min(1.0, available_count / (LOAD_RATIO * self.size))
+
+    def end_state(self, front: SimulatedFront) -> None:
+        """End the front's current state and enter the next one."""
+        if front.state is FrontState.DRAINING:
+            front.state, front.until_s = (
+                FrontState.RESTARTING,
+                self.now_s + self.restart_durations_s[front.index],
+            )
         else:
             front.version = front.next_version
-            front.state, front.since_s, front.life = State.SERVES, self.now_s, front.life + 1
+            front.state, front.since_s, front.incarnation = (
+                FrontState.SERVING,
+                self.now_s,
+                front.incarnation + 1,
+            )
 
-    def crash(self, front: Front, for_s: int) -> None:
-        """It ends, and comes back as it was meant to."""
-        if front.state in (State.SERVES, State.LEAVES):
-            front.state, front.until_s = State.CRASHED, self.now_s + for_s
+    def crash(self, front: SimulatedFront, duration_s: int) -> None:
+        """Crash a front; it restarts with its next version after a time."""
+        if front.state in (FrontState.SERVING, FrontState.DRAINING):
+            front.state, front.until_s = FrontState.CRASHED, self.now_s + duration_s
 
-    def take(self, front: Front, version: int) -> None:
-        """It goes out to come back with a version."""
-        if front.state is State.SERVES:
-            front.state, front.until_s = State.LEAVES, self.now_s + LEAVES_S
+    def drain(self, front: SimulatedFront, version: int) -> None:
+        """Drain a front, to restart it with a version."""
+        if front.state is FrontState.SERVING:
+            front.state, front.until_s = FrontState.DRAINING, self.now_s + DRAIN_S
             front.next_version = version
 
     @property
-    def changed(self) -> bool:
-        """Whether all serve with the new version."""
-        return all(front.version == 2 and front.state is State.SERVES for front in self.fronts)
+    def is_complete(self) -> bool:
+        """Whether all fronts serve with the new version."""
+        return all(front.version == 2 and front.state is FrontState.SERVING for front in self.fronts)
 
 
-def blind(day: Day, at_once: int, pause_s: float, end_s: int) -> None:
-    """So many at a time, with a pause, whatever the others do; those missed are done again at the end."""
-    left = list(range(day.size))
+def run_uncoordinated(scenario: Scenario, batch_size: int, interval_s: float, end_s: int) -> None:
+    """Restart fronts in batches at an interval, regardless of the others; missed fronts are repeated last."""
+    remaining = list(range(scenario.size))
     next_s = 1.0
-    while day.now_s < MOST_S:
-        if day.now_s >= next_s and left:
-            for index in left[:at_once]:
-                day.take(day.fronts[index], 2)
-            left = left[at_once:]
-            next_s += pause_s
-        if not left and not day.ended_s:
-            left = [f.index for f in day.fronts if f.version != 2 and f.state is State.SERVES]
-            if day.changed:
-                day.ended_s = day.now_s
-        if day.now_s >= end_s:
+    while scenario.now_s < MAX_DURATION_S:
+        if scenario.now_s >= next_s and remaining:
+            for index in remaining[:batch_size]:
+                scenario.drain(scenario.fronts[index], 2)
+            remaining = remaining[batch_size:]
+            next_s += interval_s
+        if not remaining and not scenario.ended_s:
+            remaining = [f.index for f in scenario.fronts if f.version != 2 and f.state is FrontState.SERVING]
+            if scenario.is_complete:
+                scenario.ended_s = scenario.now_s
+        if scenario.now_s >= end_s:
             break
-        day.tick()
+        scenario.tick()
 
 
-class Agreed:
-    """The release by agreement: voters, askers and a leader, on one round of messages a second."""
+class CoordinatedRollout:
+    """The coordinated rollout: grantors, requesters and a leader, with one round of messages per second."""
 
-    def __init__(self, day: Day) -> None:
-        self.day = day
-        size = day.size
-        limit = DisruptionLimit(day.limit, max(1, day.limit // 2), capacity_margin=0.1)
-        places = DisruptionMap({i: Location(i % HALLS, 1.0, LOAD) for i in range(size)})
-        self.halls = {i: i % HALLS for i in range(size)}
-        self.chance = Random(day.seed + 1)
-        rules = [
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario = scenario
+        size = scenario.size
+        limit = DisruptionLimit(scenario.limit, max(1, scenario.limit // 2), capacity_margin=0.1)
+        places = DisruptionMap({i: Location(i % ZONE_COUNT, 1.0, LOAD_RATIO) for i in range(size)})
+        self.zones = {i: i % ZONE_COUNT for i in range(size)}
+        self.rng = Random(scenario.seed + 1)
+        all_settings = [
             PermitSettings(PlaceKind.FRONT, size, i, limit, health_timeout_us=1 << 60) for i in range(size)
         ]
-        self.voters = [Grantor(rule, places, -10 * SECOND, True) for rule in rules]
-        self.askers = [Requester(rule, 1, count(1)) for rule in rules]
-        self.words = {i: Heartbeat(1, 1, version=1) for i in range(size)}
-        self.again: list[tuple[int, int]] = []  # whose word did not come, and to whom
-        self.served = [0.0] * size
-        self.asked = [0.0] * size
-        self.out_us: dict[int, int] = {}
-        self.off = day.off
-        self.last: dict[int, int] = {}  # the number of each one's last ask
-        self.leader, self.gap_s = 0, 0
-        plan = Plan(1, 2, 1, 1, day.limit, SOAK_S * 1000, 180_000, worse=30)
-        first = RolloutRecord(1, 1, RolloutPhase.MOVING, goal=1, plan=plan)
-        self.record = first
-        self.lead = PlanExecution(first, self.halls, 0)
+        self.grantors = [
+            Grantor(front_settings, places, -10 * US_PER_S, True) for front_settings in all_settings
+        ]
+        self.requesters = [Requester(front_settings, 1, count(1)) for front_settings in all_settings]
+        self.heartbeats = {i: Heartbeat(1, 1, version=1) for i in range(size)}
+        self.undelivered: list[tuple[int, int]] = []  # sender and receiver of lost heartbeats
+        self.served_counts = [0.0] * size
+        self.requested_counts = [0.0] * size
+        self.unavailable_since_us: dict[int, int] = {}
+        self.written_off = scenario.written_off
+        self.last_request_numbers: dict[int, int] = {}  # by front
+        self.leader_index, self.leaderless_s = 0, 0
+        plan = Plan(1, 2, 1, 1, scenario.limit, SOAK_S * 1000, 180_000, worse=30)
+        first_record = RolloutRecord(1, 1, RolloutPhase.MOVING, goal=1, plan=plan)
+        self.record = first_record
+        self.execution = PlanExecution(first_record, self.zones, 0)
         self.halted_s = 0
         self.halts = 0
         for i in range(size):
-            self.say(i)
+            self.send_heartbeat(i)
 
     def now_us(self) -> int:
-        return self.day.now_s * SECOND
-
-    def say(self, index: int) -> None:
-        """A front's word, to all; what is lost comes a second later."""
-        front, before = self.day.fronts[index], self.words[index]
-        stands = {State.SERVES: ServingState.SERVING, State.LEAVES: ServingState.DRAINING}.get(
-            front.state, ServingState.STARTING
-        )
-        asker = self.askers[index]
-        number = 1 if front.life > before.incarnation else before.sequence + 1
-        self.words[index] = Heartbeat(
-            front.life,
+        return self.scenario.now_s * US_PER_S
+
+    def send_heartbeat(self, index: int) -> None:
+        """Send a front's heartbeat to all; a lost one is repeated a second later."""
+        front, previous = self.scenario.fronts[index], self.heartbeats[index]
+        serving_state = {
+            FrontState.SERVING: ServingState.SERVING,
+            FrontState.DRAINING: ServingState.DRAINING,
+        }.get(front.state, ServingState.STARTING)
+        requester = self.requesters[index]
+        number = 1 if front.incarnation > previous.incarnation else previous.sequence + 1
+        self.heartbeats[index] = Heartbeat(
+            front.incarnation,
             number,
-            serving_state=stands,
+            serving_state=serving_state,
             version=front.version,
-            serving_for_s=self.day.now_s - front.since_s,
-            last_request_number=self.numbers(asker),
-            open_requests=tuple(asker.open_requests()),
+            serving_for_s=self.scenario.now_s - front.since_s,
+            last_request_number=self.last_request_number(requester),
+            open_requests=tuple(requester.open_requests()),
         )
-        for taker in range(self.day.size):
-            self.pass_on(index, taker)
+        for receiver in range(self.scenario.size):
+            self.deliver_heartbeat(index, receiver)
 
-    def numbers(self, asker: Requester) -> int:
+    def last_request_number(self, requester: Requester) -> int:
         return max(
-            (one.number for one in asker.requests.values()),
-            default=self.last.get(asker.settings.front_index, 0),
+            (one.number for one in requester.requests.values()),
+            default=self.last_request_numbers.get(requester.settings.front_index, 0),
         )
 
-    def pass_on(self, index: int, taker: int) -> None:
-        if taker != index and self.chance.random() < LOST:
-            self.again.append((index, taker))
+    def deliver_heartbeat(self, index: int, receiver: int) -> None:
+        if receiver != index and self.rng.random() < LOSS_PROBABILITY:
+            self.undelivered.append((index, receiver))
         else:
-            self.voters[taker].on_heartbeat(index, self.words[index], self.now_us(), self.now_us())
+            self.grantors[receiver].on_heartbeat(index, self.heartbeats[index], self.now_us(), self.now_us())
 
     def tick(self) -> None:
-        """One round."""
-        day = self.day
-        before = [(front.state, front.life) for front in day.fronts]
-        day.tick()
-        again, self.again = self.again, []
-        for index, taker in again:
-            self.pass_on(index, taker)
-        for front, was in zip(day.fronts, before, strict=True):
-            if (front.state, front.life) != was:
-                self.changed(front, was[1])
-        self.count()
-        for index, asker in enumerate(self.askers):
-            if asker.requests and day.fronts[index].state is State.SERVES:
-                self.ask(index, asker)
-        for index, asker in enumerate(self.askers):
-            said = self.words[index]
+        """Run one round of messages and decisions."""
+        scenario = self.scenario
+        previous = [(front.state, front.incarnation) for front in scenario.fronts]
+        scenario.tick()
+        undelivered, self.undelivered = self.undelivered, []
+        for index, receiver in undelivered:
+            self.deliver_heartbeat(index, receiver)
+        for front, previous_state in zip(scenario.fronts, previous, strict=True):
+            if (front.state, front.incarnation) != previous_state:
+                self.on_front_changed(front, previous_state[1])
+        self.count_requests()
+        for index, requester in enumerate(self.requesters):
+            if requester.requests and scenario.fronts[index].state is FrontState.SERVING:
+                self.send_request(index, requester)
+        for index, requester in enumerate(self.requesters):
+            sent = self.heartbeats[index]
             if (
-                not asker.requests
-                and not said.open_requests
-                and said.last_request_number == self.last.get(index, 0)
+                not requester.requests
+                and not sent.open_requests
+                and sent.last_request_number == self.last_request_numbers.get(index, 0)
             ):
                 continue
-            fresh = (tuple(asker.open_requests()), self.numbers(asker)) != (
-                said.open_requests,
-                said.last_request_number,
+            has_changed = (tuple(requester.open_requests()), self.last_request_number(requester)) != (
+                sent.open_requests,
+                sent.last_request_number,
             )
-            if fresh and day.fronts[index].state is State.SERVES:
-                self.say(index)
-        self.lead_on()
-
-    def changed(self, front: Front, life: int) -> None:
-        """What it is now is told by itself, or seen by all when its words stay away."""
-        if front.life > life:
-            self.askers[front.index] = Requester(self.askers[front.index].settings, front.life, count(1))
-            self.last.pop(front.index, None)
-            self.off.discard(front.index)
-            self.out_us.pop(front.index, None)
+            if has_changed and scenario.fronts[index].state is FrontState.SERVING:
+                self.send_heartbeat(index)
+        self.run_leader()
+
+    def on_front_changed(self, front: SimulatedFront, incarnation: int) -> None:
+        """Propagate a front's new state: by its heartbeat, or as unavailable if it can send none."""
+        if front.incarnation > incarnation:
+            self.requesters[front.index] = Requester(
+                self.requesters[front.index].settings, front.incarnation, count(1)
+            )
+            self.last_request_numbers.pop(front.index, None)
+            self.written_off.discard(front.index)
+            self.unavailable_since_us.pop(front.index, None)
         else:
-            self.out_us.setdefault(front.index, self.now_us())
-        if front.state in (State.SERVES, State.LEAVES):
-            self.say(front.index)
+            self.unavailable_since_us.setdefault(front.index, self.now_us())
+        if front.state in (FrontState.SERVING, FrontState.DRAINING):
+            self.send_heartbeat(front.index)
         else:
-            for voter in self.voters:
-                voter.observe(front.index, self.now_us(), self.now_us(), is_serving=False)
+            for grantor in self.grantors:
+                grantor.observe(front.index, self.now_us(), self.now_us(), is_serving=False)
 
-    def count(self) -> None:
-        """What each is asked, and serves."""
-        serving = [front for front in self.day.fronts if front.state is State.SERVES]
-        share = LOAD * self.day.size / max(1, len(serving))
+    def count_requests(self) -> None:
+        """Add the requests of this second to each front's counters."""
+        serving = [front for front in self.scenario.fronts if front.state is FrontState.SERVING]
+        load_per_front = LOAD_RATIO * self.scenario.size / max(1, len(serving))
         for front in serving:
-            good = 0.9 if self.day.bad and front.version == 2 else 1.0
-            self.asked[front.index] += 10 * share
-            self.served[front.index] += 10 * min(1.0, share) * good
+            success_ratio = 0.9 if self.scenario.has_bad_version and front.version == 2 else 1.0
+            self.requested_counts[front.index] += 10 * load_per_front
+            self.served_counts[front.index] += 10 * min(1.0, load_per_front) * success_ratio
 
-    def ask(self, index: int, asker: Requester) -> None:
-        """A round of an ask that is due."""
+    def send_request(self, index: int, requester: Requester) -> None:
+        """Send a due permit request to all grantors, count their votes, and drain the front if permitted."""
         now_us = self.now_us()
-        one = asker.requests[index]
+        pending = requester.requests[index]
         if (
-            one.state in (RequestState.WANTED, RequestState.ASKING)
-            and now_us >= one.wanted_us + plan_execution.ORDER_EXPIRY_US
+            pending.state in (RequestState.WANTED, RequestState.ASKING)
+            and now_us >= pending.wanted_us + plan_execution.ORDER_EXPIRY_US
         ):
-            asker.cancel(index)
-        ask = asker.next_request(now_us)
-        if ask is None:
+            requester.cancel(index)
+        request = requester.next_request(now_us)
+        if request is None:
             return
-        self.last[index] = ask.number
-        stale = (ask.term, ask.turn) < self.record.revision
-        for taker, voter in enumerate(self.voters):
-            living = self.day.fronts[taker].state in (State.SERVES, State.LEAVES)
-            if not living or (taker != index and self.chance.random() < 2 * LOST):
+        self.last_request_numbers[index] = request.number
+        is_stale = (request.term, request.turn) < self.record.revision
+        for receiver, grantor in enumerate(self.grantors):
+            is_running = self.scenario.fronts[receiver].state in (FrontState.SERVING, FrontState.DRAINING)
+            if not is_running or (receiver != index and self.rng.random() < 2 * LOSS_PROBABILITY):
                 continue
-            vote = voter.on_permit_request(index, ask, now_us, is_stale=stale)
-            granted = asker.on_vote(taker, vote, self.voters[index], self.chance.random(), now_us)
-            if granted is not None and asker.begin(index, now_us):
-                self.day.take(self.day.fronts[index], granted.version)
-
-    def lead_on(self) -> None:
-        """The leader looks, and orders."""
-        day, now_us = self.day, self.now_us()
-        if day.fronts[self.leader].state is not State.SERVES:
-            self.gap_s += 1
-            if self.gap_s < 3:
+            vote = grantor.on_permit_request(index, request, now_us, is_stale=is_stale)
+            granted = requester.on_vote(receiver, vote, self.grantors[index], self.rng.random(), now_us)
+            if granted is not None and requester.begin(index, now_us):
+                self.scenario.drain(self.scenario.fronts[index], granted.version)
+
+    def run_leader(self) -> None:
+        """Replace the leader if needed, evaluate the plan and send orders."""
+        scenario, now_us = self.scenario, self.now_us()
+        if scenario.fronts[self.leader_index].state is not FrontState.SERVING:
+            self.leaderless_s += 1
+            if self.leaderless_s < 3:
                 return
-            self.leader = next(front.index for front in day.fronts if front.state is State.SERVES)
-            self.write(replace(self.record, term=self.record.term + 1))
-            self.lead, self.gap_s = PlanExecution(self.record, self.halls, now_us), 0
-        words = self.voters[self.leader].heartbeats
-        if self.lead.analysis.window_began_us + 4 * SECOND < now_us:
-            words = {
+            self.leader_index = next(
+                front.index for front in scenario.fronts if front.state is FrontState.SERVING
+            )
+            self.agree_record(replace(self.record, term=self.record.term + 1))
+            self.execution, self.leaderless_s = PlanExecution(self.record, self.zones, now_us), 0
+        heartbeats = self.grantors[self.leader_index].heartbeats
+        if self.execution.analysis.window_began_us + 4 * US_PER_S < now_us:
+            heartbeats = {
                 i: replace(
-                    word, requested=int(self.asked[i]), served=min(int(self.asked[i]), int(self.served[i]))
+                    heartbeat,
+                    requested=int(self.requested_counts[i]),
+                    served=min(int(self.requested_counts[i]), int(self.served_counts[i])),
                 )
-                for i, word in words.items()
+                for i, heartbeat in heartbeats.items()
             }
-        dark = frozenset(self.voters[self.leader].unavailable_places(now_us) - self.off)
-        fleet = FleetView(day.size, self.leader, words, dark, frozenset(self.off), self.out_us)
-        self.operate(fleet)
-        found = self.lead.evaluate(fleet, now_us)
-        if found is not None:
-            have = len(fleet.fronts_with(rollout_plan.target_version(self.record)))
-            written = rollout_plan.next_record(self.record, found.event, have, reason=found.reason)
-            if written is not None:
-                self.write(written)
+        unavailable = frozenset(
+            self.grantors[self.leader_index].unavailable_places(now_us) - self.written_off
+        )
+        fleet = FleetView(
+            scenario.size,
+            self.leader_index,
+            heartbeats,
+            unavailable,
+            frozenset(self.written_off),
+            self.unavailable_since_us,
+        )
+        self.run_operator(fleet)
+        finding = self.execution.evaluate(fleet, now_us)
+        if finding is not None:
+            updated_count = len(fleet.fronts_with(rollout_plan.target_version(self.record)))
+            changed_record = rollout_plan.next_record(
+                self.record, finding.event, updated_count, reason=finding.reason
+            )
+            if changed_record is not None:
+                self.agree_record(changed_record)
                 return
-        for index in self.lead.fronts_to_order(fleet, now_us):
-            if day.fronts[index].state is State.SERVES:
-                self.askers[index].request_permit(
+        for index in self.execution.fronts_to_order(fleet, now_us):
+            if scenario.fronts[index].state is FrontState.SERVING:
+                self.requesters[index].request_permit(
                     index, now_us, rollout_plan.target_version(self.record), self.record.revision
                 )
 
-    def write(self, record: RolloutRecord) -> None:
-        """The next state of the plan, agreed at once."""
+    def agree_record(self, record: RolloutRecord) -> None:
+        """Make a record the current one; a majority accepts it at once in this simulation."""
         self.record = replace(record, turn=self.record.turn + 1)
-        self.lead.on_record_agreed(self.record, self.now_us())
+        self.execution.on_record_agreed(self.record, self.now_us())
         if record.phase is RolloutPhase.HALTED:
-            self.halted_s, self.halts = self.day.now_s, self.halts + 1
-            for asker in self.askers:
-                asker.cancel(asker.settings.front_index)
-
-    def operate(self, fleet: FleetView) -> None:
-        """Once a minute an operator looks at a plan that is halted."""
-        day = self.day
-        if self.record.phase is not RolloutPhase.HALTED or (day.now_s - self.halted_s) % 60 != 59:
+            self.halted_s, self.halts = self.scenario.now_s, self.halts + 1
+            for requester in self.requesters:
+                requester.cancel(requester.settings.front_index)
+
+    def run_operator(self, fleet: FleetView) -> None:
+        """Check once a minute whether the plan is halted, as its operator, and resume it or roll it back."""
+        scenario = self.scenario
+        if self.record.phase is not RolloutPhase.HALTED or (scenario.now_s - self.halted_s) % 60 != 59:
             return
-        if day.bad and self.record.reason in (HaltReason.WORSE, HaltReason.SERVED) and not self.record.back:
-            back = rollout_plan.next_record(self.record, RolloutEvent.ROLL_BACK, len(fleet.fronts_with(1)))
-            assert back is not None
-            self.write(back)
+        if (
+            scenario.has_bad_version
+            and self.record.reason in (HaltReason.WORSE, HaltReason.SERVED)
+            and not self.record.back
+        ):
+            rollback_record = rollout_plan.next_record(
+                self.record, RolloutEvent.ROLL_BACK, len(fleet.fronts_with(1))
+            )
+            assert rollback_record is not None
+            self.agree_record(rollback_record)
             return
         for index in fleet.unavailable:
-            if self.now_us() - self.out_us.get(index, self.now_us()) > 300 * SECOND:
-                self.off.add(index)
-                for voter in self.voters:
-                    voter.write_off(index, self.now_us())
-        if not fleet.unavailable - self.off:
-            on = rollout_plan.next_record(self.record, RolloutEvent.RESUME, 0)
-            assert on is not None
-            self.write(on)
+            if self.now_us() - self.unavailable_since_us.get(index, self.now_us()) > 300 * US_PER_S:
+                self.written_off.add(index)
+                for grantor in self.grantors:
+                    grantor.write_off(index, self.now_us())
+        if not fleet.unavailable - self.written_off:
+            resumed = rollout_plan.next_record(self.record, RolloutEvent.RESUME, 0)
+            assert resumed is not None
+            self.agree_record(resumed)
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         return self.record.phase in (RolloutPhase.DONE, RolloutPhase.UNDONE)
 
 
-def run(size: int, seed: int, bad: bool) -> dict[str, tuple[float, ...]]:
-    """Most out by the release, most out, seconds of service lost, minutes to the end; for each way."""
-    day = Day(size, seed, bad)
-    agreed = Agreed(day)
-    while not agreed.over and day.now_s < MOST_S:
-        agreed.tick()
-    day.ended_s, end_s = day.now_s, day.now_s + 600
-    while day.now_s < end_s:
-        day.tick()
-    days = {"agreed": day}
-    for name, at_once, pause_s in (("by hand", 1, STEP_S / day.limit), ("waves", day.limit, float(STEP_S))):
-        days[name] = Day(size, seed, bad)
-        blind(days[name], at_once, pause_s, end_s)
+def run_seed(size: int, seed: int, has_bad_version: bool) -> dict[str, tuple[float, ...]]:
+    """Run all methods with one seed.
+
+    Returns, by method: the most drained fronts at once, the most unavailable fronts at once, the seconds of
+    lost service, the minutes until completion, and the number of halts of the coordinated rollout.
+    """
+    scenario = Scenario(size, seed, has_bad_version)
+    coordinated = CoordinatedRollout(scenario)
+    while not coordinated.is_over and scenario.now_s < MAX_DURATION_S:
+        coordinated.tick()
+    scenario.ended_s, end_s = scenario.now_s, scenario.now_s + 600
+    while scenario.now_s < end_s:
+        scenario.tick()
+    scenarios = {"agreed": scenario}
+    for name, batch_size, interval_s in (
+        ("by hand", 1, STEP_INTERVAL_S / scenario.limit),
+        ("waves", scenario.limit, float(STEP_INTERVAL_S)),
+    ):
+        scenarios[name] = Scenario(size, seed, has_bad_version)
+        run_uncoordinated(scenarios[name], batch_size, interval_s, end_s)
     return {
-        name: (one.most_released, one.most, one.lost_s, (one.ended_s or MOST_S) / 60, agreed.halts)
-        for name, one in days.items()
+        name: (
+            one.max_drained,
+            one.max_unavailable,
+            one.lost_service_s,
+            (one.ended_s or MAX_DURATION_S) / 60,
+            coordinated.halts,
+        )
+        for name, one in scenarios.items()
     }
 
 
 def main() -> None:
-    """All runs, as a table."""
+    """Run all fleet sizes and seeds, and print a table."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--fronts", default="12,50,200")
     parser.add_argument("--seeds", default="1,2,3,4,5")
     parser.add_argument("--day", choices=("plain", "bad"), default="plain")
     options = parser.parse_args()
-    print("| fronts | way | out by it | out at most | service lost, s | to the end, min |")
+    print("| fronts | method | drained at most | unavailable at most | service lost, s | duration, min |")
     print("| --- | --- | --- | --- | --- | --- |")
     for size in map(int, options.fronts.split(",")):
         began = time.monotonic()
-        found = []
+        results = []
         for seed in map(int, options.seeds.split(",")):
-            found.append(run(size, seed, options.day == "bad"))
-            print(size, seed, found[-1], file=sys.stderr, flush=True)
-        for name in found[0]:
+            results.append(run_seed(size, seed, options.day == "bad"))
+            print(size, seed, results[-1], file=sys.stderr, flush=True)
+        for name in results[0]:
             cells = []
-            for at in range(4):
-                row = [one[name][at] for one in found]
-                digits = 0 if at < 2 else 1
-                cells.append(f"{median(row):.{digits}f} ({min(row):.{digits}f}-{max(row):.{digits}f})")
+            for column in range(4):
+                figures = [one[name][column] for one in results]
+                digits = 0 if column < 2 else 1
+                cells.append(
+                    f"{median(figures):.{digits}f} ({min(figures):.{digits}f}-{max(figures):.{digits}f})"
+                )
             print(f"| {size} (limit {max(1, size // 20)}) | {name} | {' | '.join(cells)} |", flush=True)
-        halts = [one["agreed"][4] for one in found]
+        halts = [one["agreed"][4] for one in results]
         print(f"<!-- halts {halts}, {time.monotonic() - began:.0f} s -->", flush=True)
 
 
