--- a/packages/messages/src/fennelcove/limit_messages.py
+++ b/packages/messages/src/fennelcove/limit_messages.py
@@ -29,10 +29,10 @@
 SHAPE_LIMIT = struct.Struct(">BH")  # shape, slots
 SLOTS = struct.Struct(">BQIIH")  # kind, the requester's incarnation, request number, server, slots
 INCARNATION = struct.Struct(">BQ")  # kind, incarnation
-OF_SERVER = 1  # the one kind of row that is known
+SERVER_ROW = 1  # the one kind of row that is known
 END_OF_CLASSES = 255
 US_PER_S = 1_000_000
-OLD_S = MAX_REPORTED_AGE_US // US_PER_S
+MAX_AGE_S = MAX_REPORTED_AGE_US // US_PER_S
 MAX_SERVICE_CLASSES, MAX_WAITING_CLASSES = 40, 24  # of a row: the most frequent ones
 MAX_COUNT = 255
 MAX_SLOTS = 65_535
@@ -61,15 +61,15 @@
 
 def _age_s(started_us: int, now_us: int) -> int:
     """In whole seconds; `OLD_S` where a server is older, or its age is unknown."""
-    return min(OLD_S, max(0, now_us - started_us) // US_PER_S) if started_us else OLD_S
+    return min(MAX_AGE_S, max(0, now_us - started_us) // US_PER_S) if started_us else MAX_AGE_S
 
 
 def _started_us(age_s: int, now_us: int) -> int:
-    return 0 if age_s >= OLD_S else max(1, now_us - age_s * US_PER_S)
+    return 0 if age_s >= MAX_AGE_S else max(1, now_us - age_s * US_PER_S)
 
 
 def _encode_row(body: bytes) -> bytes:
-    return ROW_HEAD.pack(OF_SERVER, len(body)) + body
+    return ROW_HEAD.pack(SERVER_ROW, len(body)) + body
 
 
 def _encode_classes(classes: ClassCounts, max_classes: int) -> bytes:
@@ -123,14 +123,14 @@
             return
         kind, size = ROW_HEAD.unpack_from(raw)
         end = ROW_HEAD.size + size
-        yield raw[ROW_HEAD.size : end] if kind == OF_SERVER else b""
+        yield raw[ROW_HEAD.size : end] if kind == SERVER_ROW else b""
         raw = raw[end:]
 
 
 def _decode_counts(body: bytes, now_us: int) -> LimitReport | None:
     if len(body) <= COUNTS.size:
         return None
-    server, age_s, shape, requested, denied, lost = COUNTS.unpack_from(body)
+    server, age_s, shape, requested, denied, unanswered = COUNTS.unpack_from(body)
     pairs = body[COUNTS.size :]
     # No class is END_OF_CLASSES, so it is at an even position once.
     ends = [
@@ -142,7 +142,7 @@
     waiting_times = _decode_classes(pairs[ends[0] + 1 :])
     if service_times is None or waiting_times is None:
         return None
-    row = HistogramRow(shape, requested, denied, lost, service_times, waiting_times)
+    row = HistogramRow(shape, requested, denied, unanswered, service_times, waiting_times)
     return LimitReport((), server, _started_us(age_s, now_us), rows=(row,))
 
 
@@ -154,11 +154,11 @@
 def _decode_vote(body: bytes, now_us: int) -> LimitReport | None:
     if len(body) < VOTE.size or (len(body) - VOTE.size) % SHAPE_LIMIT.size:
         return None
-    server, age_s, whole = VOTE.unpack_from(body)
-    if not whole:
+    server, age_s, total_limit = VOTE.unpack_from(body)
+    if not total_limit:
         return None
     limits = tuple((shape, slots) for shape, slots in SHAPE_LIMIT.iter_unpack(body[VOTE.size :]))
-    return LimitReport((), server, _started_us(age_s, now_us), vote=QuorumVote(whole, limits))
+    return LimitReport((), server, _started_us(age_s, now_us), vote=QuorumVote(total_limit, limits))
 
 
 def encode_slot_message(server: int, message: QuotaRequest | QuotaTransfer) -> bytes:
--- a/packages/messages/src/fennelcove/messages.py
+++ b/packages/messages/src/fennelcove/messages.py
@@ -62,7 +62,7 @@
 HEALTH_VERDICTS = frozenset(HealthVerdict)
 RESOURCES = frozenset(Resource)
 MAX_SUMMARY_ROWS = (MAX_BYTES - SUMMARY_HEAD.size) // SUMMARY_ROW.size
-MAX_GONE = (MAX_BYTES - HEARTBEAT_HEAD.size) // CELL.size
+MAX_DEPARTED = (MAX_BYTES - HEARTBEAT_HEAD.size) // CELL.size
 
 
 def encode(message: PeerMessage) -> list[bytes]:
@@ -117,7 +117,7 @@
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
     """Encode a heartbeat."""
-    gone = b"".join(CELL.pack(index) for index in heartbeat.departed[:MAX_GONE])
+    departed_fronts = b"".join(CELL.pack(index) for index in heartbeat.departed[:MAX_DEPARTED])
     head = HEARTBEAT_HEAD.pack(
         HEARTBEAT,
         heartbeat.incarnation,
@@ -126,18 +126,20 @@
         heartbeat.acknowledged_sequence,
         heartbeat.is_leaving,
     )
-    return head + gone
+    return head + departed_fronts
 
 
 def decode_heartbeat(raw: bytes) -> Heartbeat | None:
     """Decode a heartbeat; None where it is malformed."""
-    if not _has_whole_rows(raw, HEARTBEAT_HEAD, CELL) or raw[0] != HEARTBEAT:
+    if not _has_complete_rows(raw, HEARTBEAT_HEAD, CELL) or raw[0] != HEARTBEAT:
         return None
     _, incarnation, sequence, acked_incarnation, acked_sequence, is_leaving = HEARTBEAT_HEAD.unpack_from(raw)
     if is_leaving > 1:
         return None
-    gone = tuple(index for (index,) in CELL.iter_unpack(raw[HEARTBEAT_HEAD.size :]))
-    return Heartbeat(incarnation, sequence, acked_incarnation, acked_sequence, bool(is_leaving), gone)
+    departed_fronts = tuple(index for (index,) in CELL.iter_unpack(raw[HEARTBEAT_HEAD.size :]))
+    return Heartbeat(
+        incarnation, sequence, acked_incarnation, acked_sequence, bool(is_leaving), departed_fronts
+    )
 
 
 def encode_load_summary(summary: LoadSummary) -> bytes:
@@ -148,7 +150,7 @@
 
 def decode_load_summary(raw: bytes) -> LoadSummary | None:
     """Decode a summary of another front's load; None where it is malformed."""
-    if not _has_whole_rows(raw, SUMMARY_HEAD, SUMMARY_ROW) or raw[0] != LOAD_SUMMARY:
+    if not _has_complete_rows(raw, SUMMARY_HEAD, SUMMARY_ROW) or raw[0] != LOAD_SUMMARY:
         return None
     _, incarnation, sequence = SUMMARY_HEAD.unpack_from(raw)
     body = raw[SUMMARY_HEAD.size :]
@@ -156,7 +158,7 @@
     return LoadSummary(incarnation, sequence, rows)
 
 
-def _has_whole_rows(raw: bytes, head: struct.Struct, row: struct.Struct) -> bool:
+def _has_complete_rows(raw: bytes, head: struct.Struct, row: struct.Struct) -> bool:
     return head.size <= len(raw) <= MAX_BYTES and not (len(raw) - head.size) % row.size
 
 
--- a/packages/messages/src/fennelcove/usage_messages.py
+++ b/packages/messages/src/fennelcove/usage_messages.py
@@ -23,8 +23,8 @@
 
 def decode(raw: bytes) -> UsageReport | None:
     """Decode one message; None where it is malformed, or of an unknown version."""
-    has_whole_rows = HEAD.size < len(raw) <= MAX_BYTES and not (len(raw) - HEAD.size) % ROW.size
-    if not has_whole_rows or raw[0] != USAGE_REPORT:
+    has_complete_rows = HEAD.size < len(raw) <= MAX_BYTES and not (len(raw) - HEAD.size) % ROW.size
+    if not has_complete_rows or raw[0] != USAGE_REPORT:
         return None
     _, incarnation, sequence = HEAD.unpack_from(raw)
     rows = tuple(UsageRow(*row) for row in ROW.iter_unpack(raw[HEAD.size :]))
