--- a/packages/messages/src/fennelcove/limit_messages.py
+++ b/packages/messages/src/fennelcove/limit_messages.py
@@ -1,7 +1,7 @@
 """Byte codec of the messages that fronts exchange about the concurrency limits of servers.
 
-Rows have a kind and a length, so that a front skips what a later version adds. A server is identified by a
-number and by its age: no two machines' clocks are compared. All numbers are big-endian.
+Each row has a kind and a length, so that a front can skip kinds of rows that a later version adds. A server
+is identified by its number and its age; an age needs no synchronized clocks. All numbers are big-endian.
 """
 
 from __future__ import annotations
@@ -16,30 +16,31 @@
 from fennelcove.decisions.fleet.shared_quotas import QuotaRequest, QuotaTransfer, Resource
 
 MAX_BYTES = 256
-# The first byte of a message: rows of counts, votes on limits, request and transfer of slots, an incarnation
-# has begun, none of the earlier incarnations' slots are in use.
+# The first byte of a message: rows of counts, votes on limits, request and transfer of slots, start of an
+# incarnation, notice that the slots of earlier incarnations are no longer in use.
 COUNTS_REPORT, LIMIT_VOTES, SLOT_REQUEST, SLOT_TRANSFER, INCARNATION_BEGUN, SLOTS_CLEARED = range(64, 70)
 KINDS = frozenset((COUNTS_REPORT, LIMIT_VOTES, SLOT_REQUEST, SLOT_TRANSFER, INCARNATION_BEGUN, SLOTS_CLEARED))
 HEAD = struct.Struct(">BQI")  # kind, incarnation, sequence; then rows
-ROW_HEAD = struct.Struct(">BB")  # kind, length of the rest
-# Server, its age in s, shape, requested, denied, lost; then service times, END_OF_CLASSES, waiting times.
+ROW_HEAD = struct.Struct(">BB")  # kind, length of the body
+# Server, its age in s, shape, requested, denied, unanswered; then the classes of service times,
+# END_OF_CLASSES, and the classes of waiting times.
 COUNTS = struct.Struct(">IHBHHH")
-CLASS_COUNT = struct.Struct(">BB")  # class of a histogram, count
-VOTE = struct.Struct(">IHH")  # server, its age in s, whole limit; then the limits of shapes
+CLASS_COUNT = struct.Struct(">BB")  # histogram class, count
+VOTE = struct.Struct(">IHH")  # server, its age in s, total limit; then the limits by shape
 SHAPE_LIMIT = struct.Struct(">BH")  # shape, slots
 SLOTS = struct.Struct(">BQIIH")  # kind, the requester's incarnation, request number, server, slots
 INCARNATION = struct.Struct(">BQ")  # kind, incarnation
-SERVER_ROW = 1  # the one kind of row that is known
+SERVER_ROW = 1  # the only known kind of row
 END_OF_CLASSES = 255
 US_PER_S = 1_000_000
 MAX_AGE_S = MAX_REPORTED_AGE_US // US_PER_S
-MAX_SERVICE_CLASSES, MAX_WAITING_CLASSES = 40, 24  # of a row: the most frequent ones
+MAX_SERVICE_CLASSES, MAX_WAITING_CLASSES = 40, 24  # the most frequent classes, per row
 MAX_COUNT = 255
 MAX_SLOTS = 65_535
 
 
 def encode(incarnation: int, sequence: int, reports: Sequence[LimitReport], now_us: int) -> list[bytes]:
-    """Encode what a replica reports, into messages of 256 bytes at most each."""
+    """Encode the reports of this front into messages of at most 256 bytes each."""
     counts = [_encode_counts(report, row, now_us) for report in reports for row in report.rows]
     votes = [_encode_vote(report, report.vote, now_us) for report in reports if report.vote is not None]
     messages = _fill_messages(HEAD.pack(COUNTS_REPORT, incarnation, sequence), counts)
@@ -60,7 +61,7 @@
 
 
 def _age_s(started_us: int, now_us: int) -> int:
-    """In whole seconds; `OLD_S` where a server is older, or its age is unknown."""
+    """Return a server's age in seconds; `MAX_AGE_S` if it is older or its age is unknown."""
     return min(MAX_AGE_S, max(0, now_us - started_us) // US_PER_S) if started_us else MAX_AGE_S
 
 
@@ -94,9 +95,9 @@
 
 
 def decode(raw: bytes, now_us: int) -> tuple[int, int, list[LimitReport]] | None:
-    """Decode a message: incarnation, sequence and reports.
+    """Decode a message into incarnation, sequence and reports; None if it is malformed.
 
-    None where it is malformed; rows of an unknown kind are skipped.
+    Rows of an unknown kind are skipped.
     """
     if not HEAD.size < len(raw) <= MAX_BYTES or raw[0] not in (COUNTS_REPORT, LIMIT_VOTES):
         return None
@@ -116,7 +117,7 @@
 
 
 def _row_bodies(raw: bytes) -> Iterator[bytes | None]:
-    """The bodies of the rows; empty for one of an unknown kind, None for one that is cut short."""
+    """Yield the body of each row: empty for a row of an unknown kind, None for a truncated row."""
     while raw:
         if len(raw) < ROW_HEAD.size or len(raw) < ROW_HEAD.size + raw[1]:
             yield None
@@ -132,7 +133,7 @@
         return None
     server, age_s, shape, requested, denied, unanswered = COUNTS.unpack_from(body)
     pairs = body[COUNTS.size :]
-    # No class is END_OF_CLASSES, so it is at an even position once.
+    # No class number equals END_OF_CLASSES, so the first match at an even position is the separator.
     ends = [
         position for position in range(0, len(pairs), CLASS_COUNT.size) if pairs[position] == END_OF_CLASSES
     ]
@@ -162,14 +163,14 @@
 
 
 def encode_slot_message(server: int, message: QuotaRequest | QuotaTransfer) -> bytes:
-    """Encode a request for slots of a server, or their transfer; a transfer of none returns them."""
+    """Encode a request for slots of a server, or their transfer; a transfer of 0 slots returns them."""
     kind = SLOT_REQUEST if isinstance(message, QuotaRequest) else SLOT_TRANSFER
     slots = min(MAX_SLOTS, int(message.rate))
     return SLOTS.pack(kind, message.incarnation, message.sequence, server, slots)
 
 
 def decode_slot_message(raw: bytes) -> tuple[int, QuotaRequest | QuotaTransfer] | None:
-    """Decode the server and the request or transfer; None where it is malformed."""
+    """Decode a server and a request for its slots, or their transfer; None if it is malformed."""
     if len(raw) != SLOTS.size or raw[0] not in (SLOT_REQUEST, SLOT_TRANSFER):
         return None
     kind, incarnation, number, server, slots = SLOTS.unpack(raw)
@@ -179,12 +180,12 @@
 
 
 def encode_incarnation(kind: int, incarnation: int) -> bytes:
-    """Encode that an incarnation has begun (`BEGUN`), or uses no earlier one's slots any more (`CLEAR`)."""
+    """Encode a notice about an incarnation; `kind` is `INCARNATION_BEGUN` or `SLOTS_CLEARED`."""
     return INCARNATION.pack(kind, incarnation)
 
 
 def decode_incarnation(raw: bytes) -> int | None:
-    """Decode the incarnation; None where it is malformed."""
+    """Decode the incarnation of such a notice; None if it is malformed."""
     if len(raw) != INCARNATION.size or raw[0] not in (INCARNATION_BEGUN, SLOTS_CLEARED):
         return None
     _, incarnation = INCARNATION.unpack(raw)
--- a/packages/messages/src/fennelcove/messages.py
+++ b/packages/messages/src/fennelcove/messages.py
@@ -1,6 +1,6 @@
-"""Byte codec of the messages that fronts exchange about servers and membership: a kind, then rows.
+"""Byte codec of the messages that fronts exchange about servers and membership: a kind byte, then rows.
 
-The messages about concurrency limits, service time and rollouts have codecs of their own. All numbers are
+Messages about concurrency limits, service time and rollouts have their own codec modules. All numbers are
 big-endian.
 """
 
@@ -16,10 +16,10 @@
 from fennelcove.interface import CellLoad, PeerMessage
 
 MAX_BYTES = 256
-MAX_CELLS = 1 << 16  # a cell has two bytes
+MAX_CELLS = 1 << 16  # a cell number has two bytes
 KIND_BYTES = 1
-# The first byte of a message: cells whose load is requested, known loads, attempts sent, heartbeat, summary
-# of a front's load, request and transfer of a quota, health report.
+# The first byte of a message: cells whose load is requested, known loads, rates of the attempts sent,
+# membership heartbeat, summary of a front's load, quota request, quota transfer; and below, health report.
 LOAD_REQUEST, LOAD_REPORT, ATTEMPTS, HEARTBEAT, LOAD_SUMMARY, QUOTA_REQUEST, QUOTA_TRANSFER = (
     1,
     2,
@@ -42,22 +42,22 @@
 )
 
 CELL = struct.Struct(">H")
-LOAD = struct.Struct(">HBBB")  # cell, link and uplink in hundredths, age in tenths of a second
-ATTEMPT = struct.Struct(">HH")  # cell, kB a second
+LOAD = struct.Struct(">HBBB")  # cell, levels of link and uplink in hundredths, age in tenths of a second
+ATTEMPT = struct.Struct(">HH")  # cell, rate in kB per second
 ROWS_BY_KIND = {LOAD_REQUEST: CELL, LOAD_REPORT: LOAD, ATTEMPTS: ATTEMPT}
 MAX_RATE_KB = 65_535
 AGE_UNIT_US = 100_000
-MAX_AGE = 255  # in units
-LEVEL_UNITS = 100  # a level is sent in hundredths
+MAX_AGE = 255  # in units of AGE_UNIT_US
+LEVEL_UNITS = 100  # units per 1.0 of a level
 UNKNOWN_LEVEL = 255
 MAX_LEVEL = UNKNOWN_LEVEL - 1
 
-# Kind, incarnation, sequence, acknowledged incarnation and sequence, whether the sender leaves; then the
-# indexes of the fronts that are gone.
+# Kind, incarnation, sequence, acknowledged incarnation and sequence, whether the sender is leaving; then the
+# indexes of departed fronts.
 HEARTBEAT_HEAD = struct.Struct(">BQIQIB")
 SUMMARY_HEAD = struct.Struct(">BQI")  # kind, incarnation, sequence; then a row for each service class
-SUMMARY_ROW = struct.Struct(">HHH")
-QUOTA = struct.Struct(">BQIBd")  # kind, the requester's incarnation, request number, resource, units a second
+SUMMARY_ROW = struct.Struct(">HHH")  # the counts of `ClassLoad`
+QUOTA = struct.Struct(">BQIBd")  # kind, requester's incarnation, request number, resource, units per second
 HEALTH_REPORT = struct.Struct(">BIBQ")  # kind, key of the server, verdict, number
 HEALTH_VERDICTS = frozenset(HealthVerdict)
 RESOURCES = frozenset(Resource)
@@ -66,7 +66,7 @@
 
 
 def encode(message: PeerMessage) -> list[bytes]:
-    """Encode a message about servers, into messages of 256 bytes at most each."""
+    """Encode a message about servers into messages of at most 256 bytes each."""
     rows_by_kind = {
         LOAD_REQUEST: [CELL.pack(cell) for cell in message.polled_cells],
         LOAD_REPORT: [_encode_load(load) for load in message.loads],
@@ -86,14 +86,14 @@
 
 
 def _encode_level(level: float | None) -> int:
-    """A level as a byte, of 2.54 at most."""
+    """Return a level as a byte, clamped to 2.54."""
     if level is None:
         return UNKNOWN_LEVEL
     return max(0, round(min(MAX_LEVEL, level * LEVEL_UNITS)))
 
 
 def decode(sender: int, raw: bytes) -> PeerMessage | None:
-    """Decode a message about servers; None where it is malformed, or of an unknown version."""
+    """Decode a message about servers; None if it is malformed or its kind is unknown."""
     if not KIND_BYTES < len(raw) <= MAX_BYTES:
         return None
     kind, body = raw[0], raw[KIND_BYTES:]
@@ -116,7 +116,7 @@
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
-    """Encode a heartbeat."""
+    """Encode a membership heartbeat."""
     departed_fronts = b"".join(CELL.pack(index) for index in heartbeat.departed[:MAX_DEPARTED])
     head = HEARTBEAT_HEAD.pack(
         HEARTBEAT,
@@ -130,7 +130,7 @@
 
 
 def decode_heartbeat(raw: bytes) -> Heartbeat | None:
-    """Decode a heartbeat; None where it is malformed."""
+    """Decode a membership heartbeat; None if it is malformed."""
     if not _has_complete_rows(raw, HEARTBEAT_HEAD, CELL) or raw[0] != HEARTBEAT:
         return None
     _, incarnation, sequence, acked_incarnation, acked_sequence, is_leaving = HEARTBEAT_HEAD.unpack_from(raw)
@@ -149,7 +149,7 @@
 
 
 def decode_load_summary(raw: bytes) -> LoadSummary | None:
-    """Decode a summary of another front's load; None where it is malformed."""
+    """Decode a summary of another front's load; None if it is malformed."""
     if not _has_complete_rows(raw, SUMMARY_HEAD, SUMMARY_ROW) or raw[0] != LOAD_SUMMARY:
         return None
     _, incarnation, sequence = SUMMARY_HEAD.unpack_from(raw)
@@ -163,13 +163,13 @@
 
 
 def encode_quota_message(message: QuotaRequest | QuotaTransfer) -> bytes:
-    """Encode a request for a quota, or its transfer."""
+    """Encode a quota request or a quota transfer."""
     kind = QUOTA_REQUEST if isinstance(message, QuotaRequest) else QUOTA_TRANSFER
     return QUOTA.pack(kind, message.incarnation, message.sequence, message.resource, message.rate)
 
 
 def decode_quota_message(raw: bytes) -> QuotaRequest | QuotaTransfer | None:
-    """Decode a request for a quota, or its transfer; None where it is malformed."""
+    """Decode a quota request or a quota transfer; None if it is malformed."""
     if len(raw) != QUOTA.size or raw[0] not in (QUOTA_REQUEST, QUOTA_TRANSFER):
         return None
     kind, incarnation, number, resource, rate = QUOTA.unpack(raw)
@@ -185,7 +185,7 @@
 
 
 def decode_health_report(raw: bytes) -> HealthReport | None:
-    """Decode a report on a server's health; None where it is malformed."""
+    """Decode a report on a server's health; None if it is malformed."""
     if len(raw) != HEALTH_REPORT.size or raw[0] != HEALTH_REPORT_KIND:
         return None
     _, server, verdict, number = HEALTH_REPORT.unpack(raw)
--- a/packages/messages/src/fennelcove/rollout_messages.py
+++ b/packages/messages/src/fennelcove/rollout_messages.py
@@ -1,7 +1,7 @@
-"""Byte codec of the messages of `fennelcove.rollouts`: a kind, then fields of fixed size.
+"""Byte codec of the messages of `fennelcove.rollouts`: a kind byte, then fields of fixed size.
 
-Values above a field's bound are sent as the bound; a message with values out of range is malformed. All
-numbers are big-endian.
+The encoder clamps values to the maximum of their field; the decoder rejects messages with values out of range
+as malformed. All numbers are big-endian.
 """
 
 from __future__ import annotations
@@ -47,34 +47,35 @@
 MAX_PLACE = 0x7FFF
 
 # Incarnation, sequence, acknowledged incarnation and sequence, serving state, version, serving time,
-# requested, served, refused, failed, shedding level, storm phase, last request number, term, turn, record
-# known; then the open requests.
+# requested, served, refused, failed, shedding level, storm phase, last request number, term, turn, whether
+# the record is known; then the open requests.
 HEARTBEAT_FIELDS = struct.Struct(">QIQIBIIIIIIBBIIIB")
 OPEN_REQUEST_FIELDS = struct.Struct(">BHIB")  # kind, place, request number, granted
 PERMIT_REQUEST_FIELDS = struct.Struct(">QIBHII")  # incarnation, number, kind, place, term, turn
-PERMIT_VOTE_FIELDS = struct.Struct(
-    ">QIB"
-)  # requester's incarnation, request number, verdict; then the places
+# Requester's incarnation, request number, verdict; then the promised places.
+PERMIT_VOTE_FIELDS = struct.Struct(">QIB")
 PLACE = struct.Struct(">H")
 LEADER_VOTE_REQUEST_FIELDS = struct.Struct(">QI")  # incarnation, term
-LEADER_VOTE_FIELDS = struct.Struct(">QIBB")  # candidate's incarnation, term, granted, known; then a record
-# Term, turn, phase, reason, back, goal, fence; then the plan: number, wanted, before, canary, wave, soak,
-# out, floor, refused, failed, worse, level, storm.
+# Candidate's incarnation, term, granted, whether the record is known; then the record.
+LEADER_VOTE_FIELDS = struct.Struct(">QIBB")
+# Term, turn, phase, halt reason, rolling back, goal, fence; then the plan: number, wanted, before, canary,
+# wave, soak time, outage time, floor, refused, failed, worse, level, storm.
 RECORD_FIELDS = struct.Struct(">IIBBBHIIIIHHIIHHHHBB")
 PROPOSAL_ACK_FIELDS = struct.Struct(">II")  # term, turn
 RECEIVER_INCARNATION = struct.Struct(">Q")
 ROLLOUT_ORDER_FIELDS = struct.Struct(">QIII")  # receiver's incarnation, term, turn, version
+# Maximum of each `struct` format code.
 FIELD_BOUNDS = {"B": 0xFF, "H": 0xFFFF, "I": 0xFFFF_FFFF, "Q": 0xFFFF_FFFF_FFFF_FFFF}
 
 
 def encode(message: RolloutMessage) -> bytes:
-    """Encode a message, into 256 bytes at most."""
+    """Encode a message into at most 256 bytes."""
     kind, encoder = ENCODERS[type(message)]
     return bytes([kind]) + encoder(message)
 
 
 def decode(raw: bytes) -> RolloutMessage | None:
-    """Decode a message; None where it is malformed, or of an unknown version."""
+    """Decode a message; None if it is malformed or its kind is unknown."""
     if not KIND_BYTES < len(raw) <= MAX_BYTES or raw[0] not in DECODERS:
         return None
     try:
@@ -84,7 +85,7 @@
 
 
 def _pack(fields: struct.Struct, *values: int) -> bytes:
-    """Pack bounded values: counters of a long incarnation exceed four bytes, and stop at the bound."""
+    """Pack values, clamped to their fields: counters of a long incarnation can exceed four bytes."""
     codes = fields.format.lstrip(">")
     bounds = [FIELD_BOUNDS[code] for code in codes]
     return fields.pack(*(min(int(value), bound) for value, bound in zip(values, bounds, strict=True)))
@@ -122,14 +123,14 @@
 def _decode_heartbeat(raw: bytes) -> Heartbeat:
     rows = raw[HEARTBEAT_FIELDS.size :]
     if len(rows) % OPEN_REQUEST_FIELDS.size or len(rows) > MAX_OPEN_REQUESTS * OPEN_REQUEST_FIELDS.size:
-        raise ValueError(f"{len(rows)} bytes of open requests")
+        raise ValueError(f"open requests take {len(rows)} bytes: not a whole number of rows, or too many")
     incarnation, sequence, acked_incarnation, acked_sequence, *state = HEARTBEAT_FIELDS.unpack_from(raw)
     serving_state, *counts, is_record_known = state
     open_requests = tuple(
         OpenRequest(PlaceKind(kind), _checked_place(place), number, _checked_flag(is_granted))
         for kind, place, number, is_granted in OPEN_REQUEST_FIELDS.iter_unpack(rows)
     )
-    # The fields in the order in which `Heartbeat` declares them.
+    # In the order in which `Heartbeat` declares its fields.
     fields = (
         incarnation,
         sequence,
@@ -171,7 +172,7 @@
     rows = PLACE.iter_unpack(raw[PERMIT_VOTE_FIELDS.size :])
     places = tuple(_checked_place(place) for (place,) in rows)
     if len(places) > MAX_PROMISED_PLACES:
-        raise ValueError(f"{len(places)} promised places")
+        raise ValueError(f"{len(places)} promised places, maximum {MAX_PROMISED_PLACES}")
     return PermitVote(incarnation, number, PermitVerdict(verdict), places)
 
 
@@ -239,13 +240,13 @@
 
 def _checked_flag(value: int) -> bool:
     if value > 1:
-        raise ValueError(f"flag {value}")
+        raise ValueError(f"flag {value} is neither 0 nor 1")
     return bool(value)
 
 
 def _checked_place(value: int) -> int:
     if value > MAX_PLACE:
-        raise ValueError(f"place {value}")
+        raise ValueError(f"place {value} is above {MAX_PLACE}")
     return value
 
 
