--- a/packages/rollouts/src/fennelcove/rollouts/disruption_budget.py
+++ b/packages/rollouts/src/fennelcove/rollouts/disruption_budget.py
@@ -16,7 +16,7 @@
     capacity: float = 1.0  # in a unit that is the same for all places of a kind
     load: float = 0.0  # current load, in the unit of the capacity
     titles: frozenset[int] = field(default_factory=frozenset)  # that a server stores
-    is_warm: bool = True  # whether its caches are warmed up
+    is_warm: bool = True  # False while it is warming up
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/rollouts/src/fennelcove/rollouts/permit_settings.py
+++ b/packages/rollouts/src/fennelcove/rollouts/permit_settings.py
@@ -21,7 +21,7 @@
     limit: DisruptionLimit
     permit_window_us: int = 2_000_000  # how long after a request votes count and the drain may begin
     health_timeout_us: int = 2_000_000  # a place without an observation for this long is unavailable
-    drain_visible_us: int = 0  # until all fronts have observed that a server drains
+    drain_visible_us: int = 0  # time until all fronts have observed a server's drain
 
     @property
     def majority(self) -> int:
--- a/packages/rollouts/src/fennelcove/rollouts/record_acceptor.py
+++ b/packages/rollouts/src/fennelcove/rollouts/record_acceptor.py
@@ -38,7 +38,7 @@
     recovering_until_us: int = 0
     leader_seen_us: int = 0
     informed_peers: set[int] = field(default_factory=set)  # know their record, which is not newer
-    uninformed_peers: set[int] = field(default_factory=set)  # lost their state and know of no record
+    uninformed_peers: set[int] = field(default_factory=set)  # can't vote either and know of no record
     has_unsaved_changes: bool = False
 
     def __post_init__(self) -> None:
--- a/packages/rollouts/src/fennelcove/rollouts/types.py
+++ b/packages/rollouts/src/fennelcove/rollouts/types.py
@@ -123,10 +123,10 @@
     front_count: int
     front_index: int
     heartbeat_us: int = 250_000
-    permit_window_us: int = 2_000_000  # after its request a permit can be granted and used for this long
+    permit_window_us: int = 2_000_000  # how long after a request votes count and the drain may begin
     front_timeout_us: int = 2_000_000  # a front without a heartbeat for this long is unavailable
     server_timeout_us: int = 5_000_000  # a server without an observation for this long is unavailable
-    drain_visible_us: int = 5_000_000  # until all fronts have observed that a server drains
+    drain_visible_us: int = 5_000_000  # time until all fronts have observed a server's drain
 
     def permit_settings(self, kind: PlaceKind, limits: FleetLimits) -> PermitSettings:
         """Return the permit settings for one kind of place."""
