--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/adaptive_limit.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/adaptive_limit.py
@@ -26,7 +26,7 @@
 from fennelcove.concurrency_limits.latency_samples import MIN_SAMPLES, LatencySamples
 from fennelcove.concurrency_limits.limit_decay import decayed_limit
 from fennelcove.concurrency_limits.limit_transitions import (
-    STATES_TO_AGREE,
+    STATES_AWAITING_AGREEMENT,
     TRANSITIONS,
     LimitAction,
     LimitSignal,
@@ -73,11 +73,11 @@
     state: LimitState = LimitState.STEADY
     previous_limit: int = 0  # from which a rise or a probe began
     last_action_us: int = 0
-    in_force_us: int = 0  # when the last proposal came into force, 0 where it has not
+    in_force_since_us: int = 0  # when the last proposal came into force, 0 where it has not
     backoff_us: int = MIN_BACKOFF_US
     gradient_at_fall: float = 1.0
     last_gradient: float = 1.0  # the last gradient
-    baseline_seen_us: int = 0  # when the server was last healthy, or its baseline was measured
+    baseline_confirmed_us: int = 0  # when the server was last healthy, or its baseline was measured
     last_conclusive_us: int = 0  # when measurements were last conclusive
     sampled_us: int = 0  # the end of the last samples; in the future, while a proposal settles
     samples: LatencySamples = field(default_factory=LatencySamples)
@@ -89,32 +89,32 @@
 
     def __post_init__(self) -> None:
         """Start all timers now."""
-        self.last_action_us = self.baseline_seen_us = self.last_conclusive_us = self.now_us
+        self.last_action_us = self.baseline_confirmed_us = self.last_conclusive_us = self.now_us
 
     def on_window_closed(
-        self, observed: Mapping[int, ObservedLatency], agreed: int, now_us: int
+        self, observed: Mapping[int, ObservedLatency], agreed_limit: int, now_us: int
     ) -> LimitAction:
         """Update the proposal at the end of a window.
 
         Args:
             observed: the fleet's measurements of the server, by shape.
-            agreed: the limit in force at the server.
+            agreed_limit: the limit in force at the server.
             now_us: the time.
 
         Returns:
             The action that was carried out.
         """
-        signal = self._agreement_signal(agreed, now_us)
+        signal = self._agreement_signal(agreed_limit, now_us)
         if signal is None and self._is_sampling() and now_us - self.sampled_us >= ROW_SPAN_US:
             self.sampled_us = now_us
             self.samples.add(observed, now_us)
-            signal = self._sample_signal(agreed, now_us)
+            signal = self._sample_signal(agreed_limit, now_us)
         if signal is None:
             return LimitAction.KEEP
         transition = TRANSITIONS.apply(self.state, signal)
         self.state = transition.state
         (action,) = transition.actions
-        ACTIONS[action](self, agreed, now_us)
+        ACTIONS[action](self, agreed_limit, now_us)
         self.action_counts[action] = self.action_counts.get(action, 0) + 1
         self.samples.clear()
         return action
@@ -122,21 +122,21 @@
     # Signals.
 
     def _is_sampling(self) -> bool:
-        return self.state not in STATES_TO_AGREE or bool(self.in_force_us)
+        return self.state not in STATES_AWAITING_AGREEMENT or bool(self.in_force_since_us)
 
-    def _is_in_force(self, agreed: int) -> bool:
-        return agreed >= self.limit if self.state is LimitState.PROVING else agreed <= self.limit
+    def _is_in_force(self, agreed_limit: int) -> bool:
+        return agreed_limit >= self.limit if self.state is LimitState.PROVING else agreed_limit <= self.limit
 
-    def _agreement_signal(self, agreed: int, now_us: int) -> LimitSignal | None:
+    def _agreement_signal(self, agreed_limit: int, now_us: int) -> LimitSignal | None:
         """What follows from the limit in force and from time alone."""
         has_timed_out = now_us - self.last_action_us >= AGREEMENT_TIMEOUT_US
         not_agreed = LimitSignal.NOT_AGREED if has_timed_out else None
-        if self.state is LimitState.STEADY and agreed != self.limit:
+        if self.state is LimitState.STEADY and agreed_limit != self.limit:
             return not_agreed
         if not self._is_sampling():
-            if not self._is_in_force(agreed):
+            if not self._is_in_force(agreed_limit):
                 return not_agreed
-            self.in_force_us = now_us
+            self.in_force_since_us = now_us
             self._settle(now_us)
         if self.state is LimitState.RESTING and now_us - self.last_action_us >= self.backoff_us:
             return LimitSignal.BACKOFF_ENDED
@@ -147,7 +147,7 @@
         longest_us = max(self.samples.median_service_us.values(), default=0.0)
         self.sampled_us = now_us + round(min(float(MAX_SETTLE_US), SETTLE_FACTOR * longest_us))
 
-    def _sample_signal(self, agreed: int, now_us: int) -> LimitSignal | None:
+    def _sample_signal(self, agreed_limit: int, now_us: int) -> LimitSignal | None:
         """What the samples signal; None while there are too few."""
         completed = self.samples.completed
         if completed < MIN_SAMPLES:
@@ -166,10 +166,10 @@
         if gradient > KNEE_GRADIENT * (1 + self.samples.uncertainty()):
             return self._overload_signal(gradient)
         if gradient > HEALTHY_GRADIENT:
-            is_stale = now_us - self.baseline_seen_us >= PROBE_INTERVAL_US
+            is_stale = now_us - self.baseline_confirmed_us >= PROBE_INTERVAL_US
             return LimitSignal.BASELINE_STALE if is_stale else LimitSignal.NEAR_KNEE
-        self.baseline_seen_us = now_us
-        return self._capacity_signal(required.total, agreed)
+        self.baseline_confirmed_us = now_us
+        return self._capacity_signal(required.total, agreed_limit)
 
     def _overload_signal(self, gradient: float) -> LimitSignal:
         has_fallen = self.state is LimitState.FELL
@@ -177,80 +177,80 @@
         self.gradient_at_fall = gradient
         return LimitSignal.FALL_DID_NOT_HELP if has_not_helped else LimitSignal.OVERLOADED
 
-    def _capacity_signal(self, required: int, agreed: int) -> LimitSignal:
-        if agreed >= self.settings.max_limit:
+    def _capacity_signal(self, required: int, agreed_limit: int) -> LimitSignal:
+        if agreed_limit >= self.settings.max_limit:
             return LimitSignal.HEALTHY
         # More than the formula requires only where set-ups are seen to wait.
         if self.samples.late_share(self.settings.max_wait_us) > MAX_LATE_SHARE:
             required = ceil(SPLIT_FACTOR * required)
-        return LimitSignal.SLOTS_SHORT if required > agreed else LimitSignal.HEALTHY
+        return LimitSignal.SLOTS_SHORT if required > agreed_limit else LimitSignal.HEALTHY
 
     # Actions. Each takes the limit in force and the time.
 
     def _record_action(self, now_us: int) -> None:
         self.last_action_us = now_us
-        self.in_force_us = 0
-        if self.state not in STATES_TO_AGREE:
+        self.in_force_since_us = 0
+        if self.state not in STATES_AWAITING_AGREEMENT:
             self._settle(now_us)
 
-    def decay(self, agreed: int, now_us: int) -> None:
+    def decay(self, agreed_limit: int, now_us: int) -> None:
         """Let the limit decay for want of conclusive measurements."""
         unconfirmed_us = now_us - max(self.last_action_us, self.last_conclusive_us)
-        decayed = decayed_limit(agreed, self.settings.start, unconfirmed_us)
-        if decayed < agreed:
+        decayed = decayed_limit(agreed_limit, self.settings.start, unconfirmed_us)
+        if decayed < agreed_limit:
             self.limit = decayed
             self._record_action(now_us)
 
-    def rise(self, agreed: int, now_us: int) -> None:
+    def rise(self, agreed_limit: int, now_us: int) -> None:
         """Start the trial of a higher limit."""
-        self.previous_limit = agreed
+        self.previous_limit = agreed_limit
         divisor = FAR_RISE_DIVISOR if self.last_gradient < FAR_FROM_KNEE_GRADIENT else NEAR_RISE_DIVISOR
-        self.limit = min(self.settings.max_limit, agreed + max(1, agreed // divisor))
+        self.limit = min(self.settings.max_limit, agreed_limit + max(1, agreed_limit // divisor))
         self.backoff_us = MIN_BACKOFF_US
         self._record_action(now_us)
 
-    def end_trial(self, agreed: int, now_us: int) -> None:
+    def end_trial(self, agreed_limit: int, now_us: int) -> None:
         """End the trial of a higher limit, or a probe, and return to the limit before."""
         if self.state is LimitState.RESTING:  # after a rise
             self.backoff_us = min(MAX_BACKOFF_US, 2 * self.backoff_us)
-            self.limit = min(agreed, self.previous_limit)
+            self.limit = min(agreed_limit, self.previous_limit)
         else:  # after a probe
             self.samples.close_bucket(now_us)
             self.limit = self.previous_limit
-            self.baseline_seen_us = now_us
+            self.baseline_confirmed_us = now_us
         self._record_action(now_us)
 
-    def fall(self, agreed: int, now_us: int) -> None:
+    def fall(self, agreed_limit: int, now_us: int) -> None:
         """Lower the limit by how far the gradient is beyond the healthy one."""
         ratio = min(GENTLEST_FALL_RATIO, HEALTHY_GRADIENT / self.gradient_at_fall)
-        self._fall_to(max(STEEPEST_FALL_RATIO, ratio), agreed, now_us)
+        self._fall_to(max(STEEPEST_FALL_RATIO, ratio), agreed_limit, now_us)
 
-    def halve(self, agreed: int, now_us: int) -> None:
+    def halve(self, agreed_limit: int, now_us: int) -> None:
         """Lower the limit as far as one fall may."""
-        self._fall_to(STEEPEST_FALL_RATIO, agreed, now_us)
+        self._fall_to(STEEPEST_FALL_RATIO, agreed_limit, now_us)
 
-    def _fall_to(self, ratio: float, agreed: int, now_us: int) -> None:
-        self.limit = max(self.settings.min_limit, round(agreed * ratio))
-        self.previous_limit = max(self.previous_limit, agreed)
+    def _fall_to(self, ratio: float, agreed_limit: int, now_us: int) -> None:
+        self.limit = max(self.settings.min_limit, round(agreed_limit * ratio))
+        self.previous_limit = max(self.previous_limit, agreed_limit)
         self._record_action(now_us)
 
-    def relearn_baseline(self, agreed: int, now_us: int) -> None:
+    def relearn_baseline(self, agreed_limit: int, now_us: int) -> None:
         """Undo the falls and discard the baseline: fewer attempts did not help."""
         self.samples.discard_baseline(now_us)
-        self.limit = max(agreed, self.previous_limit)
+        self.limit = max(agreed_limit, self.previous_limit)
         self.backoff_us = MIN_BACKOFF_US
         self._record_action(now_us)
 
-    def probe(self, agreed: int, now_us: int) -> None:
+    def probe(self, agreed_limit: int, now_us: int) -> None:
         """Lower the limit for a while, to measure the baseline."""
         self.samples.close_bucket(now_us)
-        self.previous_limit = agreed
-        self.limit = max(self.settings.min_limit, round(agreed * PROBE_RATIO))
+        self.previous_limit = agreed_limit
+        self.limit = max(self.settings.min_limit, round(agreed_limit * PROBE_RATIO))
         self._record_action(now_us)
 
-    def follow(self, agreed: int, now_us: int) -> None:
+    def follow(self, agreed_limit: int, now_us: int) -> None:
         """Adopt the limit in force."""
-        self.limit = agreed
+        self.limit = agreed_limit
         self._record_action(now_us)
 
 
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/erlang.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/erlang.py
@@ -8,12 +8,12 @@
 MIN_HOLD_S = 1e-9  # avoids a division by zero
 
 
-def _next_blocking(blocking: float, slots: int, offered_load: float) -> float:
+def _next_erlang_b(blocking: float, slots: int, offered_load: float) -> float:
     """Erlang B for `slots`, from its value for one slot fewer: no factorial of a large number."""
     return offered_load * blocking / (slots + offered_load * blocking)
 
 
-def _queueing(blocking: float, slots: int, offered_load: float) -> float:
+def _erlang_c(blocking: float, slots: int, offered_load: float) -> float:
     """Erlang C, from Erlang B; the load must be below the number of slots."""
     return blocking / (1 - offered_load / slots * (1 - blocking))
 
@@ -29,8 +29,8 @@
         return 1.0
     blocking = 1.0
     for count in range(1, slots + 1):
-        blocking = _next_blocking(blocking, count, offered_load)
-    return _queueing(blocking, slots, offered_load)
+        blocking = _next_erlang_b(blocking, count, offered_load)
+    return _erlang_c(blocking, slots, offered_load)
 
 
 def required_slots(arrivals_per_s: float, hold_s: float, max_wait_s: float, late_share: float) -> int:
@@ -50,10 +50,10 @@
     blocking = 1.0
     while slots < MAX_SLOTS:
         slots += 1
-        blocking = _next_blocking(blocking, slots, offered_load)
+        blocking = _next_erlang_b(blocking, slots, offered_load)
         if offered_load >= slots:
             continue
-        still_waiting = exp(-(slots - offered_load) * max_wait_s / max(hold_s, MIN_HOLD_S))
-        if _queueing(blocking, slots, offered_load) * still_waiting <= late_share:
+        late_if_waiting = exp(-(slots - offered_load) * max_wait_s / max(hold_s, MIN_HOLD_S))
+        if _erlang_c(blocking, slots, offered_load) * late_if_waiting <= late_share:
             break
     return slots
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_histogram.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_histogram.py
@@ -36,12 +36,12 @@
     return min(LAST_CLASS, int(CLASSES_PER_DOUBLING * doublings) + 1)
 
 
-def class_bounds_us(number: int) -> tuple[float, float]:
+def class_bounds_us(class_index: int) -> tuple[float, float]:
     """The lower and the upper bound of a class."""
-    if number <= 0:
+    if class_index <= 0:
         return 0.0, FIRST_CLASS_US
-    lower_us = FIRST_CLASS_US * 2 ** ((number - 1) / CLASSES_PER_DOUBLING)
-    upper_us = FIRST_CLASS_US * 2 ** (number / CLASSES_PER_DOUBLING)
+    lower_us = FIRST_CLASS_US * 2 ** ((class_index - 1) / CLASSES_PER_DOUBLING)
+    upper_us = FIRST_CLASS_US * 2 ** (class_index / CLASSES_PER_DOUBLING)
     return lower_us, upper_us
 
 
@@ -67,13 +67,13 @@
     service_times: dict[int, int] = field(default_factory=dict)  # class, count
     waiting_times: dict[int, int] = field(default_factory=dict)
 
-    def add_service_time(self, number: int) -> None:
+    def add_service_time(self, class_index: int) -> None:
         """Count an attempt that ended, by the class of its service time."""
-        self.service_times[number] = self.service_times.get(number, 0) + 1
+        self.service_times[class_index] = self.service_times.get(class_index, 0) + 1
 
-    def add_waiting_time(self, number: int) -> None:
+    def add_waiting_time(self, class_index: int) -> None:
         """Count an attempt that got a slot, by the class of its waiting time."""
-        self.waiting_times[number] = self.waiting_times.get(number, 0) + 1
+        self.waiting_times[class_index] = self.waiting_times.get(class_index, 0) + 1
 
     def add(self, other: LatencyHistogram) -> None:
         """Add the counts of another window."""
@@ -96,12 +96,12 @@
 
 
 def _add_counts(total: dict[int, int], counts: Mapping[int, int]) -> None:
-    for number, count in counts.items():
-        total[number] = total.get(number, 0) + count
+    for class_index, count in counts.items():
+        total[class_index] = total.get(class_index, 0) + count
 
 
 def _bounded_counts(counts: Mapping[int, int]) -> ClassCounts:
-    return tuple((number, min(counts[number], MAX_CLASS_COUNT)) for number in sorted(counts))
+    return tuple((class_index, min(counts[class_index], MAX_CLASS_COUNT)) for class_index in sorted(counts))
 
 
 @dataclass(slots=True)
@@ -134,7 +134,7 @@
 
 def total_us(counts: Iterable[tuple[int, float]]) -> float:
     """The sum of all durations, each taken as the middle of its class."""
-    return sum(count * sum(class_bounds_us(number)) / 2 for number, count in counts)
+    return sum(count * sum(class_bounds_us(class_index)) / 2 for class_index, count in counts)
 
 
 def total_count(counts: Iterable[tuple[int, float]]) -> float:
@@ -148,11 +148,11 @@
     if total <= 0:
         return None
     remaining = share * total
-    for number in sorted(counts):
-        if remaining <= counts[number]:
-            lower_us, upper_us = class_bounds_us(number)
-            return lower_us + (upper_us - lower_us) * remaining / counts[number]
-        remaining -= counts[number]
+    for class_index in sorted(counts):
+        if remaining <= counts[class_index]:
+            lower_us, upper_us = class_bounds_us(class_index)
+            return lower_us + (upper_us - lower_us) * remaining / counts[class_index]
+        remaining -= counts[class_index]
     _, upper_us = class_bounds_us(max(counts))
     return upper_us
 
@@ -187,8 +187,8 @@
 
 
 def _add_weighted(total: dict[int, float], counts: Iterable[tuple[int, float]], weight: float) -> None:
-    for number, count in counts:
-        total[number] = total.get(number, 0.0) + count * weight
+    for class_index, count in counts:
+        total[class_index] = total.get(class_index, 0.0) + count * weight
 
 
 @dataclass(frozen=True, slots=True)
@@ -216,8 +216,8 @@
         Returns:
             Whether it is newer than the last one.
         """
-        known = self.rows.get((sender, row.shape))
-        if known is not None and (incarnation, sequence) <= (known.incarnation, known.sequence):
+        latest = self.rows.get((sender, row.shape))
+        if latest is not None and (incarnation, sequence) <= (latest.incarnation, latest.sequence):
             return False
         self.rows[sender, row.shape] = _ReceivedRow(incarnation, sequence, row, now_us)
         return True
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_samples.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_samples.py
@@ -52,7 +52,7 @@
     by_shape: dict[int, ObservedLatency] = field(default_factory=dict)  # since the last action
     span_us: int = 0  # which these cover
     median_service_us: dict[int, float] = field(default_factory=dict)  # by shape
-    open_bucket: dict[int, ObservedLatency] = field(default_factory=dict)
+    current_bucket: dict[int, ObservedLatency] = field(default_factory=dict)
     bucket_opened_us: int = 0
     baselines: deque[BaselineBucket] = field(default_factory=lambda: deque(maxlen=BUCKETS))
 
@@ -71,7 +71,7 @@
         self.span_us += ROW_SPAN_US
         for shape, latency in observed.items():
             self.by_shape.setdefault(shape, ObservedLatency()).add(latency)
-            self.open_bucket.setdefault(shape, ObservedLatency()).add(latency)
+            self.current_bucket.setdefault(shape, ObservedLatency()).add(latency)
         medians = {shape: quantile_us(latency.service_times, 0.5) for shape, latency in self.by_shape.items()}
         self.median_service_us = {shape: median for shape, median in medians.items() if median is not None}
         if self._has_first_bucket() or now_us - self.bucket_opened_us >= BUCKET_US:
@@ -79,7 +79,7 @@
 
     def _has_first_bucket(self) -> bool:
         """Whether the first bucket is full enough to be closed early."""
-        completed = sum(latency.completed for latency in self.open_bucket.values())
+        completed = sum(latency.completed for latency in self.current_bucket.values())
         return not self.baselines and completed >= 2 * MIN_SAMPLES
 
     def clear(self) -> None:
@@ -97,13 +97,13 @@
         while self.baselines and now_us - self.baselines[0].closed_us >= BUCKET_US * BUCKETS:
             self.baselines.popleft()
         medians_us = {}
-        for shape, latency in self.open_bucket.items():
+        for shape, latency in self.current_bucket.items():
             median = quantile_us(latency.service_times, 0.5)
             if median is not None and latency.completed >= MIN_SAMPLES:
                 # The lowest of ten medians is too low by chance alone.
                 medians_us[shape] = median * (1 + median_uncertainty(latency))
         self.baselines.append(BaselineBucket(now_us, medians_us))
-        self.open_bucket = {}
+        self.current_bucket = {}
         self.bucket_opened_us = now_us
 
     def baseline_us(self, shape: int) -> float | None:
@@ -164,7 +164,9 @@
 
 
 def _late_count(latency: ObservedLatency, first_late_class: int) -> float:
-    late = sum(count for number, count in latency.waiting_times.items() if number >= first_late_class)
+    late = sum(
+        count for class_index, count in latency.waiting_times.items() if class_index >= first_late_class
+    )
     return latency.denied + late
 
 
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/persisted.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/persisted.py
@@ -53,8 +53,8 @@
     return min(stored.whole, decayed_limit(stored.whole, initial_limit, age_us))
 
 
-def is_same_start(one_us: int, other_us: int) -> bool:
+def is_same_start(first_us: int, second_us: int) -> bool:
     """Whether two starts of servers may be one; 0 is long ago, and equals only itself."""
-    if not one_us or not other_us:
-        return one_us == other_us
-    return abs(one_us - other_us) <= START_TOLERANCE_US
+    if not first_us or not second_us:
+        return first_us == second_us
+    return abs(first_us - second_us) <= START_TOLERANCE_US
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/quorum.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/quorum.py
@@ -24,7 +24,7 @@
 from fennelcove.concurrency_limits.limit_decay import decayed_limit
 from fennelcove.state_machine import Transition, TransitionTable
 
-PANEL_SIZE = 15
+MAX_VOTERS = 15
 VOTE_VALIDITY_US = 4_000_000
 MAX_SHAPE_LIMITS = 6  # shapes for which a vote has a limit
 
@@ -53,28 +53,28 @@
     ADOPT_MAJORITY = auto()
 
 
-_S, _E, _A = AgreementState, AgreementSignal, AgreementAction
+_STATE, _SIGNAL, _ACTION = AgreementState, AgreementSignal, AgreementAction
 TRANSITIONS: TransitionTable[AgreementState, AgreementSignal, AgreementAction] = TransitionTable(
     {
-        (_S.ALONE, _E.NO_VOTES): Transition(_S.ALONE, (_A.DECAY,)),
-        (_S.ALONE, _E.MINORITY): Transition(_S.ALONE, (_A.LOWER_TO_MEDIAN,)),
-        (_S.ALONE, _E.MAJORITY): Transition(_S.LED, (_A.ADOPT_MAJORITY,)),
-        (_S.LED, _E.NO_VOTES): Transition(_S.CUT, (_A.DECAY,)),
-        (_S.LED, _E.MINORITY): Transition(_S.CUT, (_A.LOWER_TO_MEDIAN,)),
-        (_S.LED, _E.MAJORITY): Transition(_S.LED, (_A.ADOPT_MAJORITY,)),
-        (_S.CUT, _E.NO_VOTES): Transition(_S.CUT, (_A.DECAY,)),
-        (_S.CUT, _E.MINORITY): Transition(_S.CUT, (_A.LOWER_TO_MEDIAN,)),
-        (_S.CUT, _E.MAJORITY): Transition(_S.LED, (_A.ADOPT_MAJORITY,)),
+        (_STATE.ALONE, _SIGNAL.NO_VOTES): Transition(_STATE.ALONE, (_ACTION.DECAY,)),
+        (_STATE.ALONE, _SIGNAL.MINORITY): Transition(_STATE.ALONE, (_ACTION.LOWER_TO_MEDIAN,)),
+        (_STATE.ALONE, _SIGNAL.MAJORITY): Transition(_STATE.LED, (_ACTION.ADOPT_MAJORITY,)),
+        (_STATE.LED, _SIGNAL.NO_VOTES): Transition(_STATE.CUT, (_ACTION.DECAY,)),
+        (_STATE.LED, _SIGNAL.MINORITY): Transition(_STATE.CUT, (_ACTION.LOWER_TO_MEDIAN,)),
+        (_STATE.LED, _SIGNAL.MAJORITY): Transition(_STATE.LED, (_ACTION.ADOPT_MAJORITY,)),
+        (_STATE.CUT, _SIGNAL.NO_VOTES): Transition(_STATE.CUT, (_ACTION.DECAY,)),
+        (_STATE.CUT, _SIGNAL.MINORITY): Transition(_STATE.CUT, (_ACTION.LOWER_TO_MEDIAN,)),
+        (_STATE.CUT, _SIGNAL.MAJORITY): Transition(_STATE.LED, (_ACTION.ADOPT_MAJORITY,)),
     }
 )
 
 
-def panel_of(server: int, fronts: int) -> tuple[int, ...]:
+def voters_of(server: int, fronts: int) -> tuple[int, ...]:
     """The indexes of the fronts that vote on a server's limit, by rendezvous hashing."""
-    if fronts <= PANEL_SIZE:
+    if fronts <= MAX_VOTERS:
         return tuple(range(fronts))
-    by_hash = sorted(range(fronts), key=lambda front: crc32(f"{server}/{front}".encode()))
-    return tuple(sorted(by_hash[:PANEL_SIZE]))
+    fronts_by_hash = sorted(range(fronts), key=lambda front: crc32(f"{server}/{front}".encode()))
+    return tuple(sorted(fronts_by_hash[:MAX_VOTERS]))
 
 
 def home_slots(server: int, limit: int, fronts: int, index: int) -> int:
@@ -117,7 +117,7 @@
 class QuorumAgreement:
     """The limit of one server that is in force at one front. The caller passes in times."""
 
-    panel: tuple[int, ...]
+    voters: tuple[int, ...]
     limit: int  # the limit in force
     initial_limit: int
     now_us: int
@@ -132,7 +132,7 @@
     @property
     def majority(self) -> int:
         """How many votes are a majority of the panel, whether or not all of its members are running."""
-        return len(self.panel) // 2 + 1
+        return len(self.voters) // 2 + 1
 
     def on_vote(self, sender: int, incarnation: int, sequence: int, vote: QuorumVote, now_us: int) -> bool:
         """Handle a vote. Those of fronts outside the panel, repeated and late ones are ignored.
@@ -140,13 +140,13 @@
         Returns:
             Whether the limit in force may change by it.
         """
-        if sender not in self.panel:
+        if sender not in self.voters:
             return False
-        known = self.votes.get(sender)
-        if known is not None and (incarnation, sequence) <= (known.incarnation, known.sequence):
+        latest = self.votes.get(sender)
+        if latest is not None and (incarnation, sequence) <= (latest.incarnation, latest.sequence):
             return False
         self.votes[sender] = _ReceivedVote(incarnation, sequence, vote, now_us)
-        return known is None or known.vote.limit != vote.limit or not known.is_valid(now_us)
+        return latest is None or latest.vote.limit != vote.limit or not latest.is_valid(now_us)
 
     def valid_votes(self, now_us: int) -> list[QuorumVote]:
         """The votes that were received recently enough to count."""
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/quota_loans.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/quota_loans.py
@@ -17,10 +17,12 @@
 from fennelcove.decisions.fleet.shared_quotas import Quota, QuotaRequest, QuotaTransfer, Resource
 
 LOAN_US = 10_000_000  # must be longer than an attempt may last, or a loan is of no use to any
-UNLENT_SHARE = 0.2  # of the home slots, what is never lent: what a restarted front has until others answer
+RESERVED_FRACTION = (
+    0.2  # of the home slots, what is never lent: what a restarted front has until others answer
+)
 REQUEST_INTERVAL_US = 100_000  # between two requests
 RESPONSE_TIMEOUT_US = 150_000  # after which another front is asked
-REQUESTS_PER_SLOT = 3  # fronts asked for each missing slot: one that has none does not answer
+REQUEST_FANOUT = 3  # fronts asked for each missing slot: one that has none does not answer
 RETURN_ATTEMPTS = 3  # a return whose message is lost leaves the slot idle until the loan ends
 MAX_PENDING_RETURNS = 64
 ROUNDING = 1e-9  # sums of slots are floats
@@ -63,22 +65,22 @@
             self.incarnation,
             self.now_us,
             loan_us=self.loan_us,
-            reserved_fraction=UNLENT_SHARE,
+            reserved_fraction=RESERVED_FRACTION,
             granularity=1.0,
             request_interval_us=REQUEST_INTERVAL_US,
             request_reuse_us=RESPONSE_TIMEOUT_US,
-            request_fanout=REQUESTS_PER_SLOT,
+            request_fanout=REQUEST_FANOUT,
         )
         self.quota.requested_us = self.now_us - REQUEST_INTERVAL_US
 
     def set_limit(self, limit: int, now_us: int) -> None:
         """Set the server's limit in force. The home slots follow at once, loans run to their ends."""
         # A quota divides its whole by the number of fronts again.
-        whole = float(home_slots(self.server, limit, self.fronts, self.index) * self.fronts)
+        total_rate = float(home_slots(self.server, limit, self.fronts, self.index) * self.fronts)
         self.other_homes = other_homes(self.server, limit, self.fronts, self.index)
-        if whole != self.quota.total_rate:
+        if total_rate != self.quota.total_rate:
             self.quota.advance(now_us)
-            self.quota.total_rate = whole
+            self.quota.total_rate = total_rate
 
     def max_in_flight(self, now_us: int, max_duration_us: int = 0) -> int:
         """How many attempts may be in flight, if the next one lasts for `max_duration_us` at most."""
@@ -96,7 +98,7 @@
         if not self.in_flight:
             self.last_end_us = 0
 
-    def _update_need(self, now_us: int) -> None:
+    def _update_demand(self, now_us: int) -> None:
         self.quota.advance(now_us)
         self.quota.demand = float(self.in_flight + self.waiting)
 
@@ -104,7 +106,7 @@
         """The requests to send now, with their recipients; `draw` is a random number from 0 to 1."""
         if not self.waiting:
             return []
-        self._update_need(now_us)
+        self._update_demand(now_us)
         # A front lends once at a time. Requested one by one, a busy front would get one slot from each.
         missing = max(self.waiting, (self.in_flight + 1) // 2)
         self.quota.demand = float(self.in_flight + missing)
@@ -116,26 +118,26 @@
         Returned are loans that end too soon for an attempt, and those that are not required. The attempts in
         flight fit in the rest until they have ended.
         """
-        repeated = list(self.pending_returns)
-        first = [] if self.waiting else self.quota.cancel_requests()
+        repeated_returns = list(self.pending_returns)
+        new_returns = [] if self.waiting else self.quota.cancel_requests()
         for lender in sorted(self.quota.borrowed):
             if not self._should_return(lender, now_us):
                 continue
             transfer = self.quota.release(lender)
             if transfer is not None:
-                first.append((lender, transfer))
-        self._schedule_repetition(repeated, first)
-        return [(pending.lender, pending.transfer) for pending in repeated] + first
+                new_returns.append((lender, transfer))
+        self._schedule_repetition(repeated_returns, new_returns)
+        return [(pending.lender, pending.transfer) for pending in repeated_returns] + new_returns
 
     def _schedule_repetition(
-        self, repeated: list[PendingReturn], first: list[tuple[int, QuotaTransfer]]
+        self, repeated_returns: list[PendingReturn], new_returns: list[tuple[int, QuotaTransfer]]
     ) -> None:
         pending = [
-            PendingReturn(sent.lender, sent.transfer, sent.attempts_left - 1)
-            for sent in repeated
-            if sent.attempts_left > 1
+            PendingReturn(pending_return.lender, pending_return.transfer, pending_return.attempts_left - 1)
+            for pending_return in repeated_returns
+            if pending_return.attempts_left > 1
         ]
-        pending += [PendingReturn(lender, transfer, RETURN_ATTEMPTS - 1) for lender, transfer in first]
+        pending += [PendingReturn(lender, transfer, RETURN_ATTEMPTS - 1) for lender, transfer in new_returns]
         self.pending_returns = deque(pending, MAX_PENDING_RETURNS)
 
     def _should_return(self, lender: int, now_us: int) -> bool:
@@ -176,7 +178,7 @@
 
     def on_request(self, sender: int, request: QuotaRequest, now_us: int) -> QuotaTransfer | None:
         """Handle another front's request; returns the loan to send, None where there is none."""
-        self._update_need(now_us)
+        self._update_demand(now_us)
         return self.quota.on_request(sender, request, now_us)
 
     def on_transfer(self, sender: int, transfer: QuotaTransfer, now_us: int) -> bool:
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/replica.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/replica.py
@@ -14,7 +14,7 @@
 from fennelcove.concurrency_limits.adaptive_limit import AdaptiveLimit, LimitSettings
 from fennelcove.concurrency_limits.latency_histogram import WINDOW_US, HistogramRow
 from fennelcove.concurrency_limits.persisted import is_same_start
-from fennelcove.concurrency_limits.quorum import QuorumAgreement, QuorumVote, panel_of
+from fennelcove.concurrency_limits.quorum import QuorumAgreement, QuorumVote, voters_of
 from fennelcove.concurrency_limits.quota_loans import LOAN_US, QuotaLoans
 from fennelcove.concurrency_limits.server_limits import ReportOrigin, ServerLimits, initial_limit_of_kind
 from fennelcove.decisions.fleet.shared_quotas import QuotaRequest, QuotaTransfer
@@ -127,14 +127,14 @@
     def _new_server(
         self, key: int, kind: str, started_us: int, limit: int, loans: QuotaLoans | None, now_us: int
     ) -> ServerLimits:
-        panel = panel_of(key, self.fronts)
-        agreement = QuorumAgreement(panel, limit, self.settings.start, now_us)
+        voters = voters_of(key, self.fronts)
+        agreement = QuorumAgreement(voters, limit, self.settings.start, now_us)
         if loans is None:
             loans = QuotaLoans(key, self.fronts, self.index, self.incarnation, now_us, self.loan_us)
         loans.quota.is_cleared = not self.unacknowledged
         loans.set_limit(limit, now_us)
         server = ServerLimits(key, kind, started_us, agreement, loans)
-        if self.index in panel:
+        if self.index in voters:
             server.adaptive_limit = AdaptiveLimit(self.settings, limit, now_us)
         return server
 
@@ -271,9 +271,9 @@
     """Close a server's windows, update its limit, and return the reports to send about it."""
     reports: list[LimitReport] = []
     rows = server.close_windows(windows)
-    panel = tuple(front for front in server.agreement.panel if front != origin.front)
-    if rows and panel:
-        reports.append(LimitReport(panel, server.key, server.started_us, rows=rows))
+    voters = tuple(front for front in server.agreement.voters if front != origin.front)
+    if rows and voters:
+        reports.append(LimitReport(voters, server.key, server.started_us, rows=rows))
     if server.adaptive_limit is not None:
         vote = server.propose(server.adaptive_limit, rows, origin, now_us)
         recipients = server.vote_recipients(fronts, origin.front, now_us)
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/server_limits.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/server_limits.py
@@ -155,7 +155,7 @@
             for front, reported_us in self.reporters.items()
             if now_us - reported_us <= REPORTER_VALIDITY_US
         }
-        return tuple(sorted({*self.agreement.panel, *self.reporters} - {index}))
+        return tuple(sorted({*self.agreement.voters, *self.reporters} - {index}))
 
     def is_same_server(self, started_us: int, now_us: int) -> bool:
         """Whether a report is of this server, and not of another one at its address."""
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -35,7 +35,7 @@
     QuorumVote,
     home_slots,
     other_homes,
-    panel_of,
+    voters_of,
 )
 from fennelcove.concurrency_limits.quota_loans import LOAN_US, QuotaLoans
 from fennelcove.concurrency_limits.replica import LimitReport, Replica
@@ -323,9 +323,9 @@
         assert set(other_homes(box, 50, fronts, 0)) == others
 
     def test_a_panel_is_the_same_for_all_and_bounded(self) -> None:
-        assert panel_of(5, 12) == tuple(range(12))
-        assert len(set(panel_of(5, 1000))) == 15
-        assert panel_of(5, 1000) != panel_of(6, 1000)
+        assert voters_of(5, 12) == tuple(range(12))
+        assert len(set(voters_of(5, 1000))) == 15
+        assert voters_of(5, 1000) != voters_of(6, 1000)
 
 
 class LotTest(unittest.TestCase):
