--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/adaptive_limit.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/adaptive_limit.py
@@ -1,19 +1,20 @@
-"""The concurrency limit that one front proposes for one server, by the measurements of the whole fleet.
-
-Two forces act on it. From below: enough slots that no more than one set-up in a hundred waits longer than the
-configured part of its client timeout, at the present arrival rate (`erlang`). From above: the knee, beyond
-which more attempts in flight only make each one slower. It is found by the gradient, the ratio of present
-service times to a recent baseline (`latency_samples`).
-
-A rise is a trial: it is small, in force for a whole row's span before it counts, reverted where service times
-grew by it, and no other begins before it is confirmed. So is a fall: where service times stay as long with
-fewer attempts in flight, these were not the cause (another program on the server, a slow disk), and the
-baseline is learned again instead of lowering the limit for ever. A baseline that is never measured again
-would creep up under constant overload, so now and then the limit of a full server is lowered by a quarter for
-a while.
-
-A proposal has no effect until a majority of the server's panel proposes it (`quorum`): a trial is judged only
-when it is in force.
+"""The concurrency limit that one front proposes for one server, from the measurements of the whole fleet.
+
+The limit has a lower and an upper constraint. The lower one: enough slots that, at the current arrival rate,
+no more than one set-up in a hundred waits longer than the configured part of its client timeout (`erlang`).
+The upper one is the knee, beyond which more attempts in flight only make each of them slower. It is found by
+the gradient, the ratio of current service times to a recent baseline (`latency_samples`).
+
+A higher limit is first put on trial. The increase is small and must be in force for the span of a whole
+histogram row before it is evaluated; it is reverted if service times grew, and the next one starts only after
+it is confirmed. A lower limit is verified in the same way: if service times stay as long with fewer attempts
+in flight, these attempts were not the cause (but another program on the server, or a slow disk), and the
+baseline is learned again instead of lowering the limit without end. Under constant overload a baseline that
+is never measured again would drift upwards, so the limit of a full server is occasionally lowered by a
+quarter for a while (a probe).
+
+A proposal has no effect until a majority of the server's voters propose it (`quorum`), so measurements of a
+trial count only from when it is in force.
 """
 
 from __future__ import annotations
@@ -35,29 +36,29 @@
 
 __all__ = ["ACTIONS", "AdaptiveLimit", "LimitAction", "LimitSettings"]
 
-KNEE_GRADIENT = 1.5  # beyond it service times are long for want of capacity
-HEALTHY_GRADIENT = 1.25  # up to it a rise has done no harm
+KNEE_GRADIENT = 1.5  # above this, service times are long because the server lacks capacity
+HEALTHY_GRADIENT = 1.25  # up to this, a higher limit does no harm
 FAR_FROM_KNEE_GRADIENT = 1.1
 FAR_RISE_DIVISOR, NEAR_RISE_DIVISOR = 3, 8  # a rise adds a third or an eighth of the limit, at least one
-PROBE_RATIO = 0.75  # its inverse must be above HEALTHY_GRADIENT, or a creeping baseline is not noticed
-MAX_SAMPLING_US = 12_000_000  # for which samples are collected until they are conclusive
+PROBE_RATIO = 0.75  # its inverse must exceed HEALTHY_GRADIENT, or a drifting baseline is not detected
+MAX_SAMPLING_US = 12_000_000  # after this, samples that are still inconclusive count as too few
 MAX_UNANSWERED_SHARE = 0.2  # of all completed attempts
 MAX_LATE_SHARE = 0.01  # of set-ups, that may wait longer than configured
-SPLIT_FACTOR = 1.5  # slots split among many fronts: some are always idle where nobody requests one
-IMPROVED_RATIO = 0.92  # a fall that left more than this part of the gradient has not helped
-GENTLEST_FALL_RATIO, STEEPEST_FALL_RATIO = 0.85, 0.5  # of the limit, what a fall leaves
+SPLIT_FACTOR = 1.5  # with slots split among many fronts, some are always idle at a front without requests
+IMPROVED_RATIO = 0.92  # lowering the limit did not help if the gradient stays above this part of its value
+GENTLEST_FALL_RATIO, STEEPEST_FALL_RATIO = 0.85, 0.5  # new limit after a fall, relative to the old one
 PROBE_INTERVAL_US = 30_000_000
-MAX_SETTLE_US = 4_000_000  # the longest service time that is waited for
-SETTLE_FACTOR = 1.5  # of the longest median service time
-AGREEMENT_TIMEOUT_US = 6_000_000  # after which a proposal that is not in force is given up
-MIN_BACKOFF_US, MAX_BACKOFF_US = 8_000_000, 32_000_000  # after a rise that was reverted
+MAX_SETTLE_US = 4_000_000  # longest time to wait for attempts that began under the earlier limit
+SETTLE_FACTOR = 1.5  # time to wait for them, in units of the longest median service time
+AGREEMENT_TIMEOUT_US = 6_000_000  # after this, a proposal that is not in force is withdrawn
+MIN_BACKOFF_US, MAX_BACKOFF_US = 8_000_000, 32_000_000  # after a higher limit was reverted
 
 
 @dataclass(frozen=True, slots=True)
 class LimitSettings:
-    """The settings of all adaptive limits."""
+    """Settings of all adaptive limits."""
 
-    start: int = 8  # the initial limit, where nothing is known
+    start: int = 8  # initial limit of a server without any history
     min_limit: int = 2
     max_limit: int = 256
     max_wait_us: int = 100_000  # the configured part of the shortest client timeout
@@ -65,27 +66,25 @@
 
 @dataclass(slots=True)
 class AdaptiveLimit:
-    """One front's proposal for one server. The caller passes in measurements, the agreed limit, and times."""
+    """One front's proposal for one server. The caller passes in measurements, the agreed limit and times."""
 
     settings: LimitSettings
     limit: int
     now_us: int
     state: LimitState = LimitState.STEADY
-    previous_limit: int = 0  # from which a rise or a probe began
+    previous_limit: int = 0  # limit before the current rise, probe or series of falls
     last_action_us: int = 0
-    in_force_since_us: int = 0  # when the last proposal came into force, 0 where it has not
+    in_force_since_us: int = 0  # when the current proposal came into force, 0 if it has not
     backoff_us: int = MIN_BACKOFF_US
     gradient_at_fall: float = 1.0
-    last_gradient: float = 1.0  # the last gradient
-    baseline_confirmed_us: int = 0  # when the server was last healthy, or its baseline was measured
-    last_conclusive_us: int = 0  # when measurements were last conclusive
-    sampled_us: int = 0  # the end of the last samples; in the future, while a proposal settles
+    last_gradient: float = 1.0
+    baseline_confirmed_us: int = 0  # when the server was last healthy, or a probe last ended
+    last_conclusive_us: int = 0  # when there were last enough samples
+    sampled_us: int = 0  # end of the last samples; in the future while a new limit settles
     samples: LatencySamples = field(default_factory=LatencySamples)
-    shape_limits: dict[int, int] = field(default_factory=dict)  # the slots that each shape requires
-    is_measured: bool = False  # measurements of this server were conclusive once
-    action_counts: dict[LimitAction, int] = field(
-        default_factory=dict
-    )  # how often each action was carried out
+    shape_limits: dict[int, int] = field(default_factory=dict)  # number of slots that each shape requires
+    is_measured: bool = False  # whether there were ever enough samples of this server
+    action_counts: dict[LimitAction, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         """Start all timers now."""
@@ -98,8 +97,8 @@
 
         Args:
             observed: the fleet's measurements of the server, by shape.
-            agreed_limit: the limit in force at the server.
-            now_us: the time.
+            agreed_limit: limit in force at the server.
+            now_us: current time.
 
         Returns:
             The action that was carried out.
@@ -128,7 +127,7 @@
         return agreed_limit >= self.limit if self.state is LimitState.PROVING else agreed_limit <= self.limit
 
     def _agreement_signal(self, agreed_limit: int, now_us: int) -> LimitSignal | None:
-        """What follows from the limit in force and from time alone."""
+        """The signal that follows from the limit in force and from elapsed time, without measurements."""
         has_timed_out = now_us - self.last_action_us >= AGREEMENT_TIMEOUT_US
         not_agreed = LimitSignal.NOT_AGREED if has_timed_out else None
         if self.state is LimitState.STEADY and agreed_limit != self.limit:
@@ -143,12 +142,12 @@
         return None
 
     def _settle(self, now_us: int) -> None:
-        """Ignore attempts in flight, which were sent under the earlier limit, until they have ended."""
+        """Start sampling only after the attempts in flight, sent under the earlier limit, have ended."""
         longest_us = max(self.samples.median_service_us.values(), default=0.0)
         self.sampled_us = now_us + round(min(float(MAX_SETTLE_US), SETTLE_FACTOR * longest_us))
 
     def _sample_signal(self, agreed_limit: int, now_us: int) -> LimitSignal | None:
-        """What the samples signal; None while there are too few."""
+        """The signal that follows from the samples; None while there are too few to tell."""
         completed = self.samples.completed
         if completed < MIN_SAMPLES:
             has_timed_out = self.samples.span_us >= MAX_SAMPLING_US
@@ -180,12 +179,12 @@
     def _capacity_signal(self, required: int, agreed_limit: int) -> LimitSignal:
         if agreed_limit >= self.settings.max_limit:
             return LimitSignal.HEALTHY
-        # More than the formula requires only where set-ups are seen to wait.
+        # More slots than the formula requires are requested only if set-ups were measured to wait too long.
         if self.samples.late_share(self.settings.max_wait_us) > MAX_LATE_SHARE:
             required = ceil(SPLIT_FACTOR * required)
         return LimitSignal.SLOTS_SHORT if required > agreed_limit else LimitSignal.HEALTHY
 
-    # Actions. Each takes the limit in force and the time.
+    # Actions. Each takes the limit in force and the current time.
 
     def _record_action(self, now_us: int) -> None:
         self.last_action_us = now_us
@@ -194,7 +193,7 @@
             self._settle(now_us)
 
     def decay(self, agreed_limit: int, now_us: int) -> None:
-        """Let the limit decay for want of conclusive measurements."""
+        """Let the limit decay while there are too few measurements to confirm it."""
         unconfirmed_us = now_us - max(self.last_action_us, self.last_conclusive_us)
         decayed = decayed_limit(agreed_limit, self.settings.start, unconfirmed_us)
         if decayed < agreed_limit:
@@ -210,7 +209,7 @@
         self._record_action(now_us)
 
     def end_trial(self, agreed_limit: int, now_us: int) -> None:
-        """End the trial of a higher limit, or a probe, and return to the limit before."""
+        """End the trial of a higher limit, or a probe, and restore the previous limit."""
         if self.state is LimitState.RESTING:  # after a rise
             self.backoff_us = min(MAX_BACKOFF_US, 2 * self.backoff_us)
             self.limit = min(agreed_limit, self.previous_limit)
@@ -221,12 +220,12 @@
         self._record_action(now_us)
 
     def fall(self, agreed_limit: int, now_us: int) -> None:
-        """Lower the limit by how far the gradient is beyond the healthy one."""
+        """Lower the limit in proportion to how far the gradient exceeds the healthy one."""
         ratio = min(GENTLEST_FALL_RATIO, HEALTHY_GRADIENT / self.gradient_at_fall)
         self._fall_to(max(STEEPEST_FALL_RATIO, ratio), agreed_limit, now_us)
 
     def halve(self, agreed_limit: int, now_us: int) -> None:
-        """Lower the limit as far as one fall may."""
+        """Lower the limit by the largest step."""
         self._fall_to(STEEPEST_FALL_RATIO, agreed_limit, now_us)
 
     def _fall_to(self, ratio: float, agreed_limit: int, now_us: int) -> None:
@@ -235,14 +234,14 @@
         self._record_action(now_us)
 
     def relearn_baseline(self, agreed_limit: int, now_us: int) -> None:
-        """Undo the falls and discard the baseline: fewer attempts did not help."""
+        """Restore the limit before the falls and discard the baseline, as fewer attempts did not help."""
         self.samples.discard_baseline(now_us)
         self.limit = max(agreed_limit, self.previous_limit)
         self.backoff_us = MIN_BACKOFF_US
         self._record_action(now_us)
 
     def probe(self, agreed_limit: int, now_us: int) -> None:
-        """Lower the limit for a while, to measure the baseline."""
+        """Lower the limit for a while to measure the baseline."""
         self.samples.close_bucket(now_us)
         self.previous_limit = agreed_limit
         self.limit = max(self.settings.min_limit, round(agreed_limit * PROBE_RATIO))
@@ -255,7 +254,7 @@
 
 
 def _keep(_limit: AdaptiveLimit, _agreed: int, _now_us: int) -> None:
-    """Leave the limit: only the state changes."""
+    """Leave the limit as it is; only the state changes."""
 
 
 ACTIONS: dict[LimitAction, Callable[[AdaptiveLimit, int, int], None]] = {
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/erlang.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/erlang.py
@@ -1,4 +1,7 @@
-"""The slots that keep waiting times short, by Erlang's formula for Poisson arrivals and one queue."""
+"""The number of slots that keeps waiting times short, by the Erlang C formula.
+
+The formula assumes Poisson arrivals and one queue for all slots.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 def _next_erlang_b(blocking: float, slots: int, offered_load: float) -> float:
-    """Erlang B for `slots`, from its value for one slot fewer: no factorial of a large number."""
+    """Erlang B for `slots`, from its value for one slot fewer; the recurrence avoids large factorials."""
     return offered_load * blocking / (slots + offered_load * blocking)
 
 
@@ -22,8 +25,8 @@
     """The share of arrivals that find all slots in use (Erlang C).
 
     Args:
-        slots: how many there are.
-        offered_load: arrivals in a mean service time.
+        slots: number of slots.
+        offered_load: mean number of arrivals during one mean service time.
     """
     if offered_load >= slots:
         return 1.0
@@ -34,13 +37,13 @@
 
 
 def required_slots(arrivals_per_s: float, hold_s: float, max_wait_s: float, late_share: float) -> int:
-    """The least number of slots at which no more than `late_share` of the arrivals wait for too long.
+    """The smallest number of slots at which at most `late_share` of the arrivals wait too long.
 
     Args:
         arrivals_per_s: arrival rate.
         hold_s: mean service time.
-        max_wait_s: the wait that is not too long.
-        late_share: the share of arrivals that may wait for longer.
+        max_wait_s: longest acceptable wait.
+        late_share: share of arrivals that may wait longer than `max_wait_s`.
 
     Returns:
         The number of slots, at most `MAX_SLOTS`.
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_histogram.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_histogram.py
@@ -1,9 +1,9 @@
 """Histograms of service and waiting times, as one front counts them and as a fleet merges them.
 
-Classes are logarithmic, four to each doubling, from a millisecond to about a minute: a median is known to a
-tenth, and a row fits a datagram. A row has what one front measured of one server and shape in the last
-windows, with the front's incarnation and a sequence number. The newest row of each front counts, so rows
-merge alike in whatever order, and however often, they arrive.
+Histogram classes are logarithmic, four to each doubling, from a millisecond to about a minute: a median is
+accurate to a tenth, and a row fits a datagram. A row contains what one front measured of one server and shape
+in the last windows, and is sent with the front's incarnation and a sequence number. Only the newest row of
+each front counts, so the merged result does not depend on the order of rows or on duplicates.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 WINDOW_US = 500_000
 WINDOWS_PER_ROW = 4
 ROW_SPAN_US = WINDOW_US * WINDOWS_PER_ROW
-ROW_VALIDITY_US = 2 * ROW_SPAN_US
+ROW_VALIDITY_US = 2 * ROW_SPAN_US  # from the time of receipt
 CLASSES_PER_DOUBLING = 4
 FIRST_CLASS_US = 1000  # the upper bound of class 0
-LAST_CLASS = 63  # of all longer times
+LAST_CLASS = 63  # contains all longer times
 MAX_CLASS_COUNT = 255  # in one class of a row
 MAX_REQUESTED = 65_535
-MAX_FRONT_WEIGHT = 1 / 3  # of the fleet's counts, what one front's may weigh
-MIN_FRONTS_TO_WEIGH = 3
+MAX_FRONT_WEIGHT = 1 / 3  # largest part of the fleet's counts that one front may contribute
+MIN_FRONTS_TO_WEIGH = 3  # with fewer reporting fronts, counts are not scaled down
 
-ClassCounts = tuple[tuple[int, int], ...]  # class, count
+ClassCounts = tuple[tuple[int, int], ...]  # class index, count
 
 
 def class_of(duration_us: float) -> int:
-    """The class of a duration."""
+    """The index of the histogram class that contains a duration."""
     if duration_us < FIRST_CLASS_US:
         return 0
     doublings = log2(duration_us / FIRST_CLASS_US)
@@ -37,7 +37,7 @@
 
 
 def class_bounds_us(class_index: int) -> tuple[float, float]:
-    """The lower and the upper bound of a class."""
+    """The lower and the upper bound of a histogram class."""
     if class_index <= 0:
         return 0.0, FIRST_CLASS_US
     lower_us = FIRST_CLASS_US * 2 ** ((class_index - 1) / CLASSES_PER_DOUBLING)
@@ -51,10 +51,10 @@
 
     shape: int
     requested: int  # requests for a slot
-    denied: int  # of these, those that got none in time
+    denied: int  # requests that got no slot in time
     unanswered: int  # attempts that ended without an answer
-    service_times: ClassCounts  # of attempts that ended
-    waiting_times: ClassCounts  # of attempts that got a slot after a wait
+    service_times: ClassCounts  # of completed attempts, answered or not
+    waiting_times: ClassCounts  # of attempts that waited and then got a slot
 
 
 @dataclass(slots=True)
@@ -64,11 +64,11 @@
     requested: int = 0
     denied: int = 0
     unanswered: int = 0
-    service_times: dict[int, int] = field(default_factory=dict)  # class, count
+    service_times: dict[int, int] = field(default_factory=dict)  # count by class index
     waiting_times: dict[int, int] = field(default_factory=dict)
 
     def add_service_time(self, class_index: int) -> None:
-        """Count an attempt that ended, by the class of its service time."""
+        """Count a completed attempt, by the class of its service time."""
         self.service_times[class_index] = self.service_times.get(class_index, 0) + 1
 
     def add_waiting_time(self, class_index: int) -> None:
@@ -84,7 +84,7 @@
         _add_counts(self.waiting_times, other.waiting_times)
 
     def to_row(self, shape: int) -> HistogramRow:
-        """The counts as a row, each limited to what a message can hold."""
+        """The counts as a row, each limited to the maximum that a message can represent."""
         return HistogramRow(
             shape=shape,
             requested=min(self.requested, MAX_REQUESTED),
@@ -112,17 +112,17 @@
     closed: deque[dict[int, LatencyHistogram]] = field(default_factory=lambda: deque(maxlen=WINDOWS_PER_ROW))
 
     def current_of(self, shape: int) -> LatencyHistogram:
-        """The histogram of a shape in the open window."""
+        """The histogram of a shape in the current window."""
         return self.current.setdefault(shape, LatencyHistogram())
 
     def close_windows(self, windows: int) -> None:
-        """Close the open window, and further empty ones where several have passed."""
+        """Close the current window, and add empty ones if several have passed."""
         for _ in range(min(windows, WINDOWS_PER_ROW)):
             self.closed.append(self.current)
             self.current = {}
 
     def rows(self, max_rows: int) -> tuple[HistogramRow, ...]:
-        """The rows of the closed windows, those with the longest total service time first."""
+        """The rows of the closed windows, at most `max_rows`, in descending order of total service time."""
         totals: dict[int, LatencyHistogram] = {}
         for window in self.closed:
             for shape, histogram in window.items():
@@ -133,17 +133,17 @@
 
 
 def total_us(counts: Iterable[tuple[int, float]]) -> float:
-    """The sum of all durations, each taken as the middle of its class."""
+    """The sum of all durations, each estimated by the middle of its class."""
     return sum(count * sum(class_bounds_us(class_index)) / 2 for class_index, count in counts)
 
 
 def total_count(counts: Iterable[tuple[int, float]]) -> float:
-    """The number of durations in all classes."""
+    """The total number of durations."""
     return sum(count for _, count in counts)
 
 
 def quantile_us(counts: Mapping[int, float], share: float) -> float | None:
-    """The duration that a share of all does not exceed; None where there are none."""
+    """The quantile of the durations, interpolated within its class; None if there are no durations."""
     total = sum(counts.values())
     if total <= 0:
         return None
@@ -159,26 +159,26 @@
 
 @dataclass(slots=True)
 class ObservedLatency:
-    """The fleet's measurements of one server and shape; counts are weighted, so not whole."""
+    """The fleet's measurements of one server and shape; counts are weighted, so they are not integers."""
 
     requested: float = 0.0
     denied: float = 0.0
     unanswered: float = 0.0
-    service_times: dict[int, float] = field(default_factory=dict)  # class, count
+    service_times: dict[int, float] = field(default_factory=dict)  # weighted count by class index
     waiting_times: dict[int, float] = field(default_factory=dict)
 
     @property
     def completed(self) -> float:
-        """Attempts that ended."""
+        """Weighted number of completed attempts, answered or not."""
         return sum(self.service_times.values())
 
     @property
     def mean_service_time_us(self) -> float:
-        """The mean service time, 0 where no attempt ended."""
+        """The mean service time, 0 if no attempt was completed."""
         return total_us(self.service_times.items()) / self.completed if self.service_times else 0.0
 
     def add(self, other: ObservedLatency) -> None:
-        """Add the measurements of another time."""
+        """Add the measurements of another time span."""
         self.requested += other.requested
         self.denied += other.denied
         self.unanswered += other.unanswered
@@ -193,10 +193,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedRow:
-    """The newest row of one front and shape."""
+    """The newest row of one front for a shape."""
 
     incarnation: int  # of the sender
-    sequence: int  # in that incarnation
+    sequence: int  # unique within the incarnation
     row: HistogramRow
     received_us: int
 
@@ -206,12 +206,12 @@
 
 @dataclass(slots=True)
 class GossipedHistograms:
-    """The newest rows of each front about one server; their number is bounded by fronts and shapes."""
+    """The newest rows of each front about one server, at most one for each front and shape."""
 
     rows: dict[tuple[int, int], _ReceivedRow] = field(default_factory=dict)  # by sender and shape
 
     def on_row(self, sender: int, incarnation: int, sequence: int, row: HistogramRow, now_us: int) -> bool:
-        """Handle a row. A duplicate, a late one or one of an earlier incarnation is ignored.
+        """Handle a received row, unless it is a duplicate, reordered, or of an earlier incarnation.
 
         Returns:
             Whether it is newer than the last one.
@@ -229,8 +229,9 @@
     def merged(self, now_us: int) -> dict[int, ObservedLatency]:
         """The fleet's measurements by shape.
 
-        Where three or more fronts report, none weighs more than a third, or than the next: its counts are
-        scaled down, so that a median stays between the others' quartiles whatever it reports.
+        If three or more fronts report, the counts of one that exceeds both a third of the total and the next
+        largest front are scaled down. So the median stays between the other fronts' quartiles, whatever one
+        front reports.
         """
         rows_by_shape: dict[int, list[HistogramRow]] = {}
         for (_, shape), received in self.rows.items():
@@ -254,7 +255,7 @@
 
 
 def _weights(counts: list[float]) -> list[float]:
-    """The factor by which each front's counts are scaled down."""
+    """The factor by which each front's counts are multiplied."""
     reporting = sum(count > 0 for count in counts)
     if reporting < MIN_FRONTS_TO_WEIGH:
         return [1.0] * len(counts)
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_samples.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_samples.py
@@ -1,8 +1,8 @@
-"""Service times of one server, collected until they suffice and compared with a recent baseline.
+"""Service times of one server, collected until there are enough and compared with a recent baseline.
 
-The baseline of a shape is the lowest median service time of the last minute, in buckets of some seconds. Both
-are kept per shape, so that neither a change of what is requested nor one slow shape among fast ones looks
-like an overloaded server.
+The baseline of a shape is the lowest median service time of the last minute, which is divided into buckets of
+some seconds. Service times and baselines are separate for each shape, so that neither a change in the mix of
+requests nor one slow shape among fast ones looks like an overloaded server.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
     quantile_us,
 )
 
-MIN_SAMPLES = 12  # completed attempts, below which measurements are not conclusive
-MIN_SHAPE_SAMPLES = 4
+MIN_SAMPLES = 12  # completed attempts; with fewer, measurements are not conclusive
+MIN_SHAPE_SAMPLES = 4  # completed attempts of a shape; with fewer, its gradient is ignored
 BUCKET_US = 6_000_000
 BUCKETS = 10  # the baseline covers a minute
-MEDIAN_ERROR_FACTOR = 1.25  # standard error of a median, in those of a mean
+MEDIAN_ERROR_FACTOR = 1.25  # standard error of a median, relative to that of a mean
 US_PER_S = 1e6
-QUARTILE_RANGE_SIGMAS = 1.35  # width of the middle half of a normal distribution, in standard deviations
+QUARTILE_RANGE_SIGMAS = 1.35  # interquartile range of a normal distribution, in standard deviations
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequiredSlots:
-    """The slots of a server that keep waiting times short."""
+    """The number of slots of a server that keeps waiting times short."""
 
-    total: int
+    total: int  # if all shapes share the slots
     by_shape: dict[int, int]  # if each shape had slots of its own
 
 
@@ -50,7 +50,7 @@
     """Measurements of one server since the last action, and its baseline. The caller passes in times."""
 
     by_shape: dict[int, ObservedLatency] = field(default_factory=dict)  # since the last action
-    span_us: int = 0  # which these cover
+    span_us: int = 0  # time span of the measurements in `by_shape`
     median_service_us: dict[int, float] = field(default_factory=dict)  # by shape
     current_bucket: dict[int, ObservedLatency] = field(default_factory=dict)
     bucket_opened_us: int = 0
@@ -58,16 +58,19 @@
 
     @property
     def completed(self) -> float:
-        """Attempts that ended."""
+        """Weighted number of completed attempts, answered or not."""
         return sum(latency.completed for latency in self.by_shape.values())
 
     @property
     def unanswered(self) -> float:
-        """Attempts that ended without an answer."""
+        """Weighted number of attempts that ended without an answer."""
         return sum(latency.unanswered for latency in self.by_shape.values())
 
     def add(self, observed: Mapping[int, ObservedLatency], now_us: int) -> None:
-        """Add the measurements of one row's span. Spans must not overlap: each attempt counts once."""
+        """Add the measurements of one row's time span.
+
+        Spans must not overlap, so that each attempt counts once.
+        """
         self.span_us += ROW_SPAN_US
         for shape, latency in observed.items():
             self.by_shape.setdefault(shape, ObservedLatency()).add(latency)
@@ -78,44 +81,44 @@
             self.close_bucket(now_us)
 
     def _has_first_bucket(self) -> bool:
-        """Whether the first bucket is full enough to be closed early."""
+        """Whether this is the first bucket, and it has enough attempts to be closed early."""
         completed = sum(latency.completed for latency in self.current_bucket.values())
         return not self.baselines and completed >= 2 * MIN_SAMPLES
 
     def clear(self) -> None:
-        """Discard the measurements; the baseline stays."""
+        """Discard the measurements but not the baseline."""
         self.by_shape = {}
         self.span_us = 0
 
     def discard_baseline(self, now_us: int) -> None:
-        """Start the baseline again with the open bucket."""
+        """Restart the baseline with the current bucket."""
         self.baselines.clear()
         self.close_bucket(now_us)
 
     def close_bucket(self, now_us: int) -> None:
-        """Add the open bucket to the baseline, and open another."""
+        """Add the current bucket to the baseline, and start another."""
         while self.baselines and now_us - self.baselines[0].closed_us >= BUCKET_US * BUCKETS:
             self.baselines.popleft()
         medians_us = {}
         for shape, latency in self.current_bucket.items():
             median = quantile_us(latency.service_times, 0.5)
             if median is not None and latency.completed >= MIN_SAMPLES:
-                # The lowest of ten medians is too low by chance alone.
+                # Compensates for noise: the lowest of ten medians is below the true median by chance alone.
                 medians_us[shape] = median * (1 + median_uncertainty(latency))
         self.baselines.append(BaselineBucket(now_us, medians_us))
         self.current_bucket = {}
         self.bucket_opened_us = now_us
 
     def baseline_us(self, shape: int) -> float | None:
-        """The lowest median service time of a shape in the baseline, None where it has none."""
+        """The lowest median service time of a shape in the baseline; None if it was not measured."""
         medians_us = [bucket.median_us[shape] for bucket in self.baselines if shape in bucket.median_us]
         return min(medians_us) if medians_us else None
 
     def gradient(self) -> float | None:
-        """How many times longer than the baseline service times are; None where that is not known.
+        """The ratio of current service times to the baseline; None if there are too few samples.
 
-        Shapes are weighted by their completed attempts. Weighted by slot time, the few long ones, whose
-        median is uncertain, would outweigh all others.
+        Shapes are weighted by their completed attempts. If they were weighted by slot time, the few long
+        attempts, whose median is uncertain, would outweigh all others.
         """
         total = weight = 0.0
         for shape, median_us in self.median_service_us.items():
@@ -127,12 +130,12 @@
         return total / weight if weight else None
 
     def uncertainty(self) -> float:
-        """The relative uncertainty of the medians, weighted by completed attempts; there must be some."""
+        """The relative uncertainty of the medians, weighted by completed attempts; requires at least one."""
         weighted = sum(latency.completed * median_uncertainty(latency) for latency in self.by_shape.values())
         return weighted / self.completed
 
     def late_share(self, max_wait_us: int) -> float:
-        """The share of requests for a slot that waited longer than `max_wait_us`, or got none."""
+        """The share of requests for a slot that waited longer than `max_wait_us` or got no slot."""
         requested = sum(latency.requested for latency in self.by_shape.values())
         if not requested:
             return 0.0
@@ -141,7 +144,7 @@
         return min(1.0, late / requested)
 
     def required_slots(self, max_wait_us: int, max_late_share: float) -> RequiredSlots:
-        """The slots with which no more than a share of the requests waits longer than `max_wait_us`."""
+        """The slots with which at most `max_late_share` of the requests wait longer than `max_wait_us`."""
         span_s = self.span_us / US_PER_S
         max_wait_s = max_wait_us / US_PER_S
         used = {
@@ -171,7 +174,7 @@
 
 
 def median_uncertainty(latency: ObservedLatency) -> float:
-    """The relative uncertainty of a median service time, by the quartiles as of a lognormal."""
+    """The relative uncertainty of a median service time, from its quartiles, assuming a lognormal."""
     low_us = quantile_us(latency.service_times, 0.25)
     high_us = quantile_us(latency.service_times, 0.75)
     if not low_us or not high_us:
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/limit_decay.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/limit_decay.py
@@ -1,16 +1,16 @@
-"""The decay of a learned limit that no measurement confirms any more."""
+"""The decay of a learned limit that is no longer confirmed by measurements."""
 
 from __future__ import annotations
 
 from math import ceil
 
-HALF_LIFE_US = 600_000_000  # in which half of what exceeds the initial limit is given up
+HALF_LIFE_US = 600_000_000  # of the part of a limit above the initial limit
 
 
 def decayed_limit(limit: int, initial_limit: int, age_us: int) -> int:
-    """What is left of a limit that was last confirmed `age_us` ago.
+    """The value of a limit `age_us` after it was last confirmed.
 
-    A limit that does not exceed the initial one stays as it is.
+    Only the part above the initial limit decays; a limit at or below it does not change.
     """
     if limit <= initial_limit:
         return limit
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/limit_transitions.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/limit_transitions.py
@@ -1,4 +1,4 @@
-"""The state machine of an adaptive limit: its states, signals, actions and transitions."""
+"""State machine of an adaptive limit: its states, signals, actions and transitions."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 
 
 class LimitState(Enum):
-    """What is being tried at the server. The names are part of the status page."""
+    """Phase of the search for a server's limit. The status page shows the member names."""
 
     STEADY = auto()
     PROVING = auto()  # a higher limit is on trial
-    FELL = auto()  # the limit was lowered
-    RESTING = auto()  # no rise until the back-off has ended
-    LOOKING = auto()  # a lower limit is in force for a while, to measure the baseline
+    FELL = auto()  # the limit was lowered, and the effect is not known yet
+    RESTING = auto()  # the limit is not raised until the back-off ends
+    LOOKING = auto()  # a probe: the limit is lowered for a while to measure the baseline
 
 
 class LimitSignal(Enum):
-    """What the measurements, the agreement of the panel and the time signal."""
+    """Event derived from the measurements, from the voters' agreement or from elapsed time."""
 
     TOO_FEW_SAMPLES = auto()
-    HEALTHY = auto()  # and nobody waits for long
-    SLOTS_SHORT = auto()  # more slots are required, and the server seems to have the capacity
-    NEAR_KNEE = auto()
-    BASELINE_STALE = auto()  # near the knee by a baseline that was not measured for long
+    HEALTHY = auto()  # service times are near the baseline, and the slots suffice
+    SLOTS_SHORT = auto()  # more slots are required, and the server shows no sign of overload
+    NEAR_KNEE = auto()  # service times are longer than the baseline, but not enough to lower the limit
+    BASELINE_STALE = auto()  # as NEAR_KNEE, but the baseline was last confirmed too long ago
     OVERLOADED = auto()
-    FALL_DID_NOT_HELP = auto()  # as slow as before the limit fell
-    UNANSWERED = auto()  # many attempts get no answer
-    NOT_AGREED = auto()  # the panel does not adopt this front's limit
+    FALL_DID_NOT_HELP = auto()  # service times are as long as before the limit was lowered
+    UNANSWERED = auto()  # many attempts end without an answer
+    NOT_AGREED = auto()  # the voters did not adopt this front's proposal in time
     BACKOFF_ENDED = auto()
 
 
 class LimitAction(Enum):
-    """What to do with the limit. The names are part of log events."""
+    """What to do with the proposed limit. Log events contain the member names."""
 
     KEEP = auto()
     AGE = auto()  # let it decay
-    RISE = auto()
-    TAKE_BACK = auto()  # end a trial
+    RISE = auto()  # start the trial of a higher limit
+    TAKE_BACK = auto()  # end a trial or a probe and restore the previous limit
     FALL = auto()
     HALVE = auto()
-    LEARN_ANEW = auto()  # discard the baseline
-    DIP = auto()  # lower it for a while, to measure the baseline
+    LEARN_ANEW = auto()  # discard the baseline and restore the limit before the falls
+    DIP = auto()  # start a probe: lower the limit for a while to measure the baseline
     FOLLOW = auto()  # adopt the limit in force
 
 
@@ -57,7 +57,7 @@
         (_STATE.STEADY, _SIGNAL.OVERLOADED): Transition(_STATE.FELL, (_ACTION.FALL,)),
         (_STATE.STEADY, _SIGNAL.UNANSWERED): Transition(_STATE.FELL, (_ACTION.HALVE,)),
         (_STATE.STEADY, _SIGNAL.NOT_AGREED): Transition(_STATE.STEADY, (_ACTION.FOLLOW,)),
-        # A rise without measurements is not confirmed.
+        # Without measurements a rise cannot be confirmed, so it is reverted.
         (_STATE.PROVING, _SIGNAL.TOO_FEW_SAMPLES): Transition(_STATE.RESTING, (_ACTION.TAKE_BACK,)),
         (_STATE.PROVING, _SIGNAL.HEALTHY): Transition(_STATE.STEADY, (_ACTION.KEEP,)),
         (_STATE.PROVING, _SIGNAL.SLOTS_SHORT): Transition(_STATE.PROVING, (_ACTION.RISE,)),
@@ -93,5 +93,5 @@
         (_STATE.LOOKING, _SIGNAL.NOT_AGREED): Transition(_STATE.STEADY, (_ACTION.FOLLOW,)),
     }
 )
-# The states whose limit is judged only once it is in force at the server.
+# In these states measurements count only after the proposed limit has come into force at the server.
 STATES_AWAITING_AGREEMENT = (LimitState.PROVING, LimitState.FELL, LimitState.LOOKING)
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/persisted.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/persisted.py
@@ -1,22 +1,22 @@
-"""The stored record of a server's limit, from which a restarted front begins."""
+"""The stored record of a server's limit, from which a restarted front initializes its limit."""
 
 from __future__ import annotations
 
 import msgspec
 from fennelcove.concurrency_limits.limit_decay import decayed_limit
 
-KEY_PREFIX = b"slots/"  # the prefix of the records' keys; the server's address follows
-START_TOLERANCE_US = 5_000_000  # two fronts learn a server's start from responses that took a while
+KEY_PREFIX = b"slots/"  # the server's address follows
+START_TOLERANCE_US = 5_000_000  # fronts derive a server's start time from responses of varying delay
 MAX_AGE_US = 7 * 86_400_000_000
 
 
 class StoredLimit(msgspec.Struct, frozen=True, array_like=True):
-    """A server's limit as it was stored; times by the wall clock.
+    """A stored limit of a server; times are wall clock times.
 
     Attributes:
-        kind: of the server's hardware.
-        born_us: when the server started, 0 where that was long ago.
-        whole: the limit in force.
+        kind: kind of the server's hardware.
+        born_us: start time of the server, 0 if it started long ago.
+        whole: limit that was in force.
         written_us: when the record was written.
     """
 
@@ -30,17 +30,17 @@
 
 
 def restore_limit(raw: bytes, kind: str, started_us: int, initial_limit: int, wall_us: int) -> int | None:
-    """The limit to begin with, out of a stored record.
+    """Read the limit from a stored record.
 
     Args:
-        raw: the record.
-        kind: of the server that has the address now.
-        started_us: when that server started by the wall clock, 0 where that was long ago.
-        initial_limit: towards which the limit decays with the record's age.
-        wall_us: the time by the wall clock.
+        raw: encoded record.
+        kind: hardware kind of the server that has the address now.
+        started_us: start time of that server by the wall clock, 0 if it started long ago.
+        initial_limit: the limit decays towards this with the record's age.
+        wall_us: current wall clock time.
 
     Returns:
-        The limit; None where the record is malformed, too old, or another server's.
+        The limit; None if the record is malformed, too old, or of another server.
     """
     try:
         stored = _DECODER.decode(raw)
@@ -54,7 +54,7 @@
 
 
 def is_same_start(first_us: int, second_us: int) -> bool:
-    """Whether two starts of servers may be one; 0 is long ago, and equals only itself."""
+    """Whether two start times may be of the same server; 0 means long ago and matches only 0."""
     if not first_us or not second_us:
         return first_us == second_us
     return abs(first_us - second_us) <= START_TOLERANCE_US
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/quorum.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/quorum.py
@@ -1,17 +1,17 @@
-"""The limit in force for one server, out of the votes of several fronts.
+"""The limit in force for one server, determined by the votes of several fronts.
 
-Each server has a panel, which every front computes alike from the server's key: up to fifteen fronts that
-receive its histograms and vote on its limit. A front adopts the limit that a majority of the panel votes for
-at least, by votes that are still valid. Any partition has one such majority at most, so no two sides of it
-raise the limit, and dishonest members raise nothing unless they are a majority. A lower limit needs no
-majority: the median of the votes received is enough.
+Each server has up to fifteen voters, which every front computes alike from the server's key. These fronts
+receive the server's histograms and vote on its limit. A front adopts the highest limit such that a majority
+of the voters vote for it or a higher one, by votes that are still valid. In a network partition at most one
+side has a majority, so two sides never both raise the limit, and dishonest voters cannot raise it unless they
+are a majority. Lowering the limit needs no majority: the median of the received votes is enough.
 
-Where fronts have different limits in force, their shares still add up to no more than the largest: slot k has
-one home front, the same for all, and exists there while k is below the limit in force there. Nothing has to
-be transferred when a limit changes.
+Fronts may have different limits in force, but their shares never add up to more than the largest of these
+limits: slot k has one home front, the same for all fronts, and exists there while k is below the limit in
+force there. Nothing has to be transferred when a limit changes.
 
-A front that receives no majority keeps the last limit in force, lowers it with the votes that it receives,
-and lets what exceeds the initial limit decay (`limit_decay`).
+A front that does not receive a majority keeps the last limit in force, lowers it according to the votes that
+it does receive, and lets the part above the initial limit decay (`limit_decay`).
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 
 MAX_VOTERS = 15
 VOTE_VALIDITY_US = 4_000_000
-MAX_SHAPE_LIMITS = 6  # shapes for which a vote has a limit
+MAX_SHAPE_LIMITS = 6  # in one vote
 
 
 class AgreementState(Enum):
-    """Whether this front receives a majority of the panel. The names are part of the status page."""
+    """Whether this front receives the votes of a majority. The status page shows the member names."""
 
-    ALONE = auto()  # no majority yet, in this incarnation
-    LED = auto()  # a majority
-    CUT = auto()  # no majority any more
+    ALONE = auto()  # never in this incarnation
+    LED = auto()  # now
+    CUT = auto()  # earlier, but not now
 
 
 class AgreementSignal(Enum):
-    """How many votes of the panel are valid."""
+    """How many voters' votes are valid."""
 
     NO_VOTES = auto()
     MINORITY = auto()
@@ -49,7 +49,7 @@
     """What to do with the limit in force."""
 
     DECAY = auto()
-    LOWER_TO_MEDIAN = auto()  # of the valid votes, if that is lower; decay besides
+    LOWER_TO_MEDIAN = auto()  # lower to the median of the valid votes, if that is lower; and decay
     ADOPT_MAJORITY = auto()
 
 
@@ -70,7 +70,7 @@
 
 
 def voters_of(server: int, fronts: int) -> tuple[int, ...]:
-    """The indexes of the fronts that vote on a server's limit, by rendezvous hashing."""
+    """The indexes of the fronts that vote on a server's limit, selected by rendezvous hashing."""
     if fronts <= MAX_VOTERS:
         return tuple(range(fronts))
     fronts_by_hash = sorted(range(fronts), key=lambda front: crc32(f"{server}/{front}".encode()))
@@ -78,26 +78,26 @@
 
 
 def home_slots(server: int, limit: int, fronts: int, index: int) -> int:
-    """How many of a server's slots have their home at a front.
+    """How many of a server's slots have a front as their home.
 
-    Slot k, of 0 to `limit` - 1, has its home at the front `(server + k) % fronts`.
+    The home of slot k, from 0 to `limit` - 1, is the front `(server + k) % fronts`.
     """
     first_slot = (index - server) % fronts
     return len(range(first_slot, limit, fronts))
 
 
 def other_homes(server: int, limit: int, fronts: int, index: int) -> tuple[int, ...]:
-    """The fronts, except `index`, at which some of a server's slots have their home."""
+    """The fronts, except `index`, that are the home of some of a server's slots."""
     homes = ((server + slot) % fronts for slot in range(min(limit, fronts)))
     return tuple(home for home in homes if home != index)
 
 
 @dataclass(frozen=True, slots=True)
 class QuorumVote:
-    """What one front of the panel proposes for a server."""
+    """The limits that one voter proposes for a server."""
 
     limit: int
-    shape_limits: tuple[tuple[int, int], ...] = ()  # shape, slots that it requires
+    shape_limits: tuple[tuple[int, int], ...] = ()  # shape, number of slots that it requires
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
     """The newest vote of one front."""
 
     incarnation: int  # of the sender
-    sequence: int  # in that incarnation
+    sequence: int  # unique within the incarnation
     vote: QuorumVote
     received_us: int
 
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class QuorumAgreement:
-    """The limit of one server that is in force at one front. The caller passes in times."""
+    """The limit of one server in force at one front. The caller passes in times."""
 
     voters: tuple[int, ...]
     limit: int  # the limit in force
@@ -126,19 +126,19 @@
     last_majority_us: int = 0  # also when the limit last decayed
 
     def __post_init__(self) -> None:
-        """Start the decay now."""
+        """Measure the decay from the creation time."""
         self.last_majority_us = self.now_us
 
     @property
     def majority(self) -> int:
-        """How many votes are a majority of the panel, whether or not all of its members are running."""
+        """How many votes are a majority of all voters, including those that are not running."""
         return len(self.voters) // 2 + 1
 
     def on_vote(self, sender: int, incarnation: int, sequence: int, vote: QuorumVote, now_us: int) -> bool:
-        """Handle a vote. Those of fronts outside the panel, repeated and late ones are ignored.
+        """Handle a vote, unless it is a duplicate, reordered, or of a front that is not a voter.
 
         Returns:
-            Whether the limit in force may change by it.
+            Whether it may change the limit in force.
         """
         if sender not in self.voters:
             return False
@@ -149,11 +149,11 @@
         return latest is None or latest.vote.limit != vote.limit or not latest.is_valid(now_us)
 
     def valid_votes(self, now_us: int) -> list[QuorumVote]:
-        """The votes that were received recently enough to count."""
+        """The latest vote of each voter, unless it was received too long ago."""
         return [received.vote for received in self.votes.values() if received.is_valid(now_us)]
 
     def advance(self, now_us: int) -> int:
-        """Update the limit in force by the votes that are valid now, and return it."""
+        """Update the limit in force from the votes that are valid now, and return it."""
         limits = sorted((vote.limit for vote in self.valid_votes(now_us)), reverse=True)
         transition = TRANSITIONS.apply(self.state, self._signal(len(limits)))
         self.state = transition.state
@@ -169,9 +169,10 @@
         return AgreementSignal.MAJORITY
 
     def _carry_out(self, action: AgreementAction, limits: list[int], now_us: int) -> None:
-        """Carry out an action; `limits` are those voted for, in descending order."""
+        """Carry out an action; `limits` are the valid votes' limits in descending order."""
         if action is AgreementAction.ADOPT_MAJORITY:
-            # A majority votes for this limit or a higher one: that alone raises, the median lowers.
+            # A majority votes for this limit or a higher one. Only that can raise the limit in force; the
+            # median can lower it.
             majority_limit = limits[self.majority - 1]
             median = limits[len(limits) // 2]
             self.limit = max(majority_limit, min(self.limit, median))
@@ -188,7 +189,7 @@
             self.last_majority_us = now_us
 
     def shape_limits(self, now_us: int) -> Mapping[int, int]:
-        """The slots that each shape requires: the median of the valid votes that name it."""
+        """The number of slots that each shape requires: the median of the valid votes that include it."""
         votes_by_shape: dict[int, list[int]] = {}
         for vote in self.valid_votes(now_us):
             for shape, slots in vote.shape_limits:
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/replica.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/replica.py
@@ -1,8 +1,8 @@
-"""One front's copy of the fleet's concurrency limits, for all servers: the entry point of this package.
+"""One front's copy of the fleet's concurrency limits for all servers; the entry point of this package.
 
 The caller passes in times and random numbers, sends the messages and holds the lock. Servers are identified
-by keys that are the same at every front. A server that started at another time at the same address is another
-server, and reports of it are ignored until this front has it listed as well.
+by keys that are the same at every front. A server at the same address with another start time is another
+server, and reports about it are ignored until it is in this front's list of servers as well.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from fennelcove.decisions.fleet.shared_quotas import QuotaRequest, QuotaTransfer
 
 MAX_SERVERS = 10_000
-MAX_INCARNATION_RECIPIENTS = 64  # at a time
+MAX_INCARNATION_RECIPIENTS = 64  # fronts notified of this incarnation at a time
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,29 +29,28 @@
 
     recipients: tuple[int, ...]
     server: int
-    started_us: int  # of the server, by the sender's clock; 0 where that was long ago
+    started_us: int  # start time of the server by the sender's clock, 0 if it started long ago
     rows: tuple[HistogramRow, ...] = ()
     vote: QuorumVote | None = None
 
 
 @dataclass(slots=True)
 class Replica:
-    """One front's concurrency limits. Call `turn` every `WINDOW_US`."""
+    """One front's concurrency limits. Call `close_windows` every `WINDOW_US`."""
 
     settings: LimitSettings
     fronts: int
     index: int
-    incarnation: int  # this incarnation of the front
+    incarnation: int  # of this front
     now_us: int
     loan_us: int = LOAN_US
     sequence: int = 0  # sequence number of the last reports
     servers: dict[int, ServerLimits] = field(default_factory=dict)
-    unacknowledged: set[int] = field(
-        default_factory=set
-    )  # fronts that may use what an earlier incarnation lent
+    # Fronts that may still use slots that an earlier incarnation of this front lent to them.
+    unacknowledged: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        """Assume that all other fronts use loans of an earlier incarnation."""
+        """Assume that all other fronts still use loans of an earlier incarnation."""
         self.unacknowledged = set(range(self.fronts)) - {self.index}
 
     # Incarnations.
@@ -64,18 +63,18 @@
         """Handle the restart of another front.
 
         Returns:
-            Whether to acknowledge it: none of the slots that it lent before are used here.
+            Whether to acknowledge it: this front no longer uses any slots that it lent before.
         """
         if not _is_other_front(sender, self.fronts, self.index):
             return False
-        # Not lazily: each server's loans are to be forgotten as soon as they can be.
+        # A list, so that all() does not stop early: the loans of every server must be updated.
         return all([server.loans.on_incarnation_started(sender, now_us) for server in self.servers.values()])
 
     def on_incarnation_acknowledged(self, sender: int, incarnation: int) -> bool:
         """Handle an acknowledgement of this incarnation.
 
         Returns:
-            Whether all fronts have acknowledged it: the home slots may be used and lent from now on.
+            Whether all fronts have acknowledged it, so that the home slots may be used and lent from now on.
         """
         if incarnation != self.incarnation or sender not in self.unacknowledged:
             return False
@@ -98,12 +97,12 @@
         """Handle a server in the list of servers.
 
         Args:
-            key: of the server's address and kind.
-            kind: of the server's hardware.
-            started_us: when it started, 0 where that was long ago or is not known.
-            now_us: the time.
-            stored_limit: the limit to begin with, if one is stored.
-            is_warming_up: begin with the initial limit of the settings instead of its kind's.
+            key: key of the server's address and kind.
+            kind: kind of the server's hardware.
+            started_us: its start time, 0 if it started long ago or the time is unknown.
+            now_us: current time.
+            stored_limit: initial limit from the store, if there is one.
+            is_warming_up: whether to use the initial limit of the settings instead of its kind's.
 
         Returns:
             Whether it is a new server.
@@ -113,13 +112,13 @@
             if len(self.servers) >= MAX_SERVERS:
                 return False
         elif known.kind == kind and (not started_us or is_same_start(known.started_us, started_us)):
-            return False  # the same server, also where the list does not have its start any more
+            return False  # the same server; the list may no longer include its start time
         limit = stored_limit
         if limit is None:
             limit = self.settings.start
             if not is_warming_up:
                 limit = initial_limit_of_kind(self.servers.values(), kind, self.settings.start)
-        # Loans and attempts in flight at an address outlive the server there: its successor takes them over.
+        # Loans and attempts in flight belong to the address, so a replacement server inherits them.
         loans = None if known is None else known.loans
         self.servers[key] = self._new_server(key, kind, started_us, limit, loans, now_us)
         return True
@@ -139,27 +138,30 @@
         return server
 
     def remove_servers(self, keys: Iterable[int]) -> None:
-        """Remove servers that are not listed any more."""
+        """Remove servers that are no longer listed."""
         for key in keys:
             self.servers.pop(key, None)
 
     # Queries.
 
     def max_in_flight(self, key: int, now_us: int, max_duration_us: int = 0, shape: int | None = None) -> int:
-        """How many attempts this front may have in flight at a server, in all or of one shape.
+        """How many attempts this front may have in flight at a server, in total or of one shape.
 
-        The next one lasts for `max_duration_us` at most. An unknown server has no slots.
+        The next attempt lasts at most `max_duration_us`. An unknown server has no slots.
         """
         server = self.servers.get(key)
         return 0 if server is None else server.max_in_flight(now_us, max_duration_us, shape)
 
     def connection_target(self, key: int, now_us: int) -> int:
-        """How many connections to keep open to a server, idle ones included."""
+        """How many connections to keep open to a server, including idle ones."""
         server = self.servers.get(key)
         return 0 if server is None else server.connection_target(now_us)
 
     def median_service_us(self, key: int, shape: int) -> float | None:
-        """The median service time of a shape at a server: its own, else its kind's, else any server's."""
+        """The median service time of a shape at a server.
+
+        If it was not measured there, the median of the servers of its kind, or else of all servers, is used.
+        """
         server = self.servers.get(key)
         if server is not None and shape in server.median_service_us:
             return server.median_service_us[shape]
@@ -169,7 +171,7 @@
         medians_us = [other.median_service_us[shape] for other in of_kind or measured]
         return median_low(medians_us) if medians_us else None
 
-    # Attempts at this front. Those at an unknown server are ignored.
+    # Attempts of this front. Attempts at an unknown server are ignored.
 
     def set_waiting(self, key: int, waiting: int) -> None:
         """Set how many attempts wait for a slot at a server."""
@@ -180,13 +182,13 @@
     def on_attempt_started(
         self, key: int, shape: int, now_us: int, max_duration_us: int, waited_us: int = 0
     ) -> None:
-        """Count an attempt in flight, which waited for its slot and lasts for `max_duration_us` at most."""
+        """Count an attempt in flight that waited for its slot and lasts at most `max_duration_us`."""
         server = self.servers.get(key)
         if server is not None:
             server.on_attempt_started(shape, now_us, max_duration_us, waited_us)
 
     def on_attempt_ended(self, key: int, shape: int, held_us: int, answered: bool | None) -> None:
-        """Count the end of an attempt; `answered` is None where it does not measure the server."""
+        """Count the end of an attempt; `answered` is None if its duration says nothing about the server."""
         server = self.servers.get(key)
         if server is not None:
             server.on_attempt_ended(shape, held_us, answered)
@@ -231,15 +233,15 @@
     def exchange_slots(
         self, draw: float, now_us: int, keys: Iterable[int] | None = None
     ) -> list[tuple[int, int, QuotaRequest | QuotaTransfer]]:
-        """The requests for slots and the returns to send now, of all servers or of some.
+        """The requests for slots and the returns to send now.
 
         Args:
-            draw: a random number from 0 to 1.
-            now_us: the time.
-            keys: of the servers, None for all.
+            draw: random number from 0 to 1.
+            now_us: current time.
+            keys: keys of the servers, None for all.
 
         Returns:
-            Recipient, the server's key, and the message.
+            For each message its recipient, the server's key, and the message.
         """
         messages: list[tuple[int, int, QuotaRequest | QuotaTransfer]] = []
         for key in self.servers if keys is None else keys:
@@ -251,7 +253,7 @@
         return messages
 
     def on_request(self, sender: int, key: int, request: QuotaRequest, now_us: int) -> QuotaTransfer | None:
-        """Handle another front's request for slots; returns the loan to send, None where there is none."""
+        """Handle another front's request for slots; returns the loan to send, or None."""
         server = self.servers.get(key)
         return server.loans.on_request(sender, request, now_us) if server is not None else None
 
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/server_limits.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/server_limits.py
@@ -1,4 +1,4 @@
-"""What one front knows of one server: its limit, its share of the slots, and its measurements."""
+"""The state that one front has about one server: its limit, its share of the slots, and its measurements."""
 
 from __future__ import annotations
 
@@ -19,42 +19,42 @@
 from fennelcove.concurrency_limits.quota_loans import QuotaLoans
 from fennelcove.concurrency_limits.workload_shape import shape_share
 
-MAX_ROWS = 12  # of one server, in a report
-INITIAL_SHARE_OF_KIND = 0.5  # of the limit of its kind, what a new server begins with
+MAX_ROWS = 12  # in a report about one server
+INITIAL_SHARE_OF_KIND = 0.5  # initial limit of a new server, relative to the median limit of its kind
 MAX_REPORTED_AGE_US = 65_535_000_000  # a server of this age is reported as started long ago
-SMALL_FLEET = 32  # fronts, up to which votes are sent to all
-REPORTER_VALIDITY_US = 60_000_000  # for which a front that reported measurements is sent votes
+SMALL_FLEET = 32  # largest number of fronts at which votes are sent to all of them
+REPORTER_VALIDITY_US = 60_000_000  # how long votes are sent to a front after it reported measurements
 
 
 @dataclass(frozen=True, slots=True)
 class ReportOrigin:
-    """Which front sent a report, and when in its own order."""
+    """Sender and sequence number of a report."""
 
     front: int
     incarnation: int
-    sequence: int  # in that incarnation
+    sequence: int  # unique within the incarnation
 
 
 @dataclass(slots=True)
 class ServerLimits:
-    """What one front knows of one server. The caller passes in times."""
+    """The state that one front has about one server. The caller passes in times."""
 
     key: int  # the same at every front
     kind: str
-    started_us: int  # when the server started, 0 where that was long ago
+    started_us: int  # start time of the server, 0 if it started long ago
     agreement: QuorumAgreement
     loans: QuotaLoans
     own_histograms: OwnHistograms = field(default_factory=OwnHistograms)
-    gossip: GossipedHistograms = field(default_factory=GossipedHistograms)  # kept by the panel's fronts only
-    adaptive_limit: AdaptiveLimit | None = None  # as above
-    reporters: dict[int, int] = field(default_factory=dict)  # by front, when it last reported measurements
-    median_service_us: dict[int, float] = field(default_factory=dict)  # median service times in us, by shape
-    peak_in_flight: int = 0  # lowered by one in each window
+    gossip: GossipedHistograms = field(default_factory=GossipedHistograms)  # used by voters only
+    adaptive_limit: AdaptiveLimit | None = None  # set for voters only
+    reporters: dict[int, int] = field(default_factory=dict)  # time of the last measurements, by front
+    median_service_us: dict[int, float] = field(default_factory=dict)  # median service times, by shape
+    peak_in_flight: int = 0  # largest number of attempts in flight, reduced by one in each window
 
     # Limits.
 
     def max_in_flight(self, now_us: int, max_duration_us: int, shape: int | None) -> int:
-        """How many attempts this front may have in flight, in all or of one shape."""
+        """How many attempts this front may have in flight, in total or of one shape."""
         slots = self.loans.max_in_flight(now_us, max_duration_us)
         if shape is None or slots <= 1:
             return slots
@@ -67,11 +67,11 @@
         return {shape: -(-required_slots * slots // limit) for shape, required_slots in required.items()}
 
     def connection_target(self, now_us: int) -> int:
-        """How many connections to keep open, idle ones included."""
+        """How many connections to keep open, including idle ones."""
         return max(self.loans.in_flight, min(self.loans.max_in_flight(now_us), self.peak_in_flight + 1))
 
     def update_limit(self, now_us: int) -> bool:
-        """Bring the panel's limit into force here; returns whether it is higher than before."""
+        """Put the agreed limit into force here; returns whether it is higher than before."""
         before = self.agreement.limit
         self.loans.set_limit(self.agreement.advance(now_us), now_us)
         return self.agreement.limit > before
@@ -79,7 +79,7 @@
     # Attempts.
 
     def on_attempt_started(self, shape: int, now_us: int, max_duration_us: int, waited_us: int) -> None:
-        """Count an attempt in flight, which waited for its slot for `waited_us`."""
+        """Count an attempt in flight that waited for its slot for `waited_us`."""
         self.loans.on_attempt_started(now_us, max_duration_us)
         self.peak_in_flight = max(self.peak_in_flight, self.loans.in_flight)
         histogram = self.own_histograms.current_of(shape)
@@ -88,7 +88,7 @@
             histogram.add_waiting_time(class_of(waited_us))
 
     def on_attempt_ended(self, shape: int, held_us: int, answered: bool | None) -> None:
-        """Count the end of an attempt; `answered` is None where it does not measure the server."""
+        """Count the end of an attempt; `answered` is None if its duration says nothing about the server."""
         self.loans.on_attempt_ended()
         if answered is None:
             return
@@ -118,7 +118,7 @@
     def propose(
         self, learner: AdaptiveLimit, rows: Iterable[HistogramRow], origin: ReportOrigin, now_us: int
     ) -> QuorumVote:
-        """Update this front's proposal by all measurements, its own rows included, and vote for it."""
+        """Update this front's proposal from all measurements, including its own rows, and vote for it."""
         self._add_rows(rows, origin, now_us)
         self.gossip.remove_stale(now_us)
         learner.on_window_closed(self.gossip.merged(now_us), self.agreement.limit, now_us)
@@ -129,7 +129,7 @@
         return vote
 
     def on_rows(self, rows: Iterable[HistogramRow], origin: ReportOrigin, now_us: int) -> None:
-        """Handle the measurements of another front; only the panel's fronts use them."""
+        """Handle the measurements of another front; only voters use them."""
         if self.adaptive_limit is None:
             return
         self.reporters[origin.front] = now_us
@@ -147,7 +147,10 @@
         return self.agreement.on_vote(origin.front, origin.incarnation, origin.sequence, vote, now_us)
 
     def vote_recipients(self, fronts: int, index: int, now_us: int) -> tuple[int, ...]:
-        """The other fronts to send this front's vote to: all of a small fleet, else the server's users."""
+        """The other fronts to send this front's vote to.
+
+        In a small fleet these are all fronts, otherwise the voters and the fronts that use the server.
+        """
         if fronts <= SMALL_FLEET:
             return tuple(front for front in range(fronts) if front != index)
         self.reporters = {
@@ -158,20 +161,20 @@
         return tuple(sorted({*self.agreement.voters, *self.reporters} - {index}))
 
     def is_same_server(self, started_us: int, now_us: int) -> bool:
-        """Whether a report is of this server, and not of another one at its address."""
+        """Whether a report is about this server, not another one at the same address."""
         return is_same_start(
             _reported_start_us(self.started_us, now_us), _reported_start_us(started_us, now_us)
         )
 
 
 def _reported_start_us(started_us: int, now_us: int) -> int:
-    """The start as it is compared: 0 where one of the two fronts may report the age as the maximum."""
+    """The start time for a comparison: 0 if either front may report the age as the maximum."""
     is_recent = now_us - started_us < MAX_REPORTED_AGE_US - START_TOLERANCE_US
     return started_us if is_recent else 0
 
 
 def initial_limit_of_kind(servers: Iterable[ServerLimits], kind: str, min_limit: int) -> int:
-    """The limit of a new server, by the limits of the measured servers of its kind."""
+    """The initial limit of a new server, from the limits of the measured servers of its kind."""
     limits = [
         server.agreement.limit
         for server in servers
--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/workload_shape.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/workload_shape.py
@@ -1,8 +1,8 @@
-"""The shape of an attempt: its service class, its band of bitrates, and whether the server is ready for it.
+"""The workload shape of an attempt: its service class, its bitrate band, and whether the server is ready.
 
-Service times are compared within a shape only: a server that gets more attempts for titles that it must fetch
-first is not a slower server. There are a few dozen shapes at most, so that a server's rows stay few; service
-classes from the eighth on share one.
+Service times are compared within a shape only: a server that receives more attempts for titles that it must
+fetch first has longer service times without being slower. There are a few dozen shapes at most, which bounds
+the number of histogram rows for each server; service classes from the eighth on share one index.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 def shape_of(service_class: int, rung: int, rung_count: int, is_ready: bool) -> int:
-    """The number of a shape.
+    """The index of a shape.
 
     Args:
-        service_class: its index, in the order of the settings.
-        rung: of the attempt, from 0.
-        rung_count: the rungs of the bitrate ladder.
-        is_ready: the server has the title at hand, and is not warming up.
+        service_class: index of the service class, in the order of the settings.
+        rung: rung of the attempt, from 0.
+        rung_count: number of rungs of the bitrate ladder.
+        is_ready: whether the server has the title loaded and is not warming up.
     """
     band = min(BAND_COUNT - 1, max(0, rung) * BAND_COUNT // max(1, rung_count))
     bounded_class = min(service_class, MAX_SERVICE_CLASSES - 1)
@@ -32,7 +32,7 @@
 
 
 def shape_name(shape: int, service_classes: tuple[str, ...]) -> str:
-    """The name of a shape, for the status page."""
+    """The name of a shape, as the status page shows it."""
     service_class, rest = divmod(shape, SHAPES_PER_CLASS)
     band, is_ready = divmod(rest, SHAPES_PER_BAND)
     if service_class < len(service_classes):
@@ -45,13 +45,13 @@
 def shape_share(slots: int, shape_limits: Mapping[int, int], shape: int) -> int:
     """How many of `slots` the attempts of one shape may use.
 
-    It is what the other shapes do not require, and at least its share by requirement. So a slow shape never
-    uses all slots while fast ones require some.
+    A shape may use the slots that the other shapes do not require, and at least a share in proportion to what
+    it requires. So a slow shape never occupies all slots while fast ones require some.
 
     Args:
-        slots: all that there are.
-        shape_limits: the slots that each shape requires.
-        shape: one that `shape_limits` does not name requires one.
+        slots: total number of slots.
+        shape_limits: number of slots that each shape requires.
+        shape: the shape in question; it requires one slot if it is not in `shape_limits`.
     """
     required = shape_limits.get(shape, 1)
     total = sum(shape_limits.values())
