--- a/packages/fair-queueing/src/fennelcove/fair_queueing/service_time.py
+++ b/packages/fair-queueing/src/fennelcove/fair_queueing/service_time.py
@@ -1,9 +1,9 @@
-"""Estimates of service time: for how long an attempt will hold its slot, and which holds are long.
+"""Estimates of service time: how long an attempt will hold its slot, and which holds are long.
 
 Each request shape (service class, bitrate band, warm or cold replicas) has a running mean and deviation, and
-so has each title within a shape. A hold is long relative to what is typical over tenants, each counted once:
-one tenant that sends many requests for slow titles does not make slow holds typical, and where all holds are
-slow, none is long. A request without any history counts as long.
+so has each title within a shape. A hold is long relative to the median over tenants, each counted once: one
+tenant that sends many requests for slow titles does not make slow holds typical, and if all holds are slow,
+none is long. A request without any history counts as long.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-LEARNING_RATE = 1 / 4  # a tenfold change is followed within four holds
-MAX_DECAY = 1 / 64  # the recent maximum of a shape decays by this with each shorter hold
-LONG_FACTOR = 4.0  # a hold is long if it blocks a slot for as long as this many typical ones
+LEARNING_RATE = 1 / 4  # the mean follows a tenfold change within four holds
+MAX_DECAY = 1 / 64  # the recent maximum of a shape decays by this fraction with each shorter hold
+LONG_FACTOR = 4.0  # a hold is long if it blocks a slot for longer than this many typical holds
 MIN_TYPICAL_US = 5_000  # shorter times measure thread wake-ups, not servers
 DEFAULT_SERVICE_TIME_US = 100_000  # the estimate without any history
 MAX_TITLES = 1024
--- a/packages/fair-queueing/src/fennelcove/fair_queueing/slot_allocator.py
+++ b/packages/fair-queueing/src/fennelcove/fair_queueing/slot_allocator.py
@@ -1,4 +1,4 @@
-"""The slots of one front at all servers: how many are free, who uses them, and each tenant's fair share."""
+"""The slots of one front at all servers: how many are free, which tenants use them, and their fair shares."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from fennelcove.fair_queueing.service_time import ServiceTimeEstimate, ServiceTimeEstimator
 from fennelcove.fair_queueing.virtual_time import SlotHold, TenantWeights, VirtualTimeScheduler
 
-LONG_HOLD_RESERVE_DIVISOR = 4  # one slot in this many, and one at least, is never used for a long hold
+LONG_HOLD_RESERVE_DIVISOR = 4  # one slot in this many, and at least one, is never used for a long hold
 MAX_SERVERS = 4096  # with a scheduler; the oldest one without a slot in use is evicted
 
 
@@ -24,16 +24,14 @@
 class SlotAllocator:
     """Slots in use and tenant accounts by server. The caller passes in times and holds the lock."""
 
-    slot_limit: Callable[[str, int], int]  # the slots of this front at a server at a time
+    slot_limit: Callable[[str, int], int]  # this front's number of slots, by server and time
     tenant_weights: TenantWeights = field(default_factory=TenantWeights)
     service_times: ServiceTimeEstimator = field(default_factory=ServiceTimeEstimator, kw_only=True)
     schedulers: dict[str, VirtualTimeScheduler] = field(default_factory=dict, kw_only=True)
-    reporting_front_count: int = field(
-        default=0, kw_only=True
-    )  # the number of other fronts that reported recently
+    reporting_front_count: int = field(default=0, kw_only=True)  # other fronts that reported recently
 
     def scheduler(self, server: str) -> VirtualTimeScheduler:
-        """Return the scheduler of a server; create it where there is none."""
+        """Return the scheduler of a server; create it if there is none."""
         scheduler = self.schedulers.get(server)
         if scheduler is None:
             if len(self.schedulers) >= MAX_SERVERS:
@@ -41,11 +39,11 @@
             scheduler = self.schedulers[server] = VirtualTimeScheduler(self.tenant_weights)
         return scheduler
 
-    def set_tenant_weights(self, terms: TenantWeights) -> None:
-        """Use other weights from now on; what was charged before is not changed."""
-        self.tenant_weights = terms
+    def set_tenant_weights(self, weights: TenantWeights) -> None:
+        """Use other weights from now on; earlier charges do not change."""
+        self.tenant_weights = weights
         for scheduler in self.schedulers.values():
-            scheduler.tenant_weights = terms
+            scheduler.tenant_weights = weights
 
     def has_free_slot(self, server: str, is_long: bool, now_us: int) -> bool:
         """Whether a hold of this kind could start at a server now, for any tenant."""
@@ -66,7 +64,7 @@
     def try_acquire(
         self, server: str, key: tuple[str, int], tenant: int, estimate: ServiceTimeEstimate, now_us: int
     ) -> bool:
-        """Acquire a slot for an attempt; False where none is free for it."""
+        """Acquire a slot for an attempt; False if none is free for it."""
         if not self.has_free_slot(server, estimate.is_long, now_us):
             return False
         scheduler = self.scheduler(server)
@@ -74,7 +72,7 @@
         return True
 
     def release(self, server: str, key: tuple[str, int], now_us: int) -> SlotHold | None:
-        """Release the slot of a completed attempt; None where it holds none."""
+        """Release the slot of a completed attempt; None if it holds none."""
         scheduler = self.schedulers.get(server)
         return scheduler.release(key, now_us) if scheduler is not None else None
 
@@ -83,9 +81,9 @@
         self.scheduler(server).add_remote_usage(tenant, used_us, now_us)
 
     def tenants_within_share(self, servers: tuple[str, ...], tenant: int, now_us: int) -> set[int]:
-        """Return which of the recently active tenants, and of `tenant`, used less than their fair share.
+        """Return which of the recently active tenants, and `tenant`, used less than their fair share.
 
-        Usage and slots are those of all fronts that reported recently.
+        Usage and slots include those of all fronts that reported recently.
         """
         total_slots = 0
         used_slots = {tenant: 0.0}
@@ -124,6 +122,6 @@
 def reserved_slots(slots: int) -> int:
     """Return how many of a server's slots no long hold may use.
 
-    None of a single slot: a long hold could never start there otherwise.
+    A single slot is not reserved, or a long hold could never start there.
     """
     return max(1, slots // LONG_HOLD_RESERVE_DIVISOR) if slots > 1 else 0
--- a/packages/fair-queueing/src/fennelcove/fair_queueing/usage_gossip.py
+++ b/packages/fair-queueing/src/fennelcove/fair_queueing/usage_gossip.py
@@ -1,9 +1,9 @@
 """Gossip between fronts about the slot time that each tenant used at each server.
 
-A front reports totals that only grow within its incarnation. The receiver keeps the greatest of each, so
-reports merge to the same result in any order and number, and a lost report is made up for by the next one.
-The first total received of an incarnation is a baseline and adds no usage; growth is capped at what all slots
-of the server could have granted in that time.
+A front reports totals that only grow within its incarnation. The receiver stores the greatest value of each
+total, so the merged result does not depend on the order of reports or on duplicates, and the next report
+makes up for a lost one. The first total received of an incarnation is a baseline and adds no usage; growth is
+capped at what all slots of the server could have granted in that time.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from dataclasses import dataclass, field
 
 WINDOW_US = 250_000  # the time between two reports
-REPEAT_WINDOWS = 4  # an entry is sent this many times after it grew, against lost messages
+REPEAT_WINDOWS = 4  # an entry is sent this many times after it grew, in case messages are lost
 FRESHNESS_US = 2_000_000  # a front that reported within this time counts as present
-MAX_ROWS = 60  # sent in one window, the largest first
-MAX_ENTRIES = 512  # totals of this front, and of each other front
+MAX_ROWS = 60  # in one report, those with the most recent usage first
+MAX_ENTRIES = 512  # totals stored for this front, and for each other front
 OTHER_TENANTS = 0  # the tenant number for all tenants whose own entry was evicted
 
 UsageKey = tuple[int, int]  # server, tenant
@@ -45,7 +45,7 @@
 
     used_us: int = 0
     reported_us: int = 0  # the part of `used_us` that was sent
-    recent_us: int = 0  # ranks the entries for a report
+    recent_us: int = 0  # recent usage, by which entries are ranked for a report
     windows_left: int = 0  # in how many more windows it is sent
 
 
@@ -59,7 +59,7 @@
     applied_us: int = 0  # the growth since the baseline that was passed on to the scheduler
 
     def growth_us(self, slots: int, now_us: int) -> int:
-        """Return the growth since the baseline, at most what `slots` slots could have granted."""
+        """Return the growth since the baseline, limited to what `slots` slots could have granted."""
         possible_us = slots * (now_us - self.baseline_at_us)
         return min(self.max_used_us - self.baseline_us, possible_us)
 
@@ -110,9 +110,9 @@
         total.windows_left = REPEAT_WINDOWS
 
     def next_report(self) -> UsageReport | None:
-        """Return the report of this window, the largest entries first; None where there is nothing to send.
+        """Return the report of this window, or None if there is nothing to send.
 
-        Entries that do not fit go into the next report.
+        Entries with the most recent usage come first; those that do not fit go into the next report.
         """
         due = [(key, total) for key, total in self.local_usage.items() if total.windows_left > 0]
         if not due:
@@ -160,9 +160,9 @@
         )
 
     def _evict_oldest(self) -> None:
-        """Merge the least recently used entry into the one for other tenants of its server.
+        """Merge the least recently used entry into the entry for other tenants of its server.
 
-        Only what was not reported yet is moved along: receivers have applied the rest already.
+        Only usage that was not reported yet is transferred, as receivers have already applied the rest.
         """
         (server, tenant), evicted = self.local_usage.popitem(last=False)
         if tenant == OTHER_TENANTS:
--- a/packages/fair-queueing/src/fennelcove/fair_queueing/virtual_time.py
+++ b/packages/fair-queueing/src/fennelcove/fair_queueing/virtual_time.py
@@ -4,12 +4,13 @@
 clock, which advances only when a slot is acquired. The tenant with the lowest start tag gets the next slot. A
 tenant that was idle starts at the current virtual time and has accumulated no credit, so idle shares are lent
 to others and reclaimed with the next slot that becomes free. A hold is charged its expected service time when
-it starts, charged further while it runs longer, and corrected when it ends.
+it starts and more while it exceeds that; the charge is corrected to the measured time when it ends.
 
-Next to the tags each tenant has its recent usage, at this front and at others. It decides whether the tenant
-is within its share of the whole fleet; tenants within their share go first. So a tenant that sends requests
-to all fronts gets no more than one that uses a single front, and one that moves between fronts takes its
-usage along. Usage decays exponentially, so an earlier surplus is held against a tenant for a short time only.
+Besides the tags, the recent usage of each tenant is tracked, at this front and at others. It determines
+whether the tenant is within its share of the whole fleet; tenants within their share go first. So a tenant
+that sends requests to all fronts gets no more than one that uses a single front, and the usage of a tenant
+that moves between fronts still counts. Usage decays exponentially, so an earlier surplus disadvantages a
+tenant only for a short time.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 from dataclasses import dataclass, field
 from math import exp
 
-MAX_TENANTS = 64  # with an account of their own at one server; all others share one
+MAX_TENANTS = 64  # with an account of their own at one server; all other tenants share one account
 OTHER_TENANTS = 0  # the number of the shared account
 ACTIVE_WINDOW_US = 2_000_000  # a tenant that had a slot within this time counts as active
 USAGE_DECAY_US = 500_000  # the time constant by which recent usage decays
-ACCOUNT_EXPIRY_US = 10_000_000  # an account without any use for this time may be removed
+ACCOUNT_EXPIRY_US = 10_000_000  # an account that was not used for this time may be removed
 
 
 @dataclass(frozen=True, slots=True)
 class TenantWeights:
-    """Weights of the configured tenants by number, and one weight for all others together."""
+    """Weights of the configured tenants by number, and one weight for all other tenants together."""
 
     weights: Mapping[int, float] = field(default_factory=dict)
     unlisted_weight: float = 1.0
@@ -41,7 +42,7 @@
         return tenant if not self.weights or tenant in self.weights else OTHER_TENANTS
 
     def weight(self, tenant: int) -> float:
-        """Return the weight of a tenant; all are equal where none is configured."""
+        """Return the weight of a tenant; all weights are equal if none is configured."""
         if not self.weights:
             return 1.0
         return self.weights.get(tenant, self.unlisted_weight)
@@ -66,12 +67,12 @@
     updated_us: int = 0
 
     def add(self, used_us: float, now_us: int) -> None:
-        """Add slot time that was used until now; negative for a correction."""
+        """Add slot time; a negative value corrects an earlier one."""
         self.usage_us = self.usage_at(now_us) + used_us
         self.updated_us = now_us
 
     def usage_at(self, now_us: int) -> float:
-        """Return what is left of the usage at a time."""
+        """Return the decayed usage at a time."""
         return self.usage_us * exp((self.updated_us - now_us) / USAGE_DECAY_US)
 
 
@@ -86,7 +87,7 @@
     remote_usage: DecayingUsage = field(default_factory=DecayingUsage)  # granted by other fronts
 
     def charge(self, used_us: float, weight: float, now_us: int) -> None:
-        """Charge slot time, or refund it where it is negative."""
+        """Charge slot time, or refund it if it is negative."""
         self.finish_tag += used_us / weight
         self.local_usage.add(used_us, now_us)
 
@@ -119,7 +120,7 @@
     def acquire(
         self, key: tuple[str, int], tenant: int, expected_us: int, now_us: int, *, is_long: bool
     ) -> None:
-        """Put a slot in use and charge the expected service time to its tenant."""
+        """Mark a slot as in use and charge the expected service time to its tenant."""
         self._charge_elapsed(now_us)
         account_key = self._ensure_account(tenant, now_us)
         account = self.accounts[account_key]
@@ -129,7 +130,7 @@
         self.holds[key] = SlotHold(tenant, account_key, now_us, expected_us, is_long)
 
     def release(self, key: tuple[str, int], now_us: int) -> SlotHold | None:
-        """Free a slot and correct its charge to the measured time; None for a slot that is not in use."""
+        """Free a slot and correct its charge to the measured time; None if the slot is not in use."""
         hold = self.holds.pop(key, None)
         if hold is None:
             return None
@@ -176,9 +177,9 @@
         return tenant if has_own_account else OTHER_TENANTS
 
     def _charge_elapsed(self, now_us: int) -> None:
-        """Charge holds that run longer than expected now, not when they end.
+        """Charge holds that exceed their expected time while they last, not only when they end.
 
-        A server that never answers would otherwise cost its tenant nothing.
+        Otherwise a slot at a server that never answers would cost its tenant nothing.
         """
         for hold in self.holds.values():
             uncharged_us = now_us - hold.acquired_us - hold.charged_us
@@ -188,7 +189,7 @@
                 self.accounts[hold.account_key].charge(uncharged_us, weight, now_us)
 
     def _ensure_account(self, tenant: int, now_us: int) -> int:
-        """Return the key of the account to charge for a tenant; create it, and make space where needed."""
+        """Return the key of the account to charge for a tenant; create it, and make room if needed."""
         if tenant not in self.accounts and len(self.accounts) >= MAX_TENANTS:
             self._remove_stale_accounts(now_us)
         if tenant not in self.accounts and len(self.accounts) >= MAX_TENANTS:
@@ -200,14 +201,14 @@
         return key
 
     def _remove_stale_accounts(self, now_us: int) -> None:
-        """Remove accounts whose tag no longer delays their tenant, or that were not used for long."""
+        """Remove idle accounts that expired, or whose tag no longer delays their tenant."""
         for key, account in list(self.accounts.items()):
             is_expired = now_us - account.last_used_us > ACCOUNT_EXPIRY_US
             if not account.slots_in_use and (account.finish_tag <= self.virtual_time or is_expired):
                 del self.accounts[key]
 
     def _merge_smallest_account(self) -> None:
-        """Merge the idle account with the lowest tag into the shared one, which keeps the highest tag."""
+        """Merge the idle account with the lowest tag into the shared one, which gets the higher tag of both."""
         idle = [
             (account.finish_tag, key)
             for key, account in self.accounts.items()
--- a/packages/fair-queueing/src/fennelcove/fair_queueing/wait_queue.py
+++ b/packages/fair-queueing/src/fennelcove/fair_queueing/wait_queue.py
@@ -1,9 +1,9 @@
-"""The queue of requests that wait for a slot: who is granted the next slot, and who is rejected at once.
+"""The queue of requests that wait for a slot: which one gets the next slot, and which is rejected at once.
 
 A request waits for a slot at any replica of its title. A slot that becomes free goes to the tenant with the
 lowest start tag at that server, tenants within their fair share first; within a tenant the oldest request
-goes first. Long holds never use the last slots of a server, so short ones get through whatever the slow ones
-do. No request waits longer than the configured maximum, or than its deadline allows for attempt and response.
+goes first. Long holds never use the last slots of a server, so slow requests cannot block short ones. No
+request waits longer than the configured maximum, or than its deadline allows for attempt and response.
 """
 
 from __future__ import annotations
@@ -17,9 +17,8 @@
 from fennelcove.fair_queueing.virtual_time import VirtualTimeScheduler
 from fennelcove.fair_queueing.waiter import WaiterAction, WaiterEvent, WaiterState, transition
 
-LENDING_RESERVE_DIVISOR = (
-    4  # one slot in this many of a title's replicas is not lent while others send requests
-)
+# One slot in this many of a title's replicas is not lent while other tenants are active.
+LENDING_RESERVE_DIVISOR = 4
 MIN_RETRY_AFTER_US = 100_000
 
 
@@ -54,7 +53,7 @@
 
 
 class _Rank(NamedTuple):
-    """The order in which waiting requests are granted a slot: the lowest first."""
+    """Sort key of waiting requests: the lowest is granted a slot first."""
 
     is_over_share: bool
     start_tag: float
@@ -70,11 +69,9 @@
 
     max_wait_us: int = 200_000
     max_waiting: int = 256
-    waiting_by_tenant: dict[int, dict[str, Waiter]] = field(
-        default_factory=dict
-    )  # by tenant and id, the oldest first
-    waiting_count: int = 0  # of waiting requests
-    sequence: int = 0
+    waiting_by_tenant: dict[int, dict[str, Waiter]] = field(default_factory=dict)  # by id, the oldest first
+    waiting_count: int = 0
+    sequence: int = 0  # of the latest request
 
     def may_acquire(self, waiter: Waiter, server: str, now_us: int) -> bool:
         """Whether a request may acquire a slot at a server now."""
@@ -87,7 +84,7 @@
         self.sequence += 1
         waiter.sequence = self.sequence
         if any(self.may_acquire(waiter, server, now_us) for server in waiter.servers):
-            # It overtakes nobody: a waiting request that could use this slot would have been granted it.
+            # This overtakes no other request: a waiting one that may use this slot would already have it.
             return QueueDecision(waiter.apply(WaiterEvent.SLOT_GRANTED))
         expected_us = self.expected_wait_us(waiter, now_us)
         retry_after_us = max(MIN_RETRY_AFTER_US, expected_us)
@@ -110,7 +107,7 @@
         return min(waiter.arrived_us + self.max_wait_us, latest_start_us)
 
     def expected_wait_us(self, waiter: Waiter, now_us: int) -> int:
-        """Estimate the wait of a request: the work ahead of it by the tags, over the slots it may use."""
+        """Estimate the wait of a request: the work ahead of it by the tags, divided by its usable slots."""
         own_queued_us = _expected_work_us(self.waiting_by_tenant.get(waiter.tenant, {}).values())
         share = self.fair_share(waiter.servers, waiter.tenant, now_us)
         usable_slots = share.total_slots
@@ -129,7 +126,7 @@
         """Grant a free slot at a server to a waiting request, and remove it from the queue.
 
         Returns:
-            The request to place now; None where no slot is free, or nobody may use it.
+            The request to place now; None if no slot is free, or no waiting request may use it.
         """
         if not self.waiting_count or not self.has_free_slot(server, False, now_us):
             return None
@@ -149,13 +146,13 @@
         return best
 
     def cancel(self, waiter: Waiter, event: WaiterEvent) -> WaiterAction:
-        """Remove a request that stops waiting; without effect where it was granted a slot meanwhile."""
+        """Remove a request that stops waiting; no effect on the queue if it no longer waits."""
         if waiter.state is WaiterState.WAITING:
             self._remove(waiter)
         return waiter.apply(event)
 
     def expired(self, now_us: int) -> list[Waiter]:
-        """Return the requests that may not wait any longer."""
+        """Return the requests whose wait deadline has passed."""
         return [
             waiter
             for waiters in self.waiting_by_tenant.values()
@@ -164,15 +161,16 @@
         ]
 
     def retry_after_us(self, waiter: Waiter, now_us: int) -> int:
-        """Return the Retry-After of a rejected request: until the work ahead of it is done."""
+        """Return the Retry-After of a rejected request: the time until the work ahead of it is done."""
         return max(MIN_RETRY_AFTER_US, self.expected_wait_us(waiter, now_us))
 
     def _is_within_share(self, waiter: Waiter, now_us: int) -> bool:
         """Whether a request may use a free slot without harm to tenants that are within their share.
 
-        Long holds stay within their tenant's share of the title's replicas, but one may always run: a lent
-        slot must be reclaimed within one hold, and a long hold would keep it. Short holds may borrow, but
-        leave a reserve, or each new request of another tenant would have to wait for a slot to be released.
+        The number of long holds is limited to their tenant's share of the title's replicas, but one may
+        always run: a lent slot must be reclaimable within one hold, and a long hold would occupy it for too
+        long. Short holds may borrow, but leave a reserve; otherwise each new request of another tenant would
+        have to wait until a slot is released.
         """
         schedulers = [self.schedulers[server] for server in waiter.servers if server in self.schedulers]
         if waiter.estimate.is_long:
@@ -184,13 +182,16 @@
         if free_slots > total_slots // LENDING_RESERVE_DIVISOR:
             return True
         within_share = self.tenants_within_share(waiter.servers, waiter.tenant, now_us)
-        # A tenant with a waiting request needs no reserve: it is granted the next slot by its tag.
+        # A tenant with a waiting request needs no reserve, as its tag gives it the next slot.
         return waiter.tenant in within_share or all(
             tenant in self.waiting_by_tenant for tenant in within_share
         )
 
     def _eviction_victim(self, newcomer: Waiter) -> Waiter:
-        """Return the newest request of the tenant with the most waiting ones; the newcomer if it is of it."""
+        """Return the newest request of the tenant with the most waiting requests.
+
+        This is the newcomer itself if it belongs to that tenant.
+        """
         largest = max(
             self.waiting_by_tenant,
             key=lambda tenant: (len(self.waiting_by_tenant[tenant]), tenant == newcomer.tenant),
@@ -218,7 +219,7 @@
         return work_ahead_us
 
     def _oldest_eligible(self, waiters: Iterable[Waiter], server: str, now_us: int) -> Waiter | None:
-        """Return the first request that may use a slot at a server."""
+        """Return the first request, of those given in order of age, that may use a slot at a server."""
         for waiter in waiters:
             if server in waiter.servers and self.may_acquire(waiter, server, now_us):
                 return waiter
@@ -226,7 +227,7 @@
 
     def _rank(self, waiter: Waiter, scheduler: VirtualTimeScheduler, now_us: int) -> _Rank:
         is_over_share = False
-        if self.reporting_front_count:  # the tags alone are enough for a front without others
+        if self.reporting_front_count:  # without other fronts the tags alone suffice
             within_share = self.tenants_within_share(waiter.servers, waiter.tenant, now_us)
             is_over_share = waiter.tenant not in within_share
         return _Rank(is_over_share, scheduler.start_tag(waiter.tenant, now_us), waiter.sequence)
--- a/packages/fair-queueing/src/fennelcove/fair_queueing/waiter.py
+++ b/packages/fair-queueing/src/fennelcove/fair_queueing/waiter.py
@@ -1,7 +1,7 @@
 """State machine of one session request that needs a slot.
 
-A request waits before it is passed to the placement policy, so nothing has been sent while it waits: dropping
-it needs no release at any server, and its final response can be sent at once.
+A request waits before it is passed to the placement policy, so nothing has been sent to a server while it
+waits: dropping it requires no release at any server, and its final response can be sent at once.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 class WaiterEvent(Enum):
     """Event of a request that needs a slot."""
 
-    NO_SLOT = auto()  # every slot that it could use is taken
+    NO_SLOT = auto()  # every slot that it could use is in use
     NO_TIME = auto()  # wait, attempt and response would not fit before its deadline
     CROWDED = auto()  # the queue is full, and its tenant has the most requests in it
-    SLOT_GRANTED = auto()  # a slot is granted
+    SLOT_GRANTED = auto()  # it may acquire a free slot
     PLACED = auto()  # the placement policy picked a server, and the slot there is acquired
-    NO_SERVER = auto()  # the placement policy finds no place at the servers with a free slot
-    REQUEUED = auto()  # it is queued again, for the servers whose slots are all taken
+    NO_SERVER = auto()  # the placement policy rejects all servers with a free slot
+    REQUEUED = auto()  # it is queued again, for the servers whose slots are all in use
     HUNG_UP = auto()  # the client disconnected
     STOPPED = auto()  # the front shuts down
     SLOT_RELEASED = auto()  # its attempt completed and released the slot
@@ -42,7 +42,7 @@
     WAIT = auto()
     PLACE = auto()  # pass the request to the placement policy now
     REJECT = auto()  # send the final response at once, with Retry-After
-    DROP = auto()  # no client waits for a response
+    DROP = auto()  # send nothing, as the client is gone
     CHARGE = auto()  # charge the expected service time to the tenant
     CORRECT = auto()  # replace the charge by the measured service time
     NOTHING = auto()
@@ -51,8 +51,8 @@
 _STATE, _EVENT, _ACTION = WaiterState, WaiterEvent, WaiterAction
 
 # A request that holds a slot leaves that state only when its attempt completes, not when the client
-# disconnects or the front shuts down: the server is busy with it until then. Events that arrive late or twice
-# have no row and change nothing.
+# disconnects or the front shuts down: the server is busy with it until then. Late and duplicate events are
+# not in the table and change nothing.
 TRANSITIONS: TransitionTable[WaiterState, WaiterEvent, WaiterAction] = TransitionTable(
     {
         (_STATE.NEW, _EVENT.SLOT_GRANTED): Transition(_STATE.PLACING, (_ACTION.PLACE,)),
@@ -74,7 +74,7 @@
 
 
 def transition(state: WaiterState, event: WaiterEvent) -> tuple[WaiterState, WaiterAction]:
-    """Return the next state and the action to carry out, `NOTHING` where there is none."""
+    """Return the next state and the action to carry out, `NOTHING` if there is none."""
     following = TRANSITIONS.apply(state, event)
     action = following.actions[0] if following.actions else WaiterAction.NOTHING
     return following.state, action
