--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -1,4 +1,4 @@
-"""A clock of its own for simulations: calls in the order of their times."""
+"""A discrete-event scheduler for simulations: calls run in the order of their simulated times."""
 
 from __future__ import annotations
 
@@ -10,20 +10,23 @@
 
 
 class Events:
-    """What is due, earliest first; of two at one time the one planned first."""
+    """Scheduled calls, the earliest first; calls at the same time run in the order they were scheduled in."""
 
     def __init__(self, now_us: int = 0) -> None:
         self.now_us = now_us
         self.order = count()
-        self.due: list[tuple[int, int, Call]] = []
+        self.scheduled: list[tuple[int, int, Call]] = []
 
     def at(self, time_us: int, call: Call) -> None:
-        heapq.heappush(self.due, (time_us, next(self.order), call))
+        """Schedule a call at a time."""
+        heapq.heappush(self.scheduled, (time_us, next(self.order), call))
 
     def after(self, us: float, call: Call) -> None:
+        """Schedule a call `us` microseconds from now."""
         self.at(self.now_us + round(us), call)
 
     def run(self, end_us: int) -> None:
-        while self.due and self.due[0][0] < end_us:
-            self.now_us, _, call = heapq.heappop(self.due)
+        """Run all calls that are due before `end_us`."""
+        while self.scheduled and self.scheduled[0][0] < end_us:
+            self.now_us, _, call = heapq.heappop(self.scheduled)
             call()
--- a/packages/fair-queueing/src/fennelcove/fair_queueing/virtual_time.py
+++ b/packages/fair-queueing/src/fennelcove/fair_queueing/virtual_time.py
@@ -208,7 +208,7 @@
                 del self.accounts[key]
 
     def _merge_smallest_account(self) -> None:
-        """Merge the idle account with the lowest tag into the shared one, which gets the higher tag of both."""
+        """Merge the idle account with the lowest tag into the shared one, which gets the higher tag."""
         idle = [
             (account.finish_tag, key)
             for key, account in self.accounts.items()
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -1,5 +1,5 @@
-"""A whole front whose boxes have few slots: who waits, who has the next, who leaves the line, and what a box
-sees of it."""
+"""A complete front whose servers have few slots: which requests wait, which gets the next slot, which leave
+the queue, and what the servers receive."""
 
 from __future__ import annotations
 
@@ -17,100 +17,101 @@
 from tests.rig import WholePath, wait_for
 
 
-class SlotsTest(WholePath):
+class WaitQueueFrontTest(WholePath):
     BOXES = 1
 
-    def begin_fair(self, hold_ms: float, **changes: Any) -> None:
+    def start_with_fair_queue(self, service_ms: float, **changes: Any) -> None:
         self.begin(fair=FairSettings(**{"slots": 2, "wait_ms": 10_000.0, **changes}))
-        self.ask()  # what nothing is known of counts as long, and never has the last slot
-        self.boxes[0].pace = Pace(hold_ms)
+        self.ask()  # a request without any history counts as long, and never gets the last slot
+        self.boxes[0].pace = Pace(service_ms)
         self.ask()
         self.recorder.records.clear()
 
-    def slots(self) -> Any:
+    def scheduler(self) -> Any:
         return self.front.core.slots.scheduler
 
-    def test_set_ups_past_the_slots_wait_and_no_more_are_out(self) -> None:
-        self.begin_fair(50)
-        heard = self.together(8)
-        assert {one.status for one in heard} == {201}
+    def test_requests_beyond_the_slots_wait_and_the_slots_are_not_exceeded(self) -> None:
+        self.start_with_fair_queue(50)
+        responses = self.together(8)
+        assert {response.status for response in responses} == {201}
         assert self.most_out() == 2
-        assert self.slots().status()["out"] == 0
-
-    def test_waiting_in_vain_ends_at_once_with_a_time_and_nothing_at_the_box(self) -> None:
-        self.begin_fair(300, wait_ms=20.0)
-        heard = self.together(6, room="once")
-        refused = [one for one in heard if one.status == 503]
-        assert refused
-        assert all(one.head.get(b"retry-after") for one in refused)
-        # A single-shot room type: what was refused has never left.
-        assert len(self.seen("set_up")) == 6 - len(refused)
-
-    def test_who_hangs_up_in_the_line_leaves_it_and_the_slots_as_they_are(self) -> None:
-        self.begin_fair(600)
-        held = [threading.Thread(target=self.ask) for _ in range(2)]
-        for thread in held:
+        assert self.scheduler().status()["out"] == 0
+
+    def test_hopeless_requests_are_rejected_with_retry_after_and_send_nothing(self) -> None:
+        self.start_with_fair_queue(300, wait_ms=20.0)
+        responses = self.together(6, room="once")
+        rejected = [response for response in responses if response.status == 503]
+        assert rejected
+        assert all(response.head.get(b"retry-after") for response in rejected)
+        # This service class permits one attempt: a rejected request was never sent to a server.
+        assert len(self.seen("set_up")) == 6 - len(rejected)
+
+    def test_a_disconnected_client_leaves_the_queue_and_the_slots_unchanged(self) -> None:
+        self.start_with_fair_queue(600)
+        in_flight = [threading.Thread(target=self.ask) for _ in range(2)]
+        for thread in in_flight:
             thread.start()
-        wait_for(lambda: self.slots().status()["out"] == 2, "both slots out")
+        wait_for(lambda: self.scheduler().status()["out"] == 2, "both slots in use")
         player = self.player()
-        waits = threading.Thread(target=lambda: self._give_up(player))
-        waits.start()
-        wait_for(lambda: self.slots().status()["waiting"] == 1, "one in line")
+        waiting = threading.Thread(target=lambda: self._send_interrupted_request(player))
+        waiting.start()
+        wait_for(lambda: self.scheduler().status()["waiting"] == 1, "one waiting request")
         assert player.sock is not None
         player.sock.shutdown(2)
-        waits.join()
-        wait_for(lambda: self.slots().status()["waiting"] == 0, "nobody in line")
-        for thread in held:
+        waiting.join()
+        wait_for(lambda: self.scheduler().status()["waiting"] == 0, "an empty queue")
+        for thread in in_flight:
             thread.join()
         assert len(self.seen("set_up")) == 2
-        assert self.slots().status()["out"] == 0
+        assert self.scheduler().status()["out"] == 0
 
-    def _give_up(self, player: Any) -> None:
+    def _send_interrupted_request(self, player: Any) -> None:
         try:
             self.ask(player=player)
         except Exception as error:
             assert type(error).__name__ == "Unanswered"
 
-    def test_a_front_that_stops_answers_all_that_wait(self) -> None:
-        self.begin_fair(1500)
-        found: list[Heard] = []
-        threads = [threading.Thread(target=lambda: found.append(self.ask())) for _ in range(4)]
+    def test_a_stopping_front_answers_all_waiting_requests(self) -> None:
+        self.start_with_fair_queue(1500)
+        responses: list[Heard] = []
+        threads = [threading.Thread(target=lambda: responses.append(self.ask())) for _ in range(4)]
         for thread in threads:
             thread.start()
-        wait_for(lambda: self.slots().status()["waiting"] == 2, "two in line")
+        wait_for(lambda: self.scheduler().status()["waiting"] == 2, "two waiting requests")
         self.front.hurry()
         for thread in threads:
             thread.join()
-        assert sorted(one.status for one in found)[-2:] == [503, 503]
+        assert sorted(response.status for response in responses)[-2:] == [503, 503]
 
-    def test_a_neighbour_goes_before_those_of_one_that_has_had_more(self) -> None:
-        self.begin_fair(100)
-        self.together(6, tenant="hog")
-        rest = [threading.Thread(target=lambda: self.ask(tenant="hog")) for _ in range(6)]
+    def test_a_tenant_within_its_share_goes_before_one_that_used_more(self) -> None:
+        self.start_with_fair_queue(100)
+        self.together(6, tenant="noisy")
+        rest = [threading.Thread(target=lambda: self.ask(tenant="noisy")) for _ in range(6)]
         for thread in rest:
             thread.start()
-        wait_for(lambda: self.slots().status()["waiting"] >= 4, "the hog in line")
-        self.ask(tenant="near")
-        before = self.slots().status()["waiting"]
+        wait_for(lambda: self.scheduler().status()["waiting"] >= 4, "waiting requests of the noisy tenant")
+        self.ask(tenant="other")
+        before = self.scheduler().status()["waiting"]
         for thread in rest:
             thread.join()
-        assert before >= 1  # first come would have let all of the hog go first
+        assert before >= 1  # in order of arrival, all of the noisy tenant would have gone first
 
 
-class LearnedTest(WholePath):
+class LearnedLimitTest(WholePath):
     BOXES = 1
 
-    def test_the_learned_number_counts_in_place_of_the_stated_one(self) -> None:
-        # Stated are fifty, learned no more than two: a line that went by its own number would give all eight
-        # a turn, and the learned number's own gate would give six of them up.
+    def test_a_learned_limit_replaces_the_configured_one(self) -> None:
+        # Fifty slots are configured, and at most two are learned: a queue that used the configured number
+        # would grant slots to all eight requests, and the learned limit would then reject six of them.
         learned = SlotSettings(start=2, least=2, most=2)
         self.begin(fair=FairSettings(slots=50, wait_ms=10_000.0), slots=learned)
-        # The pace first: beside a set-up of no time all others would pass for long ones.
+        # Set before any request: compared with an immediate set-up, all others would count as long.
         self.boxes[0].pace = Pace(60)
-        box = self.boxes[0].address
-        # A life that begins has no part of a box until its first look: who comes before is refused.
+        address = self.boxes[0].address
+        # A front that just started has no share of a server until its first window closes; earlier requests
+        # are rejected.
         status: Any = lambda: self.front.core.status().to_json_fields()  # noqa: E731
-        wait_for(lambda: status()["slots"]["boxes"].get(box, {}).get("here"), "a part")
+        wait_for(lambda: status()["slots"]["boxes"].get(address, {}).get("here"), "a share of the server")
         self.ask()
         threads = [threading.Thread(target=self.ask) for _ in range(8)]
         for thread in threads:
@@ -124,21 +125,21 @@
 class SettingsTest(WholePath):
     BOXES = 1
 
-    def test_too_few_slots_and_a_name_stated_twice_are_refused(self) -> None:
+    def test_a_duplicate_tenant_name_is_rejected(self) -> None:
         self.begin(start=False, fair=FairSettings(slots=2, weights=[Weight(name="a"), Weight(name="a")]))
         assert any("fair.weights[1].name" in line for line in amiss(self.settings))
-        shared = self.changed(fair=FairSettings(slots=2))
-        assert [line for line in amiss(shared) if "fair" in line] == []
+        without_duplicate = self.changed(fair=FairSettings(slots=2))
+        assert [line for line in amiss(without_duplicate) if "fair" in line] == []
 
 
-class MessagesTest(unittest.TestCase):
-    def test_words_survive_their_bytes_and_cut_ones_are_refused(self) -> None:
+class UsageMessagesTest(unittest.TestCase):
+    def test_reports_round_trip_and_truncated_messages_are_rejected(self) -> None:
         rows = tuple(UsageRow(i, i + 1, i * 10**12) for i in range(40))
         parts = usage_messages.encode(UsageReport(1 << 40, 7, rows))
-        heard = [usage_messages.decode(part) for part in parts]
-        assert tuple(row for said in heard if said for row in said.rows) == rows
-        for cut in range(len(parts[0])):
-            assert usage_messages.decode(parts[0][:cut]) != heard[0]
+        decoded = [usage_messages.decode(part) for part in parts]
+        assert tuple(row for report in decoded if report for row in report.rows) == rows
+        for length in range(len(parts[0])):
+            assert usage_messages.decode(parts[0][:length]) != decoded[0]
 
 
 if __name__ == "__main__":
