--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_histogram.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/latency_histogram.py
@@ -143,7 +143,7 @@
 
 
 def quantile_us(counts: Mapping[int, float], share: float) -> float | None:
-    """The quantile of the durations, interpolated within its class; None if there are no durations."""
+    """The duration that a `share` of all durations does not exceed, interpolated; None if there are none."""
     total = sum(counts.values())
     if total <= 0:
         return None
