--- a/packages/fair-queueing/src/fennelcove/fair_queueing/usage_gossip.py
+++ b/packages/fair-queueing/src/fennelcove/fair_queueing/usage_gossip.py
@@ -14,7 +14,7 @@
 WINDOW_US = 250_000  # the time between two reports
 REPEAT_WINDOWS = 4  # an entry is sent this many times after it grew, in case messages are lost
 FRESHNESS_US = 2_000_000  # a front that reported within this time counts as present
-MAX_ROWS = 60  # in one report, those with the most recent usage first
+MAX_ROWS = 60  # in one report, in descending order of recent usage
 MAX_ENTRIES = 512  # totals stored for this front, and for each other front
 OTHER_TENANTS = 0  # the tenant number for all tenants whose own entry was evicted
 
@@ -112,7 +112,7 @@
     def next_report(self) -> UsageReport | None:
         """Return the report of this window, or None if there is nothing to send.
 
-        Entries with the most recent usage come first; those that do not fit go into the next report.
+        Entries come in descending order of recent usage; those that do not fit go into the next report.
         """
         due = [(key, total) for key, total in self.local_usage.items() if total.windows_left > 0]
         if not due:
