--- a/packages/concurrency-limits/src/fennelcove/concurrency_limits/limit_transitions.py
+++ b/packages/concurrency-limits/src/fennelcove/concurrency_limits/limit_transitions.py
@@ -1,4 +1,4 @@
-"""The state machine of an adaptive limit: its states, signals, actions and transitions."""
+"""State machine of an adaptive limit: its states, signals, actions and transitions."""
 
 from __future__ import annotations
 
@@ -8,90 +8,90 @@
 
 
 class LimitState(Enum):
-    """What is being tried at the server. The names are part of the status page."""
+    """Phase of the search for a server's limit. The status page shows the member names."""
 
     STEADY = auto()
     PROVING = auto()  # a higher limit is on trial
-    FELL = auto()  # the limit was lowered
-    RESTING = auto()  # no rise until the back-off has ended
-    LOOKING = auto()  # a lower limit is in force for a while, to measure the baseline
+    FELL = auto()  # the limit was lowered, and the effect is not known yet
+    RESTING = auto()  # the limit is not raised until the back-off ends
+    LOOKING = auto()  # a probe: the limit is lowered for a while to measure the baseline
 
 
 class LimitSignal(Enum):
-    """What the measurements, the agreement of the panel and the time signal."""
+    """Event derived from the measurements, from the voters' agreement or from elapsed time."""
 
     TOO_FEW_SAMPLES = auto()
-    HEALTHY = auto()  # and nobody waits for long
-    SLOTS_SHORT = auto()  # more slots are required, and the server seems to have the capacity
-    NEAR_KNEE = auto()
-    BASELINE_STALE = auto()  # near the knee by a baseline that was not measured for long
+    HEALTHY = auto()  # service times are near the baseline, and the slots suffice
+    SLOTS_SHORT = auto()  # more slots are required, and the server shows no sign of overload
+    NEAR_KNEE = auto()  # service times are longer than the baseline, but not enough to lower the limit
+    BASELINE_STALE = auto()  # as NEAR_KNEE, but the baseline was last confirmed too long ago
     OVERLOADED = auto()
-    FALL_DID_NOT_HELP = auto()  # as slow as before the limit fell
-    UNANSWERED = auto()  # many attempts get no answer
-    NOT_AGREED = auto()  # the panel does not adopt this front's limit
+    FALL_DID_NOT_HELP = auto()  # service times are as long as before the limit was lowered
+    UNANSWERED = auto()  # many attempts end without an answer
+    NOT_AGREED = auto()  # the voters did not adopt this front's proposal in time
     BACKOFF_ENDED = auto()
 
 
 class LimitAction(Enum):
-    """What to do with the limit. The names are part of log events."""
+    """What to do with the proposed limit. Log events contain the member names."""
 
     KEEP = auto()
     AGE = auto()  # let it decay
-    RISE = auto()
-    TAKE_BACK = auto()  # end a trial
+    RISE = auto()  # start the trial of a higher limit
+    TAKE_BACK = auto()  # end a trial or a probe and restore the previous limit
     FALL = auto()
     HALVE = auto()
-    LEARN_ANEW = auto()  # discard the baseline
-    DIP = auto()  # lower it for a while, to measure the baseline
+    LEARN_ANEW = auto()  # discard the baseline and restore the limit before the falls
+    DIP = auto()  # start a probe: lower the limit for a while to measure the baseline
     FOLLOW = auto()  # adopt the limit in force
 
 
-_S, _E, _A = LimitState, LimitSignal, LimitAction
+_STATE, _SIGNAL, _ACTION = LimitState, LimitSignal, LimitAction
 TRANSITIONS: TransitionTable[LimitState, LimitSignal, LimitAction] = TransitionTable(
     {
-        (_S.STEADY, _E.TOO_FEW_SAMPLES): Transition(_S.STEADY, (_A.AGE,)),
-        (_S.STEADY, _E.HEALTHY): Transition(_S.STEADY, (_A.KEEP,)),
-        (_S.STEADY, _E.SLOTS_SHORT): Transition(_S.PROVING, (_A.RISE,)),
-        (_S.STEADY, _E.NEAR_KNEE): Transition(_S.STEADY, (_A.KEEP,)),
-        (_S.STEADY, _E.BASELINE_STALE): Transition(_S.LOOKING, (_A.DIP,)),
-        (_S.STEADY, _E.OVERLOADED): Transition(_S.FELL, (_A.FALL,)),
-        (_S.STEADY, _E.UNANSWERED): Transition(_S.FELL, (_A.HALVE,)),
-        (_S.STEADY, _E.NOT_AGREED): Transition(_S.STEADY, (_A.FOLLOW,)),
-        # A rise without measurements is not confirmed.
-        (_S.PROVING, _E.TOO_FEW_SAMPLES): Transition(_S.RESTING, (_A.TAKE_BACK,)),
-        (_S.PROVING, _E.HEALTHY): Transition(_S.STEADY, (_A.KEEP,)),
-        (_S.PROVING, _E.SLOTS_SHORT): Transition(_S.PROVING, (_A.RISE,)),
-        (_S.PROVING, _E.NEAR_KNEE): Transition(_S.STEADY, (_A.KEEP,)),
-        (_S.PROVING, _E.BASELINE_STALE): Transition(_S.STEADY, (_A.KEEP,)),
-        (_S.PROVING, _E.OVERLOADED): Transition(_S.RESTING, (_A.TAKE_BACK,)),
-        (_S.PROVING, _E.UNANSWERED): Transition(_S.FELL, (_A.HALVE,)),
-        (_S.PROVING, _E.NOT_AGREED): Transition(_S.RESTING, (_A.FOLLOW,)),
-        (_S.FELL, _E.TOO_FEW_SAMPLES): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.FELL, _E.HEALTHY): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.FELL, _E.SLOTS_SHORT): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.FELL, _E.NEAR_KNEE): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.FELL, _E.BASELINE_STALE): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.FELL, _E.OVERLOADED): Transition(_S.FELL, (_A.FALL,)),
-        (_S.FELL, _E.FALL_DID_NOT_HELP): Transition(_S.RESTING, (_A.LEARN_ANEW,)),
-        (_S.FELL, _E.UNANSWERED): Transition(_S.FELL, (_A.HALVE,)),
-        (_S.FELL, _E.NOT_AGREED): Transition(_S.RESTING, (_A.FOLLOW,)),
-        (_S.RESTING, _E.TOO_FEW_SAMPLES): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.RESTING, _E.HEALTHY): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.RESTING, _E.SLOTS_SHORT): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.RESTING, _E.NEAR_KNEE): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.RESTING, _E.BASELINE_STALE): Transition(_S.RESTING, (_A.KEEP,)),
-        (_S.RESTING, _E.OVERLOADED): Transition(_S.FELL, (_A.FALL,)),
-        (_S.RESTING, _E.UNANSWERED): Transition(_S.FELL, (_A.HALVE,)),
-        (_S.RESTING, _E.BACKOFF_ENDED): Transition(_S.STEADY, (_A.KEEP,)),
-        (_S.LOOKING, _E.TOO_FEW_SAMPLES): Transition(_S.STEADY, (_A.TAKE_BACK,)),
-        (_S.LOOKING, _E.HEALTHY): Transition(_S.STEADY, (_A.TAKE_BACK,)),
-        (_S.LOOKING, _E.SLOTS_SHORT): Transition(_S.STEADY, (_A.TAKE_BACK,)),
-        (_S.LOOKING, _E.NEAR_KNEE): Transition(_S.STEADY, (_A.TAKE_BACK,)),
-        (_S.LOOKING, _E.BASELINE_STALE): Transition(_S.STEADY, (_A.TAKE_BACK,)),
-        (_S.LOOKING, _E.OVERLOADED): Transition(_S.FELL, (_A.FALL,)),
-        (_S.LOOKING, _E.UNANSWERED): Transition(_S.FELL, (_A.HALVE,)),
-        (_S.LOOKING, _E.NOT_AGREED): Transition(_S.STEADY, (_A.FOLLOW,)),
+        (_STATE.STEADY, _SIGNAL.TOO_FEW_SAMPLES): Transition(_STATE.STEADY, (_ACTION.AGE,)),
+        (_STATE.STEADY, _SIGNAL.HEALTHY): Transition(_STATE.STEADY, (_ACTION.KEEP,)),
+        (_STATE.STEADY, _SIGNAL.SLOTS_SHORT): Transition(_STATE.PROVING, (_ACTION.RISE,)),
+        (_STATE.STEADY, _SIGNAL.NEAR_KNEE): Transition(_STATE.STEADY, (_ACTION.KEEP,)),
+        (_STATE.STEADY, _SIGNAL.BASELINE_STALE): Transition(_STATE.LOOKING, (_ACTION.DIP,)),
+        (_STATE.STEADY, _SIGNAL.OVERLOADED): Transition(_STATE.FELL, (_ACTION.FALL,)),
+        (_STATE.STEADY, _SIGNAL.UNANSWERED): Transition(_STATE.FELL, (_ACTION.HALVE,)),
+        (_STATE.STEADY, _SIGNAL.NOT_AGREED): Transition(_STATE.STEADY, (_ACTION.FOLLOW,)),
+        # Without measurements a rise cannot be confirmed, so it is reverted.
+        (_STATE.PROVING, _SIGNAL.TOO_FEW_SAMPLES): Transition(_STATE.RESTING, (_ACTION.TAKE_BACK,)),
+        (_STATE.PROVING, _SIGNAL.HEALTHY): Transition(_STATE.STEADY, (_ACTION.KEEP,)),
+        (_STATE.PROVING, _SIGNAL.SLOTS_SHORT): Transition(_STATE.PROVING, (_ACTION.RISE,)),
+        (_STATE.PROVING, _SIGNAL.NEAR_KNEE): Transition(_STATE.STEADY, (_ACTION.KEEP,)),
+        (_STATE.PROVING, _SIGNAL.BASELINE_STALE): Transition(_STATE.STEADY, (_ACTION.KEEP,)),
+        (_STATE.PROVING, _SIGNAL.OVERLOADED): Transition(_STATE.RESTING, (_ACTION.TAKE_BACK,)),
+        (_STATE.PROVING, _SIGNAL.UNANSWERED): Transition(_STATE.FELL, (_ACTION.HALVE,)),
+        (_STATE.PROVING, _SIGNAL.NOT_AGREED): Transition(_STATE.RESTING, (_ACTION.FOLLOW,)),
+        (_STATE.FELL, _SIGNAL.TOO_FEW_SAMPLES): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.FELL, _SIGNAL.HEALTHY): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.FELL, _SIGNAL.SLOTS_SHORT): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.FELL, _SIGNAL.NEAR_KNEE): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.FELL, _SIGNAL.BASELINE_STALE): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.FELL, _SIGNAL.OVERLOADED): Transition(_STATE.FELL, (_ACTION.FALL,)),
+        (_STATE.FELL, _SIGNAL.FALL_DID_NOT_HELP): Transition(_STATE.RESTING, (_ACTION.LEARN_ANEW,)),
+        (_STATE.FELL, _SIGNAL.UNANSWERED): Transition(_STATE.FELL, (_ACTION.HALVE,)),
+        (_STATE.FELL, _SIGNAL.NOT_AGREED): Transition(_STATE.RESTING, (_ACTION.FOLLOW,)),
+        (_STATE.RESTING, _SIGNAL.TOO_FEW_SAMPLES): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.RESTING, _SIGNAL.HEALTHY): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.RESTING, _SIGNAL.SLOTS_SHORT): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.RESTING, _SIGNAL.NEAR_KNEE): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.RESTING, _SIGNAL.BASELINE_STALE): Transition(_STATE.RESTING, (_ACTION.KEEP,)),
+        (_STATE.RESTING, _SIGNAL.OVERLOADED): Transition(_STATE.FELL, (_ACTION.FALL,)),
+        (_STATE.RESTING, _SIGNAL.UNANSWERED): Transition(_STATE.FELL, (_ACTION.HALVE,)),
+        (_STATE.RESTING, _SIGNAL.BACKOFF_ENDED): Transition(_STATE.STEADY, (_ACTION.KEEP,)),
+        (_STATE.LOOKING, _SIGNAL.TOO_FEW_SAMPLES): Transition(_STATE.STEADY, (_ACTION.TAKE_BACK,)),
+        (_STATE.LOOKING, _SIGNAL.HEALTHY): Transition(_STATE.STEADY, (_ACTION.TAKE_BACK,)),
+        (_STATE.LOOKING, _SIGNAL.SLOTS_SHORT): Transition(_STATE.STEADY, (_ACTION.TAKE_BACK,)),
+        (_STATE.LOOKING, _SIGNAL.NEAR_KNEE): Transition(_STATE.STEADY, (_ACTION.TAKE_BACK,)),
+        (_STATE.LOOKING, _SIGNAL.BASELINE_STALE): Transition(_STATE.STEADY, (_ACTION.TAKE_BACK,)),
+        (_STATE.LOOKING, _SIGNAL.OVERLOADED): Transition(_STATE.FELL, (_ACTION.FALL,)),
+        (_STATE.LOOKING, _SIGNAL.UNANSWERED): Transition(_STATE.FELL, (_ACTION.HALVE,)),
+        (_STATE.LOOKING, _SIGNAL.NOT_AGREED): Transition(_STATE.STEADY, (_ACTION.FOLLOW,)),
     }
 )
-# The states whose limit is judged only once it is in force at the server.
-STATES_TO_AGREE = (LimitState.PROVING, LimitState.FELL, LimitState.LOOKING)
+# In these states measurements count only after the proposed limit has come into force at the server.
+STATES_AWAITING_AGREEMENT = (LimitState.PROVING, LimitState.FELL, LimitState.LOOKING)
