--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -6,22 +6,22 @@
 from collections.abc import Callable
 from itertools import count
 
-Call = Callable[[], None]
+Callback = Callable[[], None]
 
 
-class Events:
+class EventScheduler:
     """Scheduled calls, the earliest first; calls at the same time run in the order they were scheduled in."""
 
     def __init__(self, now_us: int = 0) -> None:
         self.now_us = now_us
         self.order = count()
-        self.scheduled: list[tuple[int, int, Call]] = []
+        self.scheduled: list[tuple[int, int, Callback]] = []
 
-    def at(self, time_us: int, call: Call) -> None:
+    def at(self, time_us: int, call: Callback) -> None:
         """Schedule a call at a time."""
         heapq.heappush(self.scheduled, (time_us, next(self.order), call))
 
-    def after(self, us: float, call: Call) -> None:
+    def after(self, us: float, call: Callback) -> None:
         """Schedule a call `us` microseconds from now."""
         self.at(self.now_us + round(us), call)
 
--- a/benchmarks/fair_sim.py
+++ b/benchmarks/fair_sim.py
@@ -45,7 +45,7 @@
 from fennelcove.fair_queueing.wait_queue import Waiter, WaitQueue
 from fennelcove.fair_queueing.waiter import WaiterAction, WaiterEvent
 
-from benchmarks.events import Events
+from benchmarks.events import EventScheduler
 
 SLOTS_PER_SERVER, HOLD_US, SLOW_FACTOR = 4, 100_000, 10
 TENANT_COUNT, NOISY_TENANT, GOSSIP_GROUP_SIZE = 8, 1, 50
@@ -106,7 +106,7 @@
     def __init__(self, case: SimulationCase) -> None:
         self.case = case
         self.rng = Random(f"{case.seed}/{case.scenario}")
-        self.events = Events()
+        self.events = EventScheduler()
         self.ids = count()
         self.results: dict[int, TenantResult] = {}
         self.slow_factor = SLOW_FACTOR
--- a/benchmarks/fleet_sums.py
+++ b/benchmarks/fleet_sums.py
@@ -19,13 +19,13 @@
 from fennelcove.decisions.fleet.health_checks import HealthCheckAssignment, ProbeResult
 from fennelcove.decisions.fleet.shared_quotas import Quota, QuotaRequest, Resource
 
-from benchmarks.events import Call, Events
+from benchmarks.events import Callback, EventScheduler
 
 END_US = 30_000_000
 PARTITION_US = (10_000_000, 20_000_000)
 
 
-class LossyNetwork(Events):
+class LossyNetwork(EventScheduler):
     """Events in the order of time, and messages that may be lost, delayed, duplicated or cut off."""
 
     def __init__(self, seed: int, fronts: int) -> None:
@@ -34,7 +34,7 @@
         self.fronts = fronts
         self.messages = 0
 
-    def send(self, sender: int, recipient: int, call: Call) -> None:
+    def send(self, sender: int, recipient: int, call: Callback) -> None:
         self.messages += 1
         crosses_halves = (sender < self.fronts // 2) != (recipient < self.fronts // 2)
         if (crosses_halves and PARTITION_US[0] <= self.now_us < PARTITION_US[1]) or self.rng.random() < 1 / 3:
--- a/benchmarks/power_sim.py
+++ b/benchmarks/power_sim.py
@@ -44,7 +44,7 @@
 from fennelcove.scenarios.script import Day, read
 from fennelcove.settings.checks import module_settings
 
-from benchmarks.events import Events
+from benchmarks.events import EventScheduler
 
 BEGAN_US = 1_000_000
 POWER_S, END_S, WATCH_US = 16, 60, 12_000_000
@@ -134,7 +134,7 @@
         """The list comes by itself."""
 
 
-class Sea(Events):
+class Sea(EventScheduler):
     """The day."""
 
     def __init__(self, day: Day, fronts: int, variant: str, few: bool, seed: int, cut: bool = False) -> None:
--- a/benchmarks/slots_sim.py
+++ b/benchmarks/slots_sim.py
@@ -38,7 +38,7 @@
 from fennelcove.concurrency_limits.replica import LimitReport, Replica
 from fennelcove.decisions.fleet.shared_quotas import QuotaRequest, QuotaTransfer
 
-from benchmarks.events import Events
+from benchmarks.events import EventScheduler
 
 END_S = 150.0
 WARM_UP_US = 30_000_000
@@ -91,7 +91,7 @@
         self.updated_us = now_us
 
 
-class Simulation(Events):
+class Simulation(EventScheduler):
     """One scenario with one limit policy."""
 
     def __init__(self, policy: str, scenario: str, fronts: int, servers: int, seed: int) -> None:
