--- a/packages/decisions-servers/src/fennelcove/decisions/servers/event_stream.py
+++ b/packages/decisions-servers/src/fennelcove/decisions/servers/event_stream.py
@@ -3,7 +3,8 @@
 A front keeps one event stream open to each server at which it has sessions (docs/design/10-running-front.md
 compares the options). A broken stream proves nothing about the server, since the network may have interrupted
 it. A loss is proven if the server reports a restart or does not know a session, if it repeatedly refuses
-connections, or if it is silent for longer than the policy's observations of it are retained (`SHORT_DELIVERY_WINDOW_US`).
+connections, or if it is silent for longer than the policy's observations of it are retained
+(`SHORT_DELIVERY_WINDOW_US`).
 """
 
 from __future__ import annotations
