--- a/packages/ingress/src/fennelcove/ingress/connection.py
+++ b/packages/ingress/src/fennelcove/ingress/connection.py
@@ -1,4 +1,4 @@
-"""One viewer's connection: whole requests in, whole answers out, and a limit on every wait."""
+"""One viewer's connection: message requests in, message answers out, and a limit on every wait."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 READ_BYTES = 16_384
 LINGER_US = 250_000
-GRACE_US = 50_000  # for a request that crosses with the end of its connection
+CLOSE_GRACE_US = 50_000  # for a request that crosses with the end of its connection
 LINGER_BYTES = 262_144
-MOST_LINGERING = 128
+MAX_LINGERING = 128
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,8 +34,8 @@
 
 
 @dataclass(slots=True)
-class Received:
-    """A whole request."""
+class ReceivedRequest:
+    """A message request."""
 
     head: RequestHead
     body: bytes
@@ -43,10 +43,10 @@
 
 
 class TooSlow(Exception):
-    """A request that has begun and does not end within its limit."""
+    """A request that has started and does not end within its limit."""
 
 
-def take(sock: socket.socket, most: int) -> bytes | None:
+def receive_available(sock: socket.socket, max_bytes: int) -> bytes | None:
     """What can be read now; None where it is nothing yet, as after a TLS record that holds no data.
 
     Raises:
@@ -54,7 +54,7 @@
     """
     sock.settimeout(0)
     try:
-        return sock.recv(most)
+        return sock.recv(max_bytes)
     except (BlockingIOError, ssl.SSLWantReadError):
         return None
     except ssl.SSLZeroReturnError:
@@ -62,7 +62,7 @@
 
 
 class Connection:
-    """Belongs to one thread. `close` gives back what was counted."""
+    """Belongs to one thread. `close` gives back what was reserved_bytes."""
 
     def __init__(
         self,
@@ -79,58 +79,60 @@
         self.limits = limits
         self.closing: CancellationLatch | None = closing
         self.requests = Gatherer(Reader(True, codec))
-        self.counted = 0
-        self.continued = False
+        self.reserved_bytes = 0
+        self.continue_sent = False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def read(self) -> Received | None:
+    def read(self) -> ReceivedRequest | None:
         """The next request; None where the connection is over between two of them.
 
         Raises:
             ProtocolError: a request that must not be acted on.
-            TooSlow: a request that was begun and not ended in time.
+            TooSlow: a request that was started and not ended in time.
         """
-        began_us: int | None = None
+        started_us: int | None = None
         while True:
-            whole = self.requests.next()
-            if whole is not None:
-                self._count(-self.counted)
-                self.continued = False
-                assert isinstance(whole.head, RequestHead)
-                return Received(whole.head, whole.body, self.clock.now_us())
-            self._may_continue()
-            begun = not self.requests.reader.between or self.requests.head is not None
+            message = self.requests.next()
+            if message is not None:
+                self._adjust_reservation(-self.reserved_bytes)
+                self.continue_sent = False
+                assert isinstance(message.head, RequestHead)
+                return ReceivedRequest(message.head, message.body, self.clock.now_us())
+            self._send_continue_if_expected()
+            started = not self.requests.reader.between or self.requests.head is not None
             now_us = self.clock.now_us()
-            if begun and began_us is None:
-                began_us = now_us
-            if began_us is None:
+            if started and started_us is None:
+                started_us = now_us
+            if started_us is None:
                 left_us = self.core.admission.effective_timeout_us(self.limits.idle_us)
             else:
-                left_us = began_us + self.core.admission.effective_timeout_us(self.limits.message_us) - now_us
-            woken = WakeReason.TIME if left_us <= 0 else wait(self.sock, left_us, self.closing)
-            if woken is not WakeReason.READY:
-                if begun and woken is WakeReason.TIME:
+                left_us = (
+                    started_us + self.core.admission.effective_timeout_us(self.limits.message_us) - now_us
+                )
+            wake_reason = WakeReason.TIME if left_us <= 0 else wait(self.sock, left_us, self.closing)
+            if wake_reason is not WakeReason.READY:
+                if started and wake_reason is WakeReason.TIME:
                     raise TooSlow
-                if woken is WakeReason.TIME or (
-                    not begun and wait(self.sock, GRACE_US, None) is not WakeReason.READY
+                if wake_reason is WakeReason.TIME or (
+                    not started and wait(self.sock, CLOSE_GRACE_US, None) is not WakeReason.READY
                 ):
                     return None
                 # Closing with a request on its way or half read: it may still end, within its own limit.
                 self.closing = None
                 continue
             try:
-                data = take(self.sock, READ_BYTES)
+                data = receive_available(self.sock, READ_BYTES)
             except OSError:
                 return None
             if data is None:
                 continue
-            if not data and not begun:
+            if not data and not started:
                 return None
-            if not self._count(len(data)):
+            if not self._adjust_reservation(len(data)):
                 raise ProtocolError(503, "no room for more bytes")
             self.requests.reader.feed(data)
 
-    def secure(self, tls: TlsKeys) -> bool:
+    def perform_tls_handshake(self, tls: TlsKeys) -> bool:
         """Shake hands under the newest certificate; False where that fails or takes too long."""
         try:
             self.sock = tls.wrap(self.sock, self.limits.message_us)
@@ -138,23 +140,23 @@
         except (OSError, ValueError):
             return False
 
-    def rest(self) -> bytes:
+    def unread_bytes(self) -> bytes:
         """What came behind the last request: the first bytes of the protocol that it changed to."""
         return bytes(self.requests.reader.buffer)
 
-    def _may_continue(self) -> None:
+    def _send_continue_if_expected(self) -> None:
         """Answer `Expect: 100-continue` once the head is here and the body is not (RFC 9110 section
         10.1.1).
         """
         head = self.requests.head
-        if isinstance(head, RequestHead) and head.expects_continue and not self.continued:
-            self.continued = True
+        if isinstance(head, RequestHead) and head.expects_continue and not self.continue_sent:
+            self.continue_sent = True
             self.write(writer.CONTINUE)
 
-    def _count(self, more: int) -> bool:
-        if more and not self.core.admission.reserve_buffer(more):
+    def _adjust_reservation(self, delta_bytes: int) -> bool:
+        if delta_bytes and not self.core.admission.reserve_buffer(delta_bytes):
             return False
-        self.counted += more
+        self.reserved_bytes += delta_bytes
         return True
 
     def write(self, raw: bytes) -> bool:
@@ -168,18 +170,18 @@
 
     def close(self, linger: bool = False) -> None:
         """Close. With `linger`, read past what the peer still sends, or the reset would eat the answer."""
-        self._count(-self.counted)
+        self._adjust_reservation(-self.reserved_bytes)
         if linger:
             with suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
-                until_us = self.clock.now_us() + LINGER_US
-                taken = 0
-                while taken < LINGER_BYTES and (left_us := until_us - self.clock.now_us()) > 0:
+                deadline_us = self.clock.now_us() + LINGER_US
+                discarded_bytes = 0
+                while discarded_bytes < LINGER_BYTES and (left_us := deadline_us - self.clock.now_us()) > 0:
                     self.sock.settimeout(left_us / 1e6)
                     data = self.sock.recv(READ_BYTES)
                     if not data:
                         break
-                    taken += len(data)
+                    discarded_bytes += len(data)
         self.sock.close()
 
 
@@ -192,42 +194,42 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.line: deque[tuple[int, socket.socket]] = deque()
-        self.changed = threading.Condition()
+        self.lingering: deque[tuple[int, socket.socket]] = deque()
+        self.condition = threading.Condition()
         self.stopped = False
         self.thread = threading.Thread(target=self._run, name="refuser")
 
-    def refuse(self, sock: socket.socket, raw: bytes) -> None:
+    def reject(self, sock: socket.socket, raw: bytes) -> None:
         """Send the answer and leave the rest to the thread."""
         with suppress(OSError):
             sock.setblocking(False)
             sock.send(raw)
             sock.shutdown(socket.SHUT_WR)
-        with self.changed:
-            if len(self.line) >= MOST_LINGERING or self.stopped:
+        with self.condition:
+            if len(self.lingering) >= MAX_LINGERING or self.stopped:
                 sock.close()
                 return
-            self.line.append((self.clock.now_us() + LINGER_US, sock))
-            self.changed.notify()
+            self.lingering.append((self.clock.now_us() + LINGER_US, sock))
+            self.condition.notify()
 
     def stop(self) -> None:
         """Close all that lingers and end the thread."""
-        with self.changed:
+        with self.condition:
             self.stopped = True
-            self.changed.notify()
+            self.condition.notify()
         self.thread.join()
 
     def _run(self) -> None:
         while True:
-            with self.changed:
+            with self.condition:
                 while not self.stopped:
-                    if not self.line:
-                        self.changed.wait(1.0)
-                    elif (left_us := self.line[0][0] - self.clock.now_us()) > 0:
-                        self.changed.wait(left_us / 1e6)
+                    if not self.lingering:
+                        self.condition.wait(1.0)
+                    elif (left_us := self.lingering[0][0] - self.clock.now_us()) > 0:
+                        self.condition.wait(left_us / 1e6)
                     else:
                         break
-                due = [self.line.popleft() for _ in range(len(self.line) if self.stopped else 1)]
+                due = [self.lingering.popleft() for _ in range(len(self.lingering) if self.stopped else 1)]
             for _, sock in due:
                 with suppress(OSError):
                     sock.recv(LINGER_BYTES)
--- a/packages/ingress/src/fennelcove/ingress/control.py
+++ b/packages/ingress/src/fennelcove/ingress/control.py
@@ -1,4 +1,4 @@
-"""Commands of operators over HTTP: checked, written down, carried out, answered with what is so."""
+"""Commands of operators over HTTP: checked, written down, carried out, answered with command is so."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from fennelcove.ingress.operator_routes import OperatorRoutes
 from fennelcove.ingress.replies import Reply
 
-TURNS = {"drain": AdmissionEvent.DRAIN, "undrain": AdmissionEvent.UNDRAIN}
-STATUS = {
+ADMISSION_EVENTS = {"drain": AdmissionEvent.DRAIN, "undrain": AdmissionEvent.UNDRAIN}
+STATUS_BY_VERDICT = {
     CommandVerdict.UNSIGNED: 401,
     CommandVerdict.WRONG_KEY: 401,
     CommandVerdict.STALE: 401,
@@ -30,34 +30,40 @@
     """One front's commands; `tell` writes down each before it is carried out."""
 
     def __init__(
-        self, core: Core, clock: Clock, commands: CommandAuthorizer, tell: Callable[..., None]
+        self, core: Core, clock: Clock, authorizer: CommandAuthorizer, write_audit_record: Callable[..., None]
     ) -> None:
         self.core = core
         self.clock = clock
-        self.commands = commands
-        self.tell = tell
+        self.authorizer = authorizer
+        self.write_audit_record = write_audit_record
         self.orders: OperatorRoutes | None = None  # where the settings have releases
         self.lock = threading.Lock()
 
-    def take(self, header: str | None, path: str, what: str, body: bytes) -> Reply:
+    def handle(self, header: str | None, path: str, command: str, body: bytes) -> Reply:
         """One command, answered."""
         with self.lock:
-            verdict, key = self.commands.authorize(header, "POST", path, body, True, self.clock.wall_us())
+            verdict, key = self.authorizer.authorize(header, "POST", path, body, True, self.clock.wall_us())
         self.core.context.increment(f"commands_{verdict.value}")
         try:
-            self.tell(wall_us=self.clock.wall_us(), key=key, command=what, verdict=verdict.value)
+            self.write_audit_record(
+                wall_us=self.clock.wall_us(), key=key, command=command, verdict=verdict.value
+            )
         except OSError as error:
-            if verdict is CommandVerdict.GRANTED:  # what can't be written down is not done
+            if verdict is CommandVerdict.GRANTED:  # command can't be written down is not done
                 return replies.fault("failed", f"the audit file can't be written ({error.strerror})")
         if verdict is not CommandVerdict.GRANTED:
-            kind = "not-permitted" if verdict is CommandVerdict.NOT_PERMITTED else "no-key"
+            problem_kind = "not-permitted" if verdict is CommandVerdict.NOT_PERMITTED else "no-key"
             return replies.fault(
-                kind, f"{verdict.value}: {command_authorization.REMEDIES[verdict]}", STATUS[verdict]
+                problem_kind,
+                f"{verdict.value}: {command_authorization.REMEDIES[verdict]}",
+                STATUS_BY_VERDICT[verdict],
             )
-        if what in TURNS:
+        if command in ADMISSION_EVENTS:
             return Reply(
-                200, [replies.JSON], msgspec.json.encode(self.core.admission.change_state(TURNS[what]))
+                200,
+                [replies.JSON],
+                msgspec.json.encode(self.core.admission.change_state(ADMISSION_EVENTS[command])),
             )
         if self.orders is None:
             return replies.fault("not-carried-out", "this front's settings have no releases section")
-        return self.orders.carry(what, body)
+        return self.orders.execute(command, body)
--- a/packages/ingress/src/fennelcove/ingress/operator_routes.py
+++ b/packages/ingress/src/fennelcove/ingress/operator_routes.py
@@ -1,4 +1,4 @@
-"""Operators' commands about releases: bodies read, handed to the book, answered with how the plan stands."""
+"""Operators' commands about releases: bodies read, handed to the coordinator, answered with how the plan stands."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from fennelcove.rollouts.messages import PlaceKind, Plan
 from fennelcove.wire.orders import FenceOrder, OutOrder, PlanOrder
 
-PLANS = {"release-start": CommandKind.START, "release-change": CommandKind.CHANGE}
-FENCED = {
+PLAN_COMMANDS = {"release-start": CommandKind.START, "release-change": CommandKind.CHANGE}
+FENCED_COMMANDS = {
     "release-halt": CommandKind.HALT,
     "release-on": CommandKind.RESUME,
     "release-back": CommandKind.ROLL_BACK,
 }
-CURES: dict[CommandOutcome, str] = {
+REMEDIES: dict[CommandOutcome, str] = {
     CommandOutcome.DONE: "",
     CommandOutcome.PENDING: "",
     CommandOutcome.STALE: "somebody else gave an order since; look at the state, then order with its fence",
@@ -38,39 +38,39 @@
 class OperatorRoutes:
     """One front's orders about releases; whoever calls has checked the seal."""
 
-    def __init__(self, front: str, book: RolloutCoordinator) -> None:
+    def __init__(self, front: str, coordinator: RolloutCoordinator) -> None:
         self.front = front
-        self.book = book
+        self.coordinator = coordinator
 
-    def carry(self, what: str, body: bytes) -> Reply:
+    def execute(self, command: str, body: bytes) -> Reply:
         """Carry out one, and say how the plan stands."""
         try:
-            answer = self._call(what, body)()
+            outcome = self._operation(command, body)()
         except msgspec.MsgspecError as error:
             return replies.fault("malformed", str(error))
-        if answer is not CommandOutcome.DONE:
-            return replies.fault("not-carried-out", f"{answer.name.lower()}: {CURES[answer]}")
-        told = {"front": self.front, "answer": answer.name.lower(), **self.book.status()}
-        return Reply(200, [replies.JSON], msgspec.json.encode(told))
+        if outcome is not CommandOutcome.DONE:
+            return replies.fault("not-carried-out", f"{outcome.name.lower()}: {REMEDIES[outcome]}")
+        response = {"front": self.front, "answer": outcome.name.lower(), **self.coordinator.status()}
+        return Reply(200, [replies.JSON], msgspec.json.encode(response))
 
-    def _call(self, what: str, body: bytes) -> Callable[[], CommandOutcome]:
-        book = self.book
-        if what in PLANS:
-            return self._plan(PLANS[what], _PLAN.decode(body))
-        if what in FENCED:
+    def _operation(self, command: str, body: bytes) -> Callable[[], CommandOutcome]:
+        coordinator = self.coordinator
+        if command in PLAN_COMMANDS:
+            return self._plan(PLAN_COMMANDS[command], _PLAN.decode(body))
+        if command in FENCED_COMMANDS:
             fence = _FENCE.decode(body).fence
-            return lambda: book.submit_command(Command(FENCED[what], fence))
-        if what == "release-anew":
-            return book.declare_latest
+            return lambda: coordinator.submit_command(Command(FENCED_COMMANDS[command], fence))
+        if command == "release-anew":
+            return coordinator.declare_latest
         order = _OUT.decode(body)
-        if what == "out":
-            return lambda: book.request_front_out(order.version)
-        if what == "box-out":
-            return lambda: book.request_server_out(order.place)
-        return lambda: book.write_off(PlaceKind[order.kind.upper()], order.place)
+        if command == "out":
+            return lambda: coordinator.request_front_out(order.version)
+        if command == "box-out":
+            return lambda: coordinator.request_server_out(order.place)
+        return lambda: coordinator.write_off(PlaceKind[order.kind.upper()], order.place)
 
-    def _plan(self, wish: CommandKind, told: PlanOrder) -> Callable[[], CommandOutcome]:
+    def _plan(self, kind: CommandKind, order: PlanOrder) -> Callable[[], CommandOutcome]:
         plan = Plan(
-            **{name: value for name, value in msgspec.structs.asdict(told).items() if name != "fence"}
+            **{name: value for name, value in msgspec.structs.asdict(order).items() if name != "fence"}
         )
-        return lambda: self.book.submit_command(Command(wish, told.fence, plan))
+        return lambda: self.coordinator.submit_command(Command(kind, order.fence, plan))
--- a/packages/ingress/src/fennelcove/ingress/playback_routes.py
+++ b/packages/ingress/src/fennelcove/ingress/playback_routes.py
@@ -29,8 +29,8 @@
 
 HLS = ("Content-Type", "application/vnd.apple.mpegurl")
 DASH = ("Content-Type", "application/dash+xml")
-FRESH = ("Cache-Control", "no-cache")
-MOVING_MS = 50.0  # a home is made within some milliseconds
+NO_CACHE = ("Cache-Control", "no-cache")
+MIGRATION_RETRY_MS = 50.0  # a home is made within some milliseconds
 BUFFER_S = 2
 CONFLICTS = (RejectionReason.OVERLAPS, RejectionReason.ID_TAKEN)
 _ORDER: msgspec.json.Decoder[ChangeOrder] = msgspec.json.Decoder(ChangeOrder)
@@ -38,68 +38,72 @@
 
 
 class PlaybackRoutes:
-    """Answers for one front; `keep` writes a ruled change down before its author hears of it."""
+    """Answers for matching front; `keep` writes a ruled change down before its author hears of it."""
 
-    def __init__(self, core: Core, front: str, keep: Callable[[Change, bool, int], None]) -> None:
+    def __init__(self, core: Core, front: str, persist_change: Callable[[Change, bool, int], None]) -> None:
         self.core = core
         self.front = front
-        self.keep = keep
+        self.persist_change = persist_change
 
     # Players.
 
-    def manifest(self, id: str, name: str, says: ClientHints, apart: bool) -> Reply | None:
+    def manifest(self, id: str, name: str, hints: ClientHints, as_interstitials: bool) -> Reply | None:
         """A manifest; None where nothing plays under this id."""
-        view = self.core.on_client_report(id, says)
+        view = self.core.on_client_report(id, hints)
         if view is None:
             return None
-        listing = self.core.content.playlist(id, apart)
+        listing = self.core.content.playlist(id, as_interstitials)
         if listing is None:
             return replies.fault("unknown-title", "this title has no media; ask its box")
-        kbit = {
-            rung: round(kb * KBIT_PER_KB)
-            for rung, kb in enumerate(self.core.catalogue.rates_kb(view.service_class))
+        rung_kbit = {
+            rung: round(rate_kb * KBIT_PER_KB)
+            for rung, rate_kb in enumerate(self.core.catalogue.rates_kb(view.service_class))
         }
-        fields = [FRESH, *replies.hints(view, "", self.front, None)]
+        fields = [NO_CACHE, *replies.cmsd_fields(view, "", self.front, None)]
         target = self.core.content.target_duration_s
         if name == "master.m3u8":
-            lesson = self.core.content.media[view.title]
-            text = hls.multivariant_playlist(max(kbit.values()) * 1000, kbit[view.rung] * 1000, lesson.codecs)
+            media = self.core.content.media[view.title]
+            text = hls.multivariant_playlist(
+                max(rung_kbit.values()) * 1000, rung_kbit[view.rung] * 1000, media.codecs
+            )
             return Reply(200, [HLS, *fields], text.encode())
         if name == "media.m3u8":
             return Reply(200, [HLS, *fields], hls.media_playlist(listing, target).encode())
-        return Reply(200, [DASH, *fields], dash.media_presentation(listing, target, kbit, BUFFER_S).encode())
+        return Reply(
+            200, [DASH, *fields], dash.media_presentation(listing, target, rung_kbit, BUFFER_S).encode()
+        )
 
-    def segment(self, id: str, seq: int, says: ClientHints) -> Reply | None:
+    def segment(self, id: str, seq: int, hints: ClientHints) -> Reply | None:
         """Where a segment is to be had; None where nothing plays under this id."""
-        view = self.core.on_client_report(id, says)
+        view = self.core.on_client_report(id, hints)
         if view is None:
             return None
-        return self._sent(
-            self.core.content.locate_segment(id, seq), replies.hints(view, "", self.front, None)
+        return self._segment_reply(
+            self.core.content.locate_segment(id, seq), replies.cmsd_fields(view, "", self.front, None)
         )
 
-    def asset(self, id: str, change: str, says: ClientHints) -> Reply | None:
-        """The playlist of a clip told apart; None where nothing plays under this id."""
-        view = self.core.on_client_report(id, says)
+    def asset(self, id: str, change: str, hints: ClientHints) -> Reply | None:
+        """The playlist of a clip told as_interstitials; None where nothing plays under this id."""
+        view = self.core.on_client_report(id, hints)
         if view is None:
             return None
         found = self.core.content.interstitial_rendition(id, change)
         if found is None:
             return replies.fault("not-shown")
-        fields = [HLS, FRESH, *replies.hints(view, "", self.front, None)]
+        fields = [HLS, NO_CACHE, *replies.cmsd_fields(view, "", self.front, None)]
         return Reply(200, fields, hls.interstitial_playlist(change, *found).encode())
 
-    def asset_segment(self, id: str, change: str, number: int, says: ClientHints) -> Reply | None:
-        """Where a segment of a clip told apart is to be had."""
-        view = self.core.on_client_report(id, says)
+    def asset_segment(self, id: str, change: str, number: int, hints: ClientHints) -> Reply | None:
+        """Where a segment of a clip told as_interstitials is to be had."""
+        view = self.core.on_client_report(id, hints)
         if view is None:
             return None
         fetch = self.core.content.locate_interstitial_segment(id, change, number)
-        return self._sent(fetch, replies.hints(view, "", self.front, None))
+        return self._segment_reply(fetch, replies.cmsd_fields(view, "", self.front, None))
 
-    def init(self, id: str, rest: str, says: ClientHints) -> Reply | None:
+    def init(self, id: str, rest: str, hints: ClientHints) -> Reply | None:
         """Where an initialisation is to be had."""
-        view = self.core.on_client_report(id, says)
+        view = self.core.on_client_report(id, hints)
         match = _INIT.fullmatch(rest)
         if view is None:
             return None
@@ -108,28 +112,28 @@
             if match is not None
             else None
         )
-        return self._sent(fetch, replies.hints(view, "", self.front, None))
+        return self._segment_reply(fetch, replies.cmsd_fields(view, "", self.front, None))
 
-    def _sent(self, fetch: Fetch | None, hints: list[tuple[str, str]]) -> Reply:
+    def _segment_reply(self, fetch: Fetch | None, fields: list[tuple[str, str]]) -> Reply:
         if fetch is None:
             return replies.fault("not-shown")
         if fetch.url:
-            return Reply(307, [("Location", fetch.url), FRESH, *hints])
+            return Reply(307, [("Location", fetch.url), NO_CACHE, *fields])
         if fetch.source is SegmentSource.WAIT:
-            details = problem("moving", retry_after_ms=MOVING_MS)
+            details = problem("moving", retry_after_ms=MIGRATION_RETRY_MS)
             return Reply(503, [replies.PROBLEM_JSON, ("Retry-After", "1")], msgspec.json.encode(details))
         return replies.fault("not-shown", "no box can serve it any more", status=404)
 
     # Authors.
 
-    def author(self, key: str, changes: bool) -> Author | Reply:
-        """Whose key this is, or the answer to one who may not."""
+    def author(self, key: str, needs_write: bool) -> Author | Reply:
+        """Whose key this is, or the answer to matching who may not."""
         author = self.core.content.author_of_key(key) if key else None
         if author is None:
             reply = replies.fault("no-key", "send Authorization: Bearer and an author's key")
             reply.fields.append(("WWW-Authenticate", 'Bearer realm="changes"'))
             return reply
-        if changes and not author.may_change:
+        if needs_write and not author.may_change:
             return replies.fault("not-permitted", f"{author.name} may look and not change")
         return author
 
@@ -142,9 +146,9 @@
             return replies.fault("malformed", str(error))
         verdict = self.core.content.submit(change)
         if verdict.status is ChangeStatus.REJECTED:
-            return _refused(verdict)
+            return _rejected(verdict)
         if verdict.status is ChangeStatus.ACCEPTED:
-            self.keep(change, True, verdict.version)
+            self.persist_change(change, True, verdict.version)
         state = ChangeState(id=change.id, state=verdict.status.value, version=verdict.version)
         status = 201 if verdict.status is ChangeStatus.ACCEPTED else 200
         return Reply(
@@ -157,19 +161,23 @@
         if verdict.status is ChangeStatus.UNKNOWN:
             return replies.fault("unknown-change", id[:80])
         change = self.core.content.ledger.entries[id].change
-        self.keep(change, False, verdict.version)
+        self.persist_change(change, False, verdict.version)
         state = ChangeState(id=id, state=verdict.status.value, version=verdict.version)
         return Reply(200, [replies.JSON], msgspec.json.encode(state))
 
     def changes(self, title: str | None, id: str | None = None) -> Reply:
-        """All changes, or one."""
+        """All changes, or matching."""
         found = self.core.content.list_changes(title)
         if id is None:
-            return Reply(200, [replies.JSON], msgspec.json.encode([_state(seen) for seen in found]))
-        one = [seen for seen in found if seen.entry.change.id == id]
-        if not one:
+            return Reply(
+                200,
+                [replies.JSON],
+                msgspec.json.encode([_change_state(change_reach) for change_reach in found]),
+            )
+        matching = [change_reach for change_reach in found if change_reach.entry.change.id == id]
+        if not matching:
             return replies.fault("unknown-change", id[:80])
-        return Reply(200, [replies.JSON], msgspec.json.encode(_state(one[0])))
+        return Reply(200, [replies.JSON], msgspec.json.encode(_change_state(matching[0])))
 
 
 def _change(order: ChangeOrder, author: str) -> Change:
@@ -191,7 +199,7 @@
     )
 
 
-def _refused(verdict: ChangeResult) -> Reply:
+def _rejected(verdict: ChangeResult) -> Reply:
     assert verdict.reason is not None
     status = 409 if verdict.reason in CONFLICTS else 422
     details = msgspec.structs.replace(
@@ -204,8 +212,8 @@
     return None if at is None else str(at)
 
 
-def _state(seen: ChangeReach) -> ChangeState:
-    change, entry = seen.entry.change, seen.entry
+def _change_state(change_reach: ChangeReach) -> ChangeState:
+    change, entry = change_reach.entry.change, change_reach.entry
     return ChangeState(
         id=change.id,
         state="made" if entry.withdrawn_version is None else "withdrawn",
@@ -219,6 +227,6 @@
         at=_time(change.start_s),
         until=_time(change.end_s),
         wall=None if change.wall_us is None else format_wall_time(change.wall_us),
-        players_shown=seen.shown_count,
-        players_ahead=seen.ahead_count,
+        players_shown=change_reach.shown_count,
+        players_ahead=change_reach.ahead_count,
     )
--- a/packages/ingress/src/fennelcove/ingress/replies.py
+++ b/packages/ingress/src/fennelcove/ingress/replies.py
@@ -15,7 +15,7 @@
 
 JSON = ("Content-Type", "application/json")
 PROBLEM_JSON = ("Content-Type", "application/problem+json")
-MOST_HOPS = 1024  # characters of boxes' own hints passed on
+MAX_SERVER_HOP_CHARACTERS = 1024  # characters of boxes' own_values hints passed on
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
     body: bytes = b""
     close: bool = False
 
-    def raw(self, close: bool) -> bytes:
+    def to_bytes(self, close: bool) -> bytes:
         """The bytes."""
         return writer.response(self.status, self.fields, self.body, self.close or close)
 
@@ -60,46 +60,46 @@
 
 def playing(session: Session, view: SessionView, hops: str, front: str, took_us: int) -> Reply:
     """201: the subscription plays."""
-    fields = [JSON, ("Location", f"/v1/subscriptions/{view.id}"), *hints(view, hops, front, took_us)]
+    fields = [JSON, ("Location", f"/v1/subscriptions/{view.id}"), *cmsd_fields(view, hops, front, took_us)]
     return Reply(201, fields, msgspec.json.encode(playing_state(view, session.attempt_count)))
 
 
 def state(view: SessionView, front: str) -> Reply:
     """200: the state of what plays."""
-    return Reply(200, [JSON, *hints(view, "", front, None)], msgspec.json.encode(playing_state(view)))
+    return Reply(200, [JSON, *cmsd_fields(view, "", front, None)], msgspec.json.encode(playing_state(view)))
 
 
 def rung(view: SessionView, front: str) -> Reply:
     """200: the rung in force."""
     body = Rung(rung=view.rung, top_rung=view.top_rung, rate_kb=view.rate_kb)
-    return Reply(200, [JSON, *hints(view, "", front, None)], msgspec.json.encode(body))
+    return Reply(200, [JSON, *cmsd_fields(view, "", front, None)], msgspec.json.encode(body))
 
 
-def hints(view: SessionView, hops: str, front: str, took_us: int | None) -> list[tuple[str, str]]:
-    """CMSD of an answer: the object's rate, then each hop's word, the front's own last (CTA-5006)."""
+def cmsd_fields(view: SessionView, hops: str, front: str, took_us: int | None) -> list[tuple[str, str]]:
+    """CMSD of an answer: the object's rate, then each hop's word, the front's own_values last (CTA-5006)."""
     kbit = round(view.rate_kb * KBIT_PER_KB)
-    own: dict[str, int | float | str | bool | bytes] = {"mb": kbit}
+    own_values: dict[str, int | float | str | bool | bytes] = {"mb": kbit}
     if took_us is not None:
-        own["rd"] = took_us // 1000
-    ours = cmsd.write_hop(front, own)
-    attempted = f"{hops}, {ours}" if hops and len(hops) <= MOST_HOPS else ours
-    return [("CMSD-Static", cmsd.write_static({"br": kbit})), ("CMSD-Dynamic", attempted)]
+        own_values["rd"] = took_us // 1000
+    own_hop = cmsd.write_hop(front, own_values)
+    dynamic = f"{hops}, {own_hop}" if hops and len(hops) <= MAX_SERVER_HOP_CHARACTERS else own_hop
+    return [("CMSD-Static", cmsd.write_static({"br": kbit})), ("CMSD-Dynamic", dynamic)]
 
 
-def refused(answered: SessionResponse, front: str, session: Session | None, timed_out: bool) -> Reply:
+def rejected(response: SessionResponse, front: str, session: Session | None, timed_out: bool) -> Reply:
     """503 with a time to come back, or 502 and 504 where a join may have run and nothing may be promised."""
     instance = f"/v1/subscriptions/{session.id}" if session is not None else ""
-    if answered.kind is ResponseKind.REJECTED:
+    if response.kind is ResponseKind.REJECTED:
         details = problem(
-            "throttled", answered.reason, instance=instance, retry_after_ms=answered.retry_after_us / 1000
+            "throttled", response.reason, instance=instance, retry_after_ms=response.retry_after_us / 1000
         )
-        if answered.queue_ticket:
+        if response.queue_ticket:
             details = msgspec.structs.replace(
-                details, latest_ms=answered.retry_until_us / 1000, place=answered.queue_ticket
+                details, latest_ms=response.retry_until_us / 1000, place=response.queue_ticket
             )
         reply = _problem(details)
-        reply.fields.append(("Retry-After", str(retry_after_s(answered.retry_after_us))))
+        reply.fields.append(("Retry-After", str(retry_after_s(response.retry_after_us))))
         reply.fields.append(("CMSD-Dynamic", cmsd.write_hop(front, {"du": True})))
         return reply
     status = 504 if timed_out else 502
-    return _problem(problem("terminated", answered.reason, status, instance, may_have_run=True))
+    return _problem(problem("terminated", response.reason, status, instance, may_have_run=True))
--- a/packages/ingress/src/fennelcove/ingress/routes.py
+++ b/packages/ingress/src/fennelcove/ingress/routes.py
@@ -17,7 +17,7 @@
 from fennelcove.hints import cmcd
 from fennelcove.hints.cmcd import Cmcd
 from fennelcove.ingress import replies
-from fennelcove.ingress.connection import Received
+from fennelcove.ingress.connection import ReceivedRequest
 from fennelcove.ingress.control import OperatorCommands
 from fennelcove.ingress.playback_routes import PlaybackRoutes
 from fennelcove.ingress.replies import Reply
@@ -26,7 +26,7 @@
 from fennelcove.wire.orders import COMMANDS
 from fennelcove.wire.sessions import SeatRenewal, SeatState, SetUp, TopRung
 
-Keep = Callable[[Change, bool, int], None]
+ChangePersister = Callable[[Change, bool, int], None]
 _ABSOLUTE = re.compile(r"https?://[^/?#]*", re.IGNORECASE)
 _SETUP: msgspec.json.Decoder[SetUp] = msgspec.json.Decoder(SetUp)
 _SEAT: msgspec.json.Decoder[SeatRenewal] = msgspec.json.Decoder(SeatRenewal)
@@ -34,17 +34,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RouteRequest:
     """A request read: its route, the id in its path, its query and hints."""
 
     route: Route
     id: str
-    rest: str
+    resource: str
     query: dict[str, str]
-    received: Received
+    received: ReceivedRequest
 
 
-Handler = Callable[["Routes", Asked], "Reply | SessionRequest"]
+Handler = Callable[["Routes", RouteRequest], "Reply | SessionRequest"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,21 +55,23 @@
     path: str
     pattern: re.Pattern[str]
     handler: Handler
-    body: bool
+    requires_json: bool
     name: str
 
 
 class Routes:
     """Reads requests; set-ups come out as an Ask, everything else as a Reply."""
 
-    def __init__(self, core: Core, front: str, keep: Keep, control: OperatorCommands) -> None:
+    def __init__(
+        self, core: Core, front: str, persist_change: ChangePersister, operator_commands: OperatorCommands
+    ) -> None:
         self.core = core
-        self.control = control
+        self.operator_commands = operator_commands
         self.front = front
-        self.lessons = PlaybackRoutes(core, front, keep)
-        self.hints_dropped = 0
+        self.playback = PlaybackRoutes(core, front, persist_change)
+        self.dropped_hint_count = 0
 
-    def take(self, received: Received) -> Reply | SessionRequest:
+    def handle(self, received: ReceivedRequest) -> Reply | SessionRequest:
         """What a request asks for, or the answer to it."""
         target = _ABSOLUTE.sub("", received.head.target, count=1)
         path, _, query = target.partition("?")
@@ -81,140 +83,154 @@
             methods.append(route.method)
             if route.method != received.head.method:
                 continue
-            if route.body and not _is_json(received):
+            if route.requires_json and not _has_json_body(received):
                 return replies.fault("not-json", "send Content-Type: application/json")
             named = match.groupdict()
-            id, rest = named.get("id") or "", named.get("rest") or ""
-            return route.handler(self, Asked(route, id, rest, cmcd.query_arguments(query), received))
+            id, resource = named.get("id") or "", named.get("resource") or ""
+            return route.handler(
+                self, RouteRequest(route, id, resource, cmcd.query_arguments(query), received)
+            )
         if not methods:
             return replies.fault("unknown-path", path[:80])
         reply = replies.fault("wrong-method", f"{received.head.method} {path[:80]}")
         reply.fields.append(("Allow", ", ".join(sorted(set(methods)))))
         return reply
 
-    def hints(self, asked: Asked, body: dict[str, Any] | None = None) -> Cmcd:
+    def read_cmcd(self, request: RouteRequest, body: dict[str, Any] | None = None) -> Cmcd:
         """The viewer's CMCD from whichever carrier; what was malformed is counted and no more."""
         fields = {
             name.decode(): value.decode("latin-1")
-            for name, value in asked.received.head.headers
+            for name, value in request.received.head.headers
             if name.startswith(b"cmcd-")
         }
-        found = cmcd.read(fields, asked.query, body)
-        self.hints_dropped += found.dropped
+        found = cmcd.read(fields, request.query, body)
+        self.dropped_hint_count += found.dropped
         return found
 
-    def set_up(self, asked: Asked) -> Reply | SessionRequest:
+    def set_up(self, request: RouteRequest) -> Reply | SessionRequest:
         try:
-            body = _SETUP.decode(asked.received.body)
+            body = _SETUP.decode(request.received.body)
         except msgspec.MsgspecError as error:
             return replies.fault("malformed", str(error))
-        hints = self.hints(asked, body.cmcd)
-        held = shown(self.core, asked.received.head.get(b"authorization"))
-        if not held.has_permission(Permission.CREATE_SESSION) and self.core.requires_token:
-            reply = replies.fault("no-pass", f"the pass is {access_tokens.STATUS_DESCRIPTIONS[held.status]}")
+        hints = self.read_cmcd(request, body.cmcd)
+        presented = presented_token(self.core, request.received.head.get(b"authorization"))
+        if not presented.has_permission(Permission.CREATE_SESSION) and self.core.requires_token:
+            reply = replies.fault(
+                "no-pass", f"the pass is {access_tokens.STATUS_DESCRIPTIONS[presented.status]}"
+            )
             reply.fields.append(("WWW-Authenticate", 'Bearer realm="subscriptions"'))
             return reply
-        found = asked_for(self.core, body, hints, held)
+        found = asked_for(self.core, body, hints, presented)
         return found if isinstance(found, SessionRequest) else replies.fault(*found)
 
-    def state(self, asked: Asked) -> Reply:
-        view = self.core.on_client_report(asked.id, says(self.hints(asked)))
-        return self._gone(asked.id) if view is None else replies.state(view, self.front)
+    def state(self, request: RouteRequest) -> Reply:
+        view = self.core.on_client_report(request.id, client_hints(self.read_cmcd(request)))
+        return self._missing_session(request.id) if view is None else replies.state(view, self.front)
 
-    def rung(self, asked: Asked) -> Reply:
-        view = self.core.on_client_report(asked.id, says(self.hints(asked)))
-        return self._gone(asked.id) if view is None else replies.rung(view, self.front)
+    def rung(self, request: RouteRequest) -> Reply:
+        view = self.core.on_client_report(request.id, client_hints(self.read_cmcd(request)))
+        return self._missing_session(request.id) if view is None else replies.rung(view, self.front)
 
-    def set_top(self, asked: Asked) -> Reply:
+    def set_top(self, request: RouteRequest) -> Reply:
         try:
-            body = _TOP.decode(asked.received.body)
+            body = _TOP.decode(request.received.body)
         except msgspec.MsgspecError as error:
             return replies.fault("malformed", str(error))
-        view = self.core.on_client_report(asked.id, says(self.hints(asked)), body.top_rung)
-        return self._gone(asked.id) if view is None else replies.rung(view, self.front)
+        view = self.core.on_client_report(request.id, client_hints(self.read_cmcd(request)), body.top_rung)
+        return self._missing_session(request.id) if view is None else replies.rung(view, self.front)
 
-    def release(self, asked: Asked) -> Reply:
-        if self.core.release(asked.id, "released by its viewer"):
+    def release(self, request: RouteRequest) -> Reply:
+        if self.core.release(request.id, "released by its viewer"):
             return Reply(204)
-        return self._gone(asked.id)
+        return self._missing_session(request.id)
 
-    def renew_seat(self, asked: Asked) -> Reply:
+    def renew_seat(self, request: RouteRequest) -> Reply:
         try:
-            body = _SEAT.decode(asked.received.body or b"{}")
+            body = _SEAT.decode(request.received.body or b"{}")
         except msgspec.MsgspecError as error:
             return replies.fault("malformed", str(error))
-        if self.core.on_client_report(asked.id, says(self.hints(asked))) is None:
-            return self._gone(asked.id)
-        left_us = self.core.seat_leases.renew(asked.id, body.key or "")
+        if self.core.on_client_report(request.id, client_hints(self.read_cmcd(request))) is None:
+            return self._missing_session(request.id)
+        left_us = self.core.seat_leases.renew(request.id, body.key or "")
         if left_us is None:
             return replies.fault("no-seat")
-        state = SeatState(subscription=asked.id, seat_for_ms=left_us / 1000)
+        state = SeatState(subscription=request.id, seat_for_ms=left_us / 1000)
         return Reply(200, [replies.JSON], msgspec.json.encode(state))
 
-    def manifest(self, asked: Asked) -> Reply:
-        apart = asked.query.get("interstitials") == "1"
-        reply = self.lessons.manifest(asked.id, asked.rest, says(self.hints(asked)), apart)
-        return reply or self._gone(asked.id)
-
-    def asset(self, asked: Asked) -> Reply:
-        reply = self.lessons.asset(asked.id, asked.rest, says(self.hints(asked)))
-        return reply or self._gone(asked.id)
-
-    def asset_segment(self, asked: Asked) -> Reply:
-        change, _, number = asked.rest.rpartition("/")
-        reply = self.lessons.asset_segment(asked.id, change, int(number), says(self.hints(asked)))
-        return reply or self._gone(asked.id)
-
-    def segment(self, asked: Asked) -> Reply:
-        reply = self.lessons.segment(asked.id, int(asked.rest), says(self.hints(asked)))
-        return reply or self._gone(asked.id)
-
-    def init(self, asked: Asked) -> Reply:
-        reply = self.lessons.init(asked.id, asked.rest, says(self.hints(asked)))
-        return reply or self._gone(asked.id)
-
-    def _author(self, asked: Asked, changes: bool) -> Author | Reply:
-        return self.lessons.author(bearer(asked.received.head.get(b"authorization")), changes)
-
-    def submit_change(self, asked: Asked) -> Reply:
-        author = self._author(asked, True)
-        return author if isinstance(author, Reply) else self.lessons.submit(author, asked.received.body)
-
-    def withdraw_change(self, asked: Asked) -> Reply:
-        author = self._author(asked, True)
-        return author if isinstance(author, Reply) else self.lessons.withdraw(asked.rest)
-
-    def list_changes(self, asked: Asked) -> Reply:
-        author = self._author(asked, False)
-        return author if isinstance(author, Reply) else self.lessons.changes(asked.query.get("title"))
-
-    def show_change(self, asked: Asked) -> Reply:
-        author = self._author(asked, False)
-        return author if isinstance(author, Reply) else self.lessons.changes(None, asked.rest)
-
-    def counts(self, asked: Asked) -> Reply:
+    def manifest(self, request: RouteRequest) -> Reply:
+        as_interstitials = request.query.get("interstitials") == "1"
+        reply = self.playback.manifest(
+            request.id, request.resource, client_hints(self.read_cmcd(request)), as_interstitials
+        )
+        return reply or self._missing_session(request.id)
+
+    def asset(self, request: RouteRequest) -> Reply:
+        reply = self.playback.asset(request.id, request.resource, client_hints(self.read_cmcd(request)))
+        return reply or self._missing_session(request.id)
+
+    def asset_segment(self, request: RouteRequest) -> Reply:
+        change, _, number = request.resource.rpartition("/")
+        reply = self.playback.asset_segment(
+            request.id, change, int(number), client_hints(self.read_cmcd(request))
+        )
+        return reply or self._missing_session(request.id)
+
+    def segment(self, request: RouteRequest) -> Reply:
+        reply = self.playback.segment(
+            request.id, int(request.resource), client_hints(self.read_cmcd(request))
+        )
+        return reply or self._missing_session(request.id)
+
+    def init(self, request: RouteRequest) -> Reply:
+        reply = self.playback.init(request.id, request.resource, client_hints(self.read_cmcd(request)))
+        return reply or self._missing_session(request.id)
+
+    def _authorize_author(self, request: RouteRequest, needs_write: bool) -> Author | Reply:
+        return self.playback.author(bearer(request.received.head.get(b"authorization")), needs_write)
+
+    def submit_change(self, request: RouteRequest) -> Reply:
+        author = self._authorize_author(request, True)
+        return author if isinstance(author, Reply) else self.playback.submit(author, request.received.body)
+
+    def withdraw_change(self, request: RouteRequest) -> Reply:
+        author = self._authorize_author(request, True)
+        return author if isinstance(author, Reply) else self.playback.withdraw(request.resource)
+
+    def list_changes(self, request: RouteRequest) -> Reply:
+        author = self._authorize_author(request, False)
+        return author if isinstance(author, Reply) else self.playback.changes(request.query.get("title"))
+
+    def show_change(self, request: RouteRequest) -> Reply:
+        author = self._authorize_author(request, False)
+        return author if isinstance(author, Reply) else self.playback.changes(None, request.resource)
+
+    def status(self, request: RouteRequest) -> Reply:
         return Reply(200, [replies.JSON], msgspec.json.encode(self.core.status().to_json_fields()))
 
-    def command(self, asked: Asked) -> Reply:
-        header = asked.received.head.get(command_authorization.HEADER_NAME.encode())
-        told = None if header is None else header.decode("latin-1")
-        path = f"/v1/control/{asked.rest}"
-        return self.control.take(told, path, asked.rest, asked.received.body)
+    def command(self, request: RouteRequest) -> Reply:
+        header = request.received.head.get(command_authorization.HEADER_NAME.encode())
+        signature = None if header is None else header.decode("latin-1")
+        path = f"/v1/control/{request.resource}"
+        return self.operator_commands.handle(signature, path, request.resource, request.received.body)
 
-    def openapi(self, asked: Asked) -> Reply:
-        # Written only when asked for: a front that nobody asks never loads the writer.
+    def openapi(self, request: RouteRequest) -> Reply:
+        # Written only when request for: a front that nobody asks never loads the writer.
         from fennelcove.api import openapi
 
         return Reply(200, [replies.JSON], openapi.text(LINES).encode())
 
-    def asyncapi(self, asked: Asked) -> Reply:
+    def asyncapi(self, request: RouteRequest) -> Reply:
         from fennelcove.api import asyncapi
 
         return Reply(200, [replies.JSON], asyncapi.text().encode())
 
-    def _gone(self, id: str) -> Reply:
-        why = self.core.close_reason(id)
-        return replies.fault("unknown-subscription", id[:80]) if why is None else replies.fault("ended", why)
+    def _missing_session(self, id: str) -> Reply:
+        reason = self.core.close_reason(id)
+        return (
+            replies.fault("unknown-subscription", id[:80])
+            if reason is None
+            else replies.fault("ended", reason)
+        )
 
 
 def bearer(authorization: bytes | None) -> str:
@@ -223,13 +239,13 @@
     return token.strip() if scheme.lower() == "bearer" else ""
 
 
-def shown(core: Core, authorization: bytes | None) -> PresentedToken:
+def presented_token(core: Core, authorization: bytes | None) -> PresentedToken:
     """The pass in a header field, and what it is worth."""
     return access_tokens.verify_access_token(bearer(authorization), core.token_keys, core.clock.wall_us())
 
 
 def asked_for(
-    core: Core, body: SetUp, hints: Cmcd, shown: PresentedToken
+    core: Core, body: SetUp, hints: Cmcd, presented: PresentedToken
 ) -> SessionRequest | tuple[str, str]:
     """What a set-up asks for, through whichever door; or the problem's kind and detail."""
     title = body.title or hints.text("cid")
@@ -238,54 +254,56 @@
     if title is None or title not in core.catalogue.titles:
         return "unknown-title", "name a title in the body or as CMCD cid" if title is None else repr(title)
     timeout_us = None if body.client_timeout_ms is None else round(body.client_timeout_ms * 1000)
-    client = shown.token.client if shown.token is not None else hints.text("sid") or ""
-    if shown.token is not None and shown.token.titles and title not in shown.token.titles:
-        return "not-entitled", f"it names {', '.join(shown.token.titles)}"
+    client = presented.token.client if presented.token is not None else hints.text("sid") or ""
+    if presented.token is not None and presented.token.titles and title not in presented.token.titles:
+        return "not-entitled", f"it names {', '.join(presented.token.titles)}"
     key = body.key or ""
-    guess_us = None if body.watch_ms is None else round(body.watch_ms * 1000)
+    expected_watch_us = None if body.watch_ms is None else round(body.watch_ms * 1000)
     return SessionRequest(
         title,
         body.room_type,
         body.top_rung,
         timeout_us,
-        says(hints),
+        client_hints(hints),
         client,
         body.retry,
         body.place,
         key,
         body.tenant,
-        guess_us,
+        expected_watch_us,
     )
 
 
-def says(hints: Cmcd) -> ClientHints:
+def client_hints(hints: Cmcd) -> ClientHints:
     """What of a viewer's CMCD decides anything: top bitrate, measured throughput, starvation."""
     return ClientHints(hints.number("tb"), hints.number("mtp"), hints.flag("bs"))
 
 
-def _is_json(received: Received) -> bool:
+def _has_json_body(received: ReceivedRequest) -> bool:
     kind = received.head.get(b"content-type")
     return kind is not None and kind.split(b";")[0].strip().lower() == b"application/json"
 
 
 _ID = r"(?P<id>[0-9a-f]{1,16}-[0-9a-f]{24})"
 _NAME = r"[A-Za-z0-9._-]{1,64}"
-_SHAPES = {  # what stands for each part of a path
+_PARAMETER_PATTERNS = {  # what stands for each part of a path
     "id": _ID,
-    "change": f"(?P<rest>{_NAME})",
-    "manifest": r"(?P<rest>master\.m3u8|media\.m3u8|manifest\.mpd)",
-    "seq": r"(?P<rest>[0-9]{1,9})",
-    "clip": f"(?P<rest>{_NAME})",
-    "clip_segment": f"(?P<rest>{_NAME}/[0-9]{{1,9}})",
-    "init": r"(?P<rest>.+)",
-    "command": f"(?P<rest>{'|'.join(COMMANDS)})",
+    "change": f"(?P<resource>{_NAME})",
+    "manifest": r"(?P<resource>master\.m3u8|media\.m3u8|manifest\.mpd)",
+    "seq": r"(?P<resource>[0-9]{1,9})",
+    "clip": f"(?P<resource>{_NAME})",
+    "clip_segment": f"(?P<resource>{_NAME}/[0-9]{{1,9}})",
+    "init": r"(?P<resource>.+)",
+    "command": f"(?P<resource>{'|'.join(COMMANDS)})",
 }
 
 
-def compiled(path: str) -> re.Pattern[str]:
+def compile_path(path: str) -> re.Pattern[str]:
     """A path of the table as what it matches."""
     parts = re.split(r"\{([a-z_]+)\}", path)
-    return re.compile("".join(_SHAPES[part] if i % 2 else re.escape(part) for i, part in enumerate(parts)))
+    return re.compile(
+        "".join(_PARAMETER_PATTERNS[part] if i % 2 else re.escape(part) for i, part in enumerate(parts))
+    )
 
 
 # One table for the door and for its description (fennelcove/api): neither can know a path that the other does
@@ -306,12 +324,12 @@
     ("GET", "/v1/changes", Routes.list_changes, "listChanges"),
     ("GET", "/v1/changes/{change}", Routes.show_change, "showChange"),
     ("DELETE", "/v1/changes/{change}", Routes.withdraw_change, "withdrawChange"),
-    ("GET", "/v1/status", Routes.counts, "status"),
+    ("GET", "/v1/status", Routes.status, "status"),
     ("POST", "/v1/control/{command}", Routes.command, "command"),
     ("GET", "/v1/openapi.json", Routes.openapi, "openapi"),
     ("GET", "/v1/asyncapi.json", Routes.asyncapi, "asyncapi"),
 )
 ROUTES: tuple[Route, ...] = tuple(
-    Route(method, path, compiled(path), handler, method in ("POST", "PUT"), name)
+    Route(method, path, compile_path(path), handler, method in ("POST", "PUT"), name)
     for method, path, handler, name in LINES
 )
--- a/packages/ingress/src/fennelcove/ingress/session_setups.py
+++ b/packages/ingress/src/fennelcove/ingress/session_setups.py
@@ -23,140 +23,142 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class SetUpResult:
     """How it ended; without an answer nobody waits for one any more."""
 
     session: Session | None
-    answered: SessionResponse | None
+    response: SessionResponse | None
     hops: str = ""
     timed_out: bool = False
     took_us: int = 0
-    keyed: bool = False  # its viewer may come for it again
-    repeated: bool = False  # the answer of a set-up that was run before
+    has_key: bool = False  # its client_socket may come for it again
+    replayed: bool = False  # the answer of a set-up that was run before
 
 
 class SessionSetups:
     """Runs set-ups; one for all doors of a front."""
 
-    def __init__(self, core: Core, clock: Clock, joiner: AttemptSender, notice: EventLogger) -> None:
+    def __init__(
+        self, core: Core, clock: Clock, attempt_sender: AttemptSender, log_event: EventLogger
+    ) -> None:
         self.core = core
         self.clock = clock
-        self.joiner = joiner
-        self.notice = notice
+        self.attempt_sender = attempt_sender
+        self.log_event = log_event
 
-    def run(self, ask: SessionRequest, viewer: socket.socket) -> Result | None:
+    def run(self, request: SessionRequest, client_socket: socket.socket) -> SetUpResult | None:
         """Ask the core and send joins until there is an answer; None where this front failed at it, so that
-        the viewer is owed an error and nothing is held.
+        the client_socket is owed an error and nothing is held.
         """
         session: Session | None = None
-        counted = False
-        known = self.core.idempotency.find_response(ask)
-        if known is not None:
-            return Result(known.session, known.response, repeated=True)
-        answered: SessionResponse | None = None
+        is_pending = False
+        previous = self.core.idempotency.find_response(request)
+        if previous is not None:
+            return SetUpResult(previous.session, previous.response, replayed=True)
+        response: SessionResponse | None = None
         try:
-            outcome = self.core.request_session(ask)
+            outcome = self.core.request_session(request)
             session, step = outcome.session, outcome.step
             if session is not None:
-                self.core.idempotency.bind_session(ask, session)
+                self.core.idempotency.bind_session(request, session)
             if session is None:
                 assert isinstance(step, SessionResponse)
-                self.notice(
+                self.log_event(
                     "subscription_turned_away",
                     why=step.reason,
                     standing=step.ticket_status,
-                    client=ask.client,
+                    client=request.client,
                     wait_ms=step.retry_after_us / 1000,
                     place=bool(step.queue_ticket),
                 )
-                answered = step
-                return Result(None, step)
-            counted = True
-            answered, hops, timed_out = self._attempts(session, step, viewer)
+                response = step
+                return SetUpResult(None, step)
+            is_pending = True
+            response, hops, timed_out = self._run_attempts(session, step, client_socket)
             self.core.on_response_ready(session)
-            counted = False
-            return Result(
+            is_pending = False
+            return SetUpResult(
                 session,
-                answered,
+                response,
                 hops,
                 timed_out,
                 self.clock.now_us() - session.received_us,
-                bool(ask.idempotency_key),
+                bool(request.idempotency_key),
             )
         except Exception as error:
-            # Whatever failed here, the viewer is owed its one answer and the box its release.
-            self.notice("subscription_failed", reason=repr(error))
+            # Whatever failed here, the client_socket is owed its one answer and the box its release.
+            self.log_event("subscription_failed", reason=repr(error))
             if session is not None:
                 self.core.discard(session)
-                if counted:
+                if is_pending:
                     self.core.on_response_ready(session)
             return None
         finally:
-            self.core.idempotency.on_response(ask, session, answered)
+            self.core.idempotency.on_response(request, session, response)
 
-    def _attempts(
-        self, session: Session, step: NextStep | None, viewer: socket.socket
+    def _run_attempts(
+        self, session: Session, step: NextStep | None, client_socket: socket.socket
     ) -> tuple[SessionResponse | None, str, bool]:
         """Send joins until there is an answer; None where nobody waits for it any more."""
         hops, timed_out = "", False
-        answered: SessionResponse | None = None
+        response: SessionResponse | None = None
         if isinstance(step, WaitForSlot):
-            step = self._in_line(step, viewer)
+            step = self._wait_for_slot(step, client_socket)
             if step is None:
                 return None, "", False
         while isinstance(step, SendAttempt):
-            run = self.joiner.run(step, viewer)
+            run = self.attempt_sender.run(step, client_socket)
             if run.interrupted is WakeReason.HUNG_UP:
                 self.core.on_client_gone(session)
             elif run.interrupted is WakeReason.LATCH:
-                stopped = self.core.on_shutdown(session)
-                answered = stopped if isinstance(stopped, SessionResponse) else None
-            end = run.end
-            hops, timed_out = run.hops, end.outcome is Outcome.NO_ANSWER
-            following = self.core.on_attempt_completed(session, step.attempt, end)
-            self.notice(
+                shutdown_step = self.core.on_shutdown(session)
+                response = shutdown_step if isinstance(shutdown_step, SessionResponse) else None
+            completion = run.end
+            hops, timed_out = run.hops, completion.outcome is Outcome.NO_ANSWER
+            next_step = self.core.on_attempt_completed(session, step.attempt, completion)
+            self.log_event(
                 "join_over",
                 subscription=session.id,
                 join=step.attempt,
                 box=step.server,
-                outcome=end.outcome.value,
-                took_ms=end.duration_us / 1000,
+                outcome=completion.outcome.value,
+                took_ms=completion.duration_us / 1000,
             )
-            if following is None:
-                return answered, "", False
-            step = following
+            if next_step is None:
+                return response, "", False
+            step = next_step
         assert isinstance(step, SessionResponse)
         return step, hops, timed_out
 
-    def _in_line(self, step: WaitForSlot, viewer: socket.socket) -> NextStep | None:
+    def _wait_for_slot(self, step: WaitForSlot, client_socket: socket.socket) -> NextStep | None:
         """Wait for a slot; nothing has left, so that a hang-up ends it here and now."""
         left_us = step.deadline_us - self.clock.now_us()
-        woken = wait_bell(step.wakeup.reader, left_us, self.joiner.halt, viewer)
+        wake_reason = wait_bell(step.wakeup.reader, left_us, self.attempt_sender.halt, client_socket)
         event = {
             WakeReason.HUNG_UP: WaiterEvent.HUNG_UP,
             WakeReason.LATCH: WaiterEvent.STOPPED,
             WakeReason.TIME: WaiterEvent.NO_TIME,
-        }.get(woken)
+        }.get(wake_reason)
         return self.core.slots.on_wait_ended(step, event)
 
-    def told(self, result: Result, written: bool) -> None:
+    def on_response_written(self, result: SetUpResult, written: bool) -> None:
         """The answer was handed on, or could not be: then what plays is released."""
-        session, answered = result.session, result.answered
-        if session is None or answered is None or result.repeated:
-            return  # one that comes again and hangs up must not end what its first try began
-        if not written and not result.keyed:
+        session, response = result.session, result.response
+        if session is None or response is None or result.replayed:
+            return  # one that comes again and hangs up must not completion what its first try began
+        if not written and not result.has_key:
             # One with a key comes again and finds it, or the silence limit ends it.
             self.core.on_client_gone(session)
-        self.notice(
+        self.log_event(
             "subscription_answered",
             subscription=session.id,
-            answer=answered.kind.value,
+            answer=response.kind.value,
             room_type=session.service_class,
             title=session.title,
             box=session.server,
             rung=session.rung,
             joins=session.attempt_count,
             took_ms=result.took_us / 1000,
-            why=answered.reason,
+            why=response.reason,
             written=written,
         )
--- a/packages/ingress/src/fennelcove/ingress/tls.py
+++ b/packages/ingress/src/fennelcove/ingress/tls.py
@@ -26,9 +26,9 @@
 class TlsKeys:
     """The newest good pair. Connections go on under the one they began with."""
 
-    def __init__(self, settings: TlsSettings, notice: EventLogger) -> None:
+    def __init__(self, settings: TlsSettings, log_event: EventLogger) -> None:
         self.settings = settings
-        self.notice = notice
+        self.log_event = log_event
         self.lock = threading.Lock()
         self.seen = self._stamp()
         self.context = self._load()
@@ -37,8 +37,8 @@
         stamps = []
         for path in (self.settings.certificate, self.settings.key):
             try:
-                found = os.stat(path)
-                stamps.append((found.st_ino, found.st_mtime_ns, found.st_size))
+                status = os.stat(path)
+                stamps.append((status.st_ino, status.st_mtime_ns, status.st_size))
             except OSError:
                 stamps.append((0, 0, 0))
         return tuple(stamps)
@@ -70,17 +70,17 @@
             try:
                 context = self._load()
             except TlsError as error:
-                self.notice("certificate_refused", **error.fields())
+                self.log_event("certificate_refused", **error.fields())
                 return False
             self.context = context
-        self.notice("certificate_taken")
+        self.log_event("certificate_taken")
         return True
 
-    def wrap(self, sock: socket.socket, limit_us: int) -> socket.socket:
+    def wrap(self, sock: socket.socket, timeout_us: int) -> socket.socket:
         """Shake hands on an accepted socket, within the limit.
 
         Raises:
             OSError: the handshake failed, or took too long.
         """
-        sock.settimeout(limit_us / 1e6)
+        sock.settimeout(timeout_us / 1e6)
         return self.context.wrap_socket(sock, server_side=True, do_handshake_on_connect=True)
--- a/packages/ingress/src/fennelcove/ingress/websocket_server.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_server.py
@@ -10,8 +10,8 @@
 from fennelcove.core.requests import EventLogger
 from fennelcove.http1 import writer
 from fennelcove.ingress import replies
-from fennelcove.ingress.connection import Connection, ConnectionLimits, Received
-from fennelcove.ingress.routes import shown
+from fennelcove.ingress.connection import Connection, ConnectionLimits, ReceivedRequest
+from fennelcove.ingress.routes import presented_token
 from fennelcove.ingress.session_setups import SessionSetups
 from fennelcove.ingress.websocket_session import WebSocketSession
 from fennelcove.websocket import handshake
@@ -30,20 +30,20 @@
         setups: SessionSetups,
         front: str,
         limits: ConnectionLimits,
-        notice: EventLogger,
+        log_event: EventLogger,
     ) -> None:
         self.core = core
         self.clock = clock
         self.setups = setups
         self.front = front
         self.limits = limits
-        self.notice = notice
+        self.log_event = log_event
         self.settings = core.settings.websocket
         self.lock = threading.Lock()
         self.sessions: set[WebSocketSession] = set()
-        self.leaving = False
+        self.shutting_down = False
 
-    def serve(self, connection: Connection, received: Received) -> bool:
+    def serve(self, connection: Connection, received: ReceivedRequest) -> bool:
         """Open and serve until it is over; whether what the peer still sends must be read past."""
         head = received.head
         try:
@@ -51,34 +51,41 @@
         except handshake.Refused as error:
             reply = replies.fault("malformed", str(error), error.status)
             reply.fields += error.fields
-            return connection.write(reply.raw(True))
-        held = shown(self.core, head.get(b"authorization"))
+            return connection.write(reply.to_bytes(True))
+        presented = presented_token(self.core, head.get(b"authorization"))
         if not connection.write(writer.response(101, opened.fields)):
             return False
-        most = self.settings.message_bytes
-        conversation = Conversation(Bounds(most, most), opened.deflates)
+        max_bytes = self.settings.message_bytes
+        conversation = Conversation(Bounds(max_bytes, max_bytes), opened.deflates)
         session = WebSocketSession(
-            connection.sock, conversation, self.core, self.clock, self.setups, self.front, self.limits, held
+            connection.sock,
+            conversation,
+            self.core,
+            self.clock,
+            self.setups,
+            self.front,
+            self.limits,
+            presented,
         )
         with self.lock:
             self.sessions.add(session)
-            leaving = self.leaving
+            shutting_down = self.shutting_down
         try:
-            if leaving:
-                session.leave()
-            return session.run(connection.rest())
+            if shutting_down:
+                session.begin_shutdown()
+            return session.run(connection.unread_bytes())
         except msgspec.MsgspecError as error:  # a message of ours that can't be written is a fault of ours
-            self.notice("connection_failed", reason=repr(error))
+            self.log_event("connection_failed", reason=repr(error))
             return False
         finally:
             with self.lock:
                 self.sessions.discard(session)
-            session.end()
+            session.shut_down()
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """This front ends: every connection is told when to come back, and closed once it is owed nothing."""
         with self.lock:
-            self.leaving = True
-            left = list(self.sessions)
-        for session in left:
-            session.leave()
+            self.shutting_down = True
+            open_sessions = list(self.sessions)
+        for session in open_sessions:
+            session.begin_shutdown()
--- a/packages/ingress/src/fennelcove/ingress/websocket_session.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_session.py
@@ -1,4 +1,4 @@
-"""One WebSocket: its thread reads and writes; set-ups run beside it, and news come from the core."""
+"""One WebSocket: its thread reads and writes; set-ups run beside it, and notification come from the core."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 from fennelcove.decisions.clients.keepalive import KeepaliveAction, KeepaliveMonitor
 from fennelcove.decisions.clients.rate_limit import MessageRateLimit
 from fennelcove.ingress import websocket_routes
-from fennelcove.ingress.connection import READ_BYTES, ConnectionLimits, take
+from fennelcove.ingress.connection import READ_BYTES, ConnectionLimits, receive_available
 from fennelcove.ingress.replies import playing_state
-from fennelcove.ingress.session_setups import Result, SessionSetups
+from fennelcove.ingress.session_setups import SessionSetups, SetUpResult
 from fennelcove.upstream.wakeups import WakeReason, Wakeup, wait
 from fennelcove.websocket.conversation import Closed, Conversation, Message, Pinged, State
 from fennelcove.websocket.terms import CloseCode
@@ -40,11 +40,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class QueuedMessage:
     """One message that waits; `session` where it tells a player of a subscription that nobody else knows."""
 
-    told: msgspec.Struct
-    session: str = ""
+    message: msgspec.Struct
+    session_id: str = ""
 
 
 class WebSocketSession:
@@ -59,7 +59,7 @@
         setups: SessionSetups,
         front: str,
         limits: ConnectionLimits,
-        shown: PresentedToken,
+        presented: PresentedToken,
     ) -> None:
         self.sock = sock
         self.conversation = conversation
@@ -68,169 +68,174 @@
         self.setups = setups
         self.front = front
         self.limits = limits
-        self.shown = shown
-        self.told_pass_ends = False
+        self.presented = presented
+        self.expiry_announced = False
         self.lock = threading.Lock()
-        self.outbox: ConflatingQueue[Line] = ConflatingQueue()
-        self.bell = Wakeup()
-        self.gone = False
-        self.leaving = False
-        self.under_way: dict[str, threading.Thread] = {}  # set-ups, by their ref
+        self.outbox: ConflatingQueue[QueuedMessage] = ConflatingQueue()
+        self.wakeup = Wakeup()
+        self.closed = False
+        self.shutting_down = False
+        self.setups_in_progress: dict[str, threading.Thread] = {}  # set-ups, by their ref
         now_us = clock.now_us()
-        self.meter = MessageRateLimit(now_us)
-        self.silence = KeepaliveMonitor(core.expiry.timeout_us, now_us)
+        self.rate_limit = MessageRateLimit(now_us)
+        self.keepalive = KeepaliveMonitor(core.expiry.timeout_us, now_us)
 
     # From any thread.
 
-    def say(self, told: msgspec.Struct, matter: object = None, session: str = "") -> None:
+    def send(self, message: msgspec.Struct, conflation_key: object = None, session_id: str = "") -> None:
         """A message for the player; past the bound the connection is cut off."""
         with self.lock:
-            kept = self.outbox.put(Line(told, session), matter)
-        if kept is PutResult.OVERFLOWED:
+            result = self.outbox.put(QueuedMessage(message, session_id), conflation_key)
+        if result is PutResult.OVERFLOWED:
             self.core.context.increment("sockets_cut_off")
-        self._ring()
+        self._wake()
 
-    def _ring(self) -> None:
+    def _wake(self) -> None:
         # Rung by others while it is closed, the descriptor could be somebody else's by then.
         with self.lock:
-            if not self.gone:
-                self.bell.notify()
+            if not self.closed:
+                self.wakeup.notify()
 
-    def put(self, news: Notification, number: int) -> None:
+    def put(self, notification: Notification, sequence: int) -> None:
         """News of the core; never waits."""
-        if isinstance(news, RungNotification):
-            view = news.view
-            self.say(
+        if isinstance(notification, RungNotification):
+            view = notification.view
+            self.send(
                 wire.RungChanged(
                     subscription=view.id,
-                    number=number,
+                    number=sequence,
                     rung=view.rung,
                     top_rung=view.top_rung,
                     rate_kb=view.rate_kb,
                 ),
                 ("rung", view.id),
             )
-        elif isinstance(news, MigrationNotification):
-            self._moved(news.view, number)
-        elif isinstance(news, EndNotification):
-            self.say(wire.Ended(subscription=news.id, number=number, detail=news.reason))
-        elif isinstance(news, TakeoverNotification):
-            self.say(wire.Taken(subscription=news.id, number=number))
-        elif isinstance(news, ContentNotification):
-            told = wire.Stitched(subscription=news.id, number=number, change=news.change_id, state=news.state)
-            self.say(told, ("stitched", news.id, news.change_id))
+        elif isinstance(notification, MigrationNotification):
+            self._notify_migration(notification.view, sequence)
+        elif isinstance(notification, EndNotification):
+            self.send(wire.Ended(subscription=notification.id, number=sequence, detail=notification.reason))
+        elif isinstance(notification, TakeoverNotification):
+            self.send(wire.Taken(subscription=notification.id, number=sequence))
+        elif isinstance(notification, ContentNotification):
+            message = wire.Stitched(
+                subscription=notification.id,
+                number=sequence,
+                change=notification.change_id,
+                state=notification.state,
+            )
+            self.send(message, ("stitched", notification.id, notification.change_id))
         else:
-            assert isinstance(news, StormNotification)
-            self.say(wire.Weather(phase=news.state), "weather")
+            assert isinstance(notification, StormNotification)
+            self.send(wire.Weather(phase=notification.state), "weather")
 
-    def _moved(self, view: SessionView, number: int) -> None:
-        told = wire.Moved(
-            subscription=view.id, number=number, box=view.server, rung=view.rung, rate_kb=view.rate_kb
+    def _notify_migration(self, view: SessionView, sequence: int) -> None:
+        message = wire.Moved(
+            subscription=view.id, number=sequence, box=view.server, rung=view.rung, rate_kb=view.rate_kb
         )
-        self.say(told, ("moved", view.id))
+        self.send(message, ("moved", view.id))
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """This front ends: say so, answer what is owed, close."""
         earliest_us, latest_us = reconnect_window_us(
             len(self.core.notifier.mailboxes), self.core.admission_controller.average_wait_us
         )
-        self.say(
+        self.send(
             wire.Leaving(reconnect_after_ms=earliest_us / 1000, reconnect_before_ms=latest_us / 1000),
             "leaving",
         )
-        self.leaving = True
-        self._ring()
+        self.shutting_down = True
+        self._wake()
 
     # Its own thread.
 
-    def run(self, first: bytes) -> bool:
+    def run(self, first_bytes: bytes) -> bool:
         """Serve until it is over; whether what the peer still sends must be read past."""
         self.core.notifier.register(self)
-        self.say(self.welcome(None))
-        data: bytes | None = first or None
+        self.send(self.welcome(None))
+        data: bytes | None = first_bytes or None
         while True:
-            if data is not None and not self._heard(data):
+            if data is not None and not self._on_data(data):
                 return self._flush()
             if not self._flush() or self.conversation.over:
                 return True
-            self._may_close()
+            self._close_if_finished()
             if not self._flush():
                 return False
-            pulse, wait_us = self._pulse()
-            if pulse is KeepaliveAction.CLOSE:
+            action, wait_us = self._check_keepalive()
+            if action is KeepaliveAction.CLOSE:
                 return False
-            woken = wait(self.sock, wait_us, self.bell)
-            if woken is WakeReason.LATCH:
-                self.bell.clear()
+            wake_reason = wait(self.sock, wait_us, self.wakeup)
+            if wake_reason is WakeReason.LATCH:
+                self.wakeup.clear()
                 data = None
                 continue
             try:
-                data = take(self.sock, READ_BYTES) if woken is WakeReason.READY else None
+                data = receive_available(self.sock, READ_BYTES) if wake_reason is WakeReason.READY else None
             except OSError:
                 return False
 
-    def _pulse(self) -> tuple[KeepaliveAction, int]:
+    def _check_keepalive(self) -> tuple[KeepaliveAction, int]:
         now_us = self.clock.now_us()
-        pulse, wait_us = self.silence.check(now_us)
-        if pulse is KeepaliveAction.PING:
+        action, wait_us = self.keepalive.check(now_us)
+        if action is KeepaliveAction.PING:
             self.conversation.ping()
             if not self._flush():
                 return KeepaliveAction.CLOSE, 0
         if self.conversation.state is State.CLOSING:
             # The peer has our close: it answers within the limit of a message, or is cut.
-            left_us = self.closing_until_us - now_us
+            left_us = self.close_deadline_us - now_us
             return (KeepaliveAction.CLOSE, 0) if left_us <= 0 else (KeepaliveAction.WAIT, left_us)
-        held = self.shown.token
-        if held is not None and not self.told_pass_ends:
-            until_us = access_tokens.renewal_due_us(held) - self.core.clock.wall_us()
-            if until_us <= 0:
-                self.told_pass_ends = True
-                self.say(wire.PassEnds(in_ms=self.pass_for_ms()))
+        token = self.presented.token
+        if token is not None and not self.expiry_announced:
+            until_renewal_us = access_tokens.renewal_due_us(token) - self.core.clock.wall_us()
+            if until_renewal_us <= 0:
+                self.expiry_announced = True
+                self.send(wire.PassEnds(in_ms=self.pass_for_ms()))
             else:
-                wait_us = min(wait_us, until_us)
-        return pulse, wait_us
+                wait_us = min(wait_us, until_renewal_us)
+        return action, wait_us
 
-    closing_until_us = 0
+    close_deadline_us = 0
 
     def _close(self, code: CloseCode, reason: str) -> None:
         if self.conversation.state is State.OPEN:
-            self.closing_until_us = self.clock.now_us() + self.limits.message_us
+            self.close_deadline_us = self.clock.now_us() + self.limits.message_us
         self.conversation.close(code, reason)
 
-    def _may_close(self) -> None:
+    def _close_if_finished(self) -> None:
         """A front that ends closes connections to which it owes nothing more."""
         if self.outbox.has_overflowed:
             self._close(CloseCode.TRY_LATER, "this connection reads too slowly")
-        elif self.leaving and not self.under_way:
-            # What says when to come back was put in line before, and may be there only since the last flush.
+        elif self.shutting_down and not self.setups_in_progress:
+            # What says when to come back was put in queued before, and may be there only since the last flush.
             self._flush()
             self._close(CloseCode.RESTART, "this front is ending")
 
-    def _heard(self, data: bytes) -> bool:
+    def _on_data(self, data: bytes) -> bool:
         """Bytes of the peer; False once it is over."""
         now_us = self.clock.now_us()
         if data:
-            self.silence.on_received(now_us)
+            self.keepalive.on_received(now_us)
             self.core.notifier.on_activity(self)
         for event in self.conversation.receive(data):
             if isinstance(event, Closed):
                 return False
-            if isinstance(event, Message | Pinged) and not self.meter.try_acquire(now_us):
+            if isinstance(event, Message | Pinged) and not self.rate_limit.try_acquire(now_us):
                 self._close(CloseCode.POLICY, "too many messages")
                 return True
             if isinstance(event, Message):
                 if isinstance(event.data, bytes):
                     self._close(CloseCode.UNSUPPORTED, "messages are JSON text")
                     return True
-                websocket_routes.take(self, event.data)
+                websocket_routes.handle_message(self, event.data)
         return True
 
     def _flush(self) -> bool:
         """Send what waits; False where the peer is gone or reads too slowly."""
         with self.lock:
-            lines = self.outbox.drain()
-        for line in lines:
-            self.conversation.send(_ENCODER.encode(line.told).decode())
+            messages = self.outbox.drain()
+        for queued in messages:
+            self.conversation.send(_ENCODER.encode(queued.message).decode())
         raw = self.conversation.take()
         if not raw:
             return True
@@ -239,45 +244,45 @@
             self.sock.sendall(raw)
             return True
         except OSError:
-            for line in lines:
-                self._unheard(line)
+            for queued in messages:
+                self._release_unannounced(queued)
             return False
 
-    def _unheard(self, line: Line) -> None:
+    def _release_unannounced(self, queued: QueuedMessage) -> None:
         """A subscription whose player never got its id can't be resumed by anybody."""
-        if line.session:
-            self.core.release(line.session, "its answer could not be written")
+        if queued.session_id:
+            self.core.release(queued.session_id, "its answer could not be written")
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Over: end what was under way, and leave the rest to whoever comes for it."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
-        for thread in list(self.under_way.values()):
+        for thread in list(self.setups_in_progress.values()):
             thread.join()
         with self.lock:
-            lines = self.outbox.drain()
-        for line in lines:
-            self._unheard(line)
+            messages = self.outbox.drain()
+        for queued in messages:
+            self._release_unannounced(queued)
         self.core.notifier.unregister(self)
         with self.lock:
-            self.gone = True
-            self.bell.close()
+            self.closed = True
+            self.wakeup.close()
 
     # What messages ask for.
 
     def fault(self, ref: str | None, kind: str, detail: str = "") -> None:
         """A request that can't be acted on."""
-        self.say(wire.Fault(ref=ref, kind=kind, title=KINDS[kind][1], detail=detail))
+        self.send(wire.Fault(ref=ref, kind=kind, title=KINDS[kind][1], detail=detail))
 
     def pass_for_ms(self) -> float:
         """How long the pass is still good for."""
-        held = self.shown.token
-        return max(0.0, (held.until_us - self.core.clock.wall_us()) / 1000) if held is not None else 0.0
+        token = self.presented.token
+        return max(0.0, (token.until_us - self.core.clock.wall_us()) / 1000) if token is not None else 0.0
 
     def welcome(self, ref: str | None) -> wire.Welcome:
         """Who this front is, and what it needs."""
-        held = self.shown.token
-        valid = held is not None and self.shown.status in (TokenStatus.VALID, TokenStatus.EXPIRING)
+        token = self.presented.token
+        valid = token is not None and self.presented.status in (TokenStatus.VALID, TokenStatus.EXPIRING)
         return wire.Welcome(
             front=self.front,
             boot=self.core.session_ids.boot_id,
@@ -285,71 +290,71 @@
             silent_ms=self.core.expiry.timeout_us / 1000,
             pass_needed=self.core.requires_token,
             ref=ref,
-            client=held.client if held is not None and valid else None,
+            client=token.client if token is not None and valid else None,
             pass_for_ms=self.pass_for_ms() if valid else None,
         )
 
-    def client(self) -> str:
+    def client_name(self) -> str:
         """Whose pass was shown."""
-        return self.shown.token.client if self.shown.token is not None else ""
+        return self.presented.token.client if self.presented.token is not None else ""
 
-    def begin(self, ref: str, ask: SessionRequest) -> None:
+    def start_setup(self, ref: str, request: SessionRequest) -> None:
         """Run a set-up beside this thread, so that pings and releases go on meanwhile."""
-        thread = threading.Thread(target=self._set_up, args=(ref, ask), name="set-up")
-        self.under_way[ref] = thread
+        thread = threading.Thread(target=self._set_up, args=(ref, request), name="set-up")
+        self.setups_in_progress[ref] = thread
         try:
             thread.start()
         except RuntimeError:  # the machine gives no more threads
-            del self.under_way[ref]
+            del self.setups_in_progress[ref]
             wait_ms = self.core.admission.retry_after_us() / 1000
-            self.say(wire.Throttled(ref=ref, detail="no thread to be had", retry_after_ms=wait_ms))
+            self.send(wire.Throttled(ref=ref, detail="no thread to be had", retry_after_ms=wait_ms))
 
-    def _set_up(self, ref: str, ask: SessionRequest) -> None:
+    def _set_up(self, ref: str, request: SessionRequest) -> None:
         try:
-            result = self.setups.run(ask, self.sock)
+            result = self.setups.run(request, self.sock)
             if result is None:
                 self.fault(ref, "failed")
-            elif result.answered is not None:
-                self._answer(ref, result)
+            elif result.response is not None:
+                self._send_response(ref, result)
         finally:
-            self.under_way.pop(ref, None)
-            self._ring()
+            self.setups_in_progress.pop(ref, None)
+            self._wake()
 
-    def _answer(self, ref: str, result: Result) -> None:
-        answered, session = result.answered, result.session
-        assert answered is not None
-        if answered.kind in (ResponseKind.KEY_SPENT, ResponseKind.KEY_REUSED):
+    def _send_response(self, ref: str, result: SetUpResult) -> None:
+        response, session = result.response, result.session
+        assert response is not None
+        if response.kind in (ResponseKind.KEY_SPENT, ResponseKind.KEY_REUSED):
             self.fault(
-                ref, "spent" if answered.kind is ResponseKind.KEY_SPENT else "reused-key", answered.reason
+                ref, "spent" if response.kind is ResponseKind.KEY_SPENT else "reused-key", response.reason
             )
             return
-        tried = session.id if session is not None else None
-        if answered.kind is ResponseKind.REJECTED:
-            placed = bool(answered.queue_ticket)
-            told: msgspec.Struct = wire.Throttled(
+        session_id = session.id if session is not None else None
+        if response.kind is ResponseKind.REJECTED:
+            has_ticket = bool(response.queue_ticket)
+            message: msgspec.Struct = wire.Throttled(
                 ref=ref,
-                detail=answered.reason,
-                retry_after_ms=answered.retry_after_us / 1000,
-                latest_ms=answered.retry_until_us / 1000 if placed else None,
-                place=answered.queue_ticket or None,
-                subscription=tried,
+                detail=response.reason,
+                retry_after_ms=response.retry_after_us / 1000,
+                latest_ms=response.retry_until_us / 1000 if has_ticket else None,
+                place=response.queue_ticket or None,
+                subscription=session_id,
             )
-        elif answered.kind is ResponseKind.FAILED or session is None:
-            told = wire.Terminated(ref=ref, detail=answered.reason, subscription=tried)
+        elif response.kind is ResponseKind.FAILED or session is None:
+            message = wire.Terminated(ref=ref, detail=response.reason, subscription=session_id)
         else:
-            claimed = self.core.notifier.claim(self, session.id, self.client(), None)
+            claimed = self.core.notifier.claim(self, session.id, self.client_name(), None)
             if claimed.view is None:  # it ended in this very moment
-                told = wire.Terminated(ref=ref, detail=claimed.reason or "it has ended")
+                message = wire.Terminated(ref=ref, detail=claimed.reason or "it has ended")
             else:
                 state = playing_state(claimed.view, session.attempt_count)
-                told = wire.ToldPlaying(
+                message = wire.ToldPlaying(
                     ref=ref, number=claimed.sequence, state=state, took_ms=result.took_us / 1000
                 )
-        playing = (
-            isinstance(told, wire.ToldPlaying)
+        release_if_unsent = (
+            isinstance(message, wire.ToldPlaying)
             and session is not None
-            and not result.keyed
-            and not result.repeated
+            and not result.has_key
+            and not result.replayed
         )
-        self.say(told, session=session.id if playing and session is not None else "")
-        self.setups.told(result, True)
+        self.send(message, session_id=session.id if release_if_unsent and session is not None else "")
+        self.setups.on_response_written(result, True)
--- a/tests/test_socket_door.py
+++ b/tests/test_socket_door.py
@@ -18,7 +18,7 @@
 from fennelcove.emulators.clients import Unanswered
 from fennelcove.emulators.endpoint_list_service import Known
 from fennelcove.emulators.sockets import SocketPlayer
-from fennelcove.ingress.websocket_session import Line
+from fennelcove.ingress.websocket_session import QueuedMessage
 from fennelcove.settings.schema import (
     Author,
     MediaSettings,
@@ -225,14 +225,14 @@
         (session,) = self.front.sockets.sessions
         with session.lock:  # as many as come while its thread waits for the socket
             for number in range(100):
-                session.outbox.put(Line(session.welcome(str(number))))
-        session.bell.notify()
+                session.outbox.put(QueuedMessage(session.welcome(str(number))))
+        session.wakeup.notify()
         assert player.wait_closed().code == 1013
         wait_for(lambda: not self.front.sockets.sessions, "the cut")
         assert self.connect().ask("resume", subscription=id)["type"] == "resumed"
 
     def test_a_half_open_connection_is_cut_after_the_silence_and_what_it_owned_ends(self) -> None:
-        self.end()
+        self.stop_fronts()
         self.settings = self.changed(limits={"silent_ms": 400})
         self.front = self.start_front()
         alive, dead = self.connect(), self.connect()
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -75,7 +75,7 @@
     def test_hints_bound_the_rung_and_malformed_ones_fail_nothing(self) -> None:
         heard = self.ask(headers=[("CMCD-Object", "tb=1700,br=;;"), ("CMCD-Request", "mtp=x")])
         assert (heard.status, heard.body["rung"]) == (201, 1)
-        assert self.front.door.routes.hints_dropped > 0
+        assert self.front.door.routes.dropped_hint_count > 0
         low = self.ask(cmcd={"mtp": 900})
         assert low.body["rung"] == 0
 
