--- a/packages/ingress/src/fennelcove/ingress/__init__.py
+++ b/packages/ingress/src/fennelcove/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""The doors: sockets towards viewers. They read, write and wait; what to answer comes from the core."""
+"""Listeners for clients, authors and operators: socket I/O only; the core decides what to answer."""
--- a/packages/ingress/src/fennelcove/ingress/connection.py
+++ b/packages/ingress/src/fennelcove/ingress/connection.py
@@ -1,4 +1,4 @@
-"""One viewer's connection: message requests in, message answers out, and a limit on every wait."""
+"""A client's HTTP connection: reads complete requests, writes complete responses, and bounds every wait."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 READ_BYTES = 16_384
 LINGER_US = 250_000
-CLOSE_GRACE_US = 50_000  # for a request that crosses with the end of its connection
+CLOSE_GRACE_US = 50_000  # time for a request that was already in transit when the connection began to close
 LINGER_BYTES = 262_144
 MAX_LINGERING = 128
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """Times of one connection, in microseconds."""
+    """Timeouts of a connection, in microseconds."""
 
     idle_us: int
     message_us: int
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """A message request."""
+    """A complete request and the time at which it was received."""
 
     head: RequestHead
     body: bytes
@@ -43,14 +43,14 @@
 
 
 class TooSlow(Exception):
-    """A request that has started and does not end within its limit."""
+    """A request that was started but not completed within its time limit."""
 
 
 def receive_available(sock: socket.socket, max_bytes: int) -> bytes | None:
-    """What can be read now; None where it is nothing yet, as after a TLS record that holds no data.
+    """Read what is available now; None if nothing is, as after a TLS record without application data.
 
     Raises:
-        OSError: the connection is broken.
+        OSError: The connection is broken.
     """
     sock.settimeout(0)
     try:
@@ -62,7 +62,7 @@
 
 
 class Connection:
-    """Belongs to one thread. `close` gives back what was reserved_bytes."""
+    """A connection, used by one thread only; `close` releases its reserved buffer space."""
 
     def __init__(
         self,
@@ -84,11 +84,11 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def read(self) -> ReceivedRequest | None:
-        """The next request; None where the connection is over between two of them.
+        """Read the next request; None if the connection ended between two requests.
 
         Raises:
-            ProtocolError: a request that must not be acted on.
-            TooSlow: a request that was started and not ended in time.
+            ProtocolError: The request is invalid, or there is no buffer space for it.
+            TooSlow: The request was started but not completed in time.
         """
         started_us: int | None = None
         while True:
@@ -117,7 +117,7 @@
                     not started and wait(self.sock, CLOSE_GRACE_US, None) is not WakeReason.READY
                 ):
                     return None
-                # Closing with a request on its way or half read: it may still end, within its own limit.
+                # While the front closes, a request in transit or half read may still be completed in time.
                 self.closing = None
                 continue
             try:
@@ -133,7 +133,7 @@
             self.requests.reader.feed(data)
 
     def perform_tls_handshake(self, tls: TlsKeys) -> bool:
-        """Shake hands under the newest certificate; False where that fails or takes too long."""
+        """Perform the handshake with the newest certificate; False if it fails or times out."""
         try:
             self.sock = tls.wrap(self.sock, self.limits.message_us)
             return True
@@ -141,13 +141,11 @@
             return False
 
     def unread_bytes(self) -> bytes:
-        """What came behind the last request: the first bytes of the protocol that it changed to."""
+        """Return the bytes after the last request: the first ones of the protocol that was switched to."""
         return bytes(self.requests.reader.buffer)
 
     def _send_continue_if_expected(self) -> None:
-        """Answer `Expect: 100-continue` once the head is here and the body is not (RFC 9110 section
-        10.1.1).
-        """
+        """Answer `Expect: 100-continue` if the head is here without its body (RFC 9110, 10.1.1)."""
         head = self.requests.head
         if isinstance(head, RequestHead) and head.expects_continue and not self.continue_sent:
             self.continue_sent = True
@@ -160,7 +158,7 @@
         return True
 
     def write(self, raw: bytes) -> bool:
-        """Send all of it within the limit; False where the viewer is gone or reads too slowly."""
+        """Send all bytes within the time limit; False if the client has disconnected or reads too slowly."""
         try:
             self.sock.settimeout(self.limits.write_us / 1e6)
             self.sock.sendall(raw)
@@ -169,7 +167,11 @@
             return False
 
     def close(self, linger: bool = False) -> None:
-        """Close. With `linger`, read past what the peer still sends, or the reset would eat the answer."""
+        """Close the connection.
+
+        With `linger`, first discard what the peer still sends: unread data would cause a TCP reset, which can
+        destroy the response before the peer has read it.
+        """
         self._adjust_reservation(-self.reserved_bytes)
         if linger:
             with suppress(OSError):
@@ -186,10 +188,11 @@
 
 
 class ConnectionRejecter:
-    """Answers connections that the door has no room for, without holding up the next one.
+    """Answers connections that exceed the limits, without delaying the next one.
 
-    The answer goes out at once; one thread then reads past what those viewers still send, a moment each, in a
-    bounded line. Past the bound they are closed at once and may see a reset instead.
+    The response is sent at once. One thread then discards what those clients still send, for a short time
+    each, from a queue of bounded length. Connections beyond that length are closed at once, and their clients
+    may see a reset instead of the response.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -200,7 +203,7 @@
         self.thread = threading.Thread(target=self._run, name="refuser")
 
     def reject(self, sock: socket.socket, raw: bytes) -> None:
-        """Send the answer and leave the rest to the thread."""
+        """Send the response, and hand the socket to the thread that discards further input."""
         with suppress(OSError):
             sock.setblocking(False)
             sock.send(raw)
@@ -213,7 +216,7 @@
             self.condition.notify()
 
     def stop(self) -> None:
-        """Close all that lingers and end the thread."""
+        """Close all lingering connections and stop the thread."""
         with self.condition:
             self.stopped = True
             self.condition.notify()
--- a/packages/ingress/src/fennelcove/ingress/control.py
+++ b/packages/ingress/src/fennelcove/ingress/control.py
@@ -1,4 +1,4 @@
-"""Commands of operators over HTTP: checked, written down, carried out, answered with command is so."""
+"""Operator commands over HTTP: authorized, recorded in the audit file, executed and answered."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class OperatorCommands:
-    """One front's commands; `tell` writes down each before it is carried out."""
+    """Executes a front's operator commands; `write_audit_record` records each one before it is executed."""
 
     def __init__(
         self, core: Core, clock: Clock, authorizer: CommandAuthorizer, write_audit_record: Callable[..., None]
@@ -36,11 +36,11 @@
         self.clock = clock
         self.authorizer = authorizer
         self.write_audit_record = write_audit_record
-        self.orders: OperatorRoutes | None = None  # where the settings have releases
+        self.orders: OperatorRoutes | None = None  # set if the settings have a releases section
         self.lock = threading.Lock()
 
     def handle(self, header: str | None, path: str, command: str, body: bytes) -> Reply:
-        """One command, answered."""
+        """Authorize, record and execute a command."""
         with self.lock:
             verdict, key = self.authorizer.authorize(header, "POST", path, body, True, self.clock.wall_us())
         self.core.context.increment(f"commands_{verdict.value}")
@@ -49,7 +49,7 @@
                 wall_us=self.clock.wall_us(), key=key, command=command, verdict=verdict.value
             )
         except OSError as error:
-            if verdict is CommandVerdict.GRANTED:  # command can't be written down is not done
+            if verdict is CommandVerdict.GRANTED:  # a command that can't be recorded must not be executed
                 return replies.fault("failed", f"the audit file can't be written ({error.strerror})")
         if verdict is not CommandVerdict.GRANTED:
             problem_kind = "not-permitted" if verdict is CommandVerdict.NOT_PERMITTED else "no-key"
--- a/packages/ingress/src/fennelcove/ingress/http_server.py
+++ b/packages/ingress/src/fennelcove/ingress/http_server.py
@@ -1,5 +1,6 @@
-"""The HTTP door: one listener, one thread a connection, each set-up run to its answer on the thread that
-asked.
+"""The HTTP listener: one accepting thread, and one thread per connection.
+
+A session is set up on the thread of the connection that requested it.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 from fennelcove.wire.socket import PATH
 
 KEY_PROBLEM_KINDS = {ResponseKind.KEY_SPENT: "spent", ResponseKind.KEY_REUSED: "reused-key"}
-ACCEPT_RETRY_DELAY_US = 50_000  # keeps a failing accept from spinning
+ACCEPT_RETRY_DELAY_US = 50_000  # prevents a busy loop while accept keeps failing
 
 
 class HttpServer:
-    """Owns its listener and all its threads: `start`, then `stop_accepting`, then `close`."""
+    """Owns the listening socket and all its threads; call `start`, then `stop_accepting`, then `close`."""
 
     def __init__(
         self,
@@ -67,24 +68,24 @@
         self.accept_thread = threading.Thread(target=self._accept, name="acceptor")
 
     def start(self) -> None:
-        """Start to accept."""
+        """Start accepting connections."""
         self.rejecter.thread.start()
         self.accept_thread.start()
 
     def stop_accepting(self) -> None:
-        """Close the listener; idle connections end, requests in hand go on to their answers."""
+        """Close the listener and idle connections; requests in progress are still answered."""
         self.closing.set()
         self.websocket_server.begin_shutdown()
         self.accept_thread.join()
         self.listener.close()
 
     def wait_idle(self, timeout_us: int) -> bool:
-        """Wait until no connection is remaining; False when time is up first."""
+        """Wait until all connections are closed; False if the time runs out first."""
         with self.drained:
             return self.drained.wait_for(lambda: not self.connections, timeout_us / 1e6)
 
     def close(self) -> None:
-        """Cut what is remaining and wait for every thread."""
+        """Close the remaining connections and join every thread."""
         with self.lock:
             remaining = dict(self.connections)
         for connection in remaining.values():
@@ -100,7 +101,7 @@
             try:
                 sock, _ = self.listener.accept()
             except OSError as error:
-                # Out of descriptors, mostly: those that wait are served as others leave.
+                # Usually out of file descriptors: waiting connections are accepted as others close.
                 self.log_event("accept_failed", reason=str(error))
                 if self.closing.wait(ACCEPT_RETRY_DELAY_US):
                     return
@@ -113,7 +114,7 @@
         self._reject_queued()
 
     def _reject_queued(self) -> None:
-        """Answer those that connected before the listener closes: a reset would tell them nothing."""
+        """Answer connections still in the backlog before the listener closes, which would reset them."""
         self.listener.setblocking(False)
         with suppress(OSError):
             while True:
@@ -127,7 +128,7 @@
 
     def _reject(self, sock: socket.socket, rejection: SessionResponse) -> None:
         if self.tls is not None:
-            sock.close()  # a handshake would cost more than what it would tell
+            sock.close()  # a handshake would cost more than the rejection is worth
             return
         self.rejecter.reject(sock, replies.rejected(rejection, self.front, None, False).to_bytes(True))
 
@@ -138,7 +139,7 @@
             self.connections[thread] = connection
         try:
             thread.start()
-        except RuntimeError:  # the machine gives no more threads: the same answer as past our own bound
+        except RuntimeError:  # no more threads available: same response as for too many connections
             self._connection_ended(thread)
             self._reject(
                 sock,
@@ -158,14 +159,14 @@
         try:
             if self.tls is None or connection.perform_tls_handshake(self.tls):
                 linger = self._serve_requests(connection)
-        except Exception as error:  # a fault of ours: told, and never a thread that dies unseen
+        except Exception as error:  # an internal error: logged, so that the thread does not die silently
             self.log_event("connection_failed", reason=repr(error))
         finally:
             connection.close(linger)
             self._connection_ended(threading.current_thread())
 
     def _serve_requests(self, connection: Connection) -> bool:
-        """Serve until the connection is over; whether what the viewer still sends must be read past."""
+        """Serve requests until the connection ends; True if closing must linger."""
         while True:
             try:
                 received = connection.read()
@@ -195,7 +196,7 @@
                 return True
 
     def _set_up(self, connection: Connection, request: SessionRequest, close: bool) -> bool:
-        """Run one subscription to its answer; False where the viewer is gone."""
+        """Set up a session and write the response; False if the client has disconnected."""
         result = self.setups.run(request, connection.sock)
         if result is None:
             return connection.write(replies.fault("failed", close=True).to_bytes(True))
--- a/packages/ingress/src/fennelcove/ingress/operator_routes.py
+++ b/packages/ingress/src/fennelcove/ingress/operator_routes.py
@@ -1,4 +1,4 @@
-"""Operators' commands about releases: bodies read, handed to the coordinator, answered with how the plan stands."""
+"""Operator commands about rollouts: decodes and submits them, and answers with the plan's state."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 class OperatorRoutes:
-    """One front's orders about releases; whoever calls has checked the seal."""
+    """Executes a front's rollout commands; the caller has already authorized them."""
 
     def __init__(self, front: str, coordinator: RolloutCoordinator) -> None:
         self.front = front
         self.coordinator = coordinator
 
     def execute(self, command: str, body: bytes) -> Reply:
-        """Carry out one, and say how the plan stands."""
+        """Execute a command and answer with the state of the rollout plan."""
         try:
             outcome = self._operation(command, body)()
         except msgspec.MsgspecError as error:
--- a/packages/ingress/src/fennelcove/ingress/playback_routes.py
+++ b/packages/ingress/src/fennelcove/ingress/playback_routes.py
@@ -1,4 +1,4 @@
-"""The session interface's second half: manifests and segments for players, changes for authors."""
+"""Manifests and segments for players, and content changes for authors."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 HLS = ("Content-Type", "application/vnd.apple.mpegurl")
 DASH = ("Content-Type", "application/dash+xml")
 NO_CACHE = ("Cache-Control", "no-cache")
-MIGRATION_RETRY_MS = 50.0  # a home is made within some milliseconds
+MIGRATION_RETRY_MS = 50.0  # a session migrates within a few milliseconds
 BUFFER_S = 2
 CONFLICTS = (RejectionReason.OVERLAPS, RejectionReason.ID_TAKEN)
 _ORDER: msgspec.json.Decoder[ChangeOrder] = msgspec.json.Decoder(ChangeOrder)
@@ -38,7 +38,7 @@
 
 
 class PlaybackRoutes:
-    """Answers for matching front; `keep` writes a ruled change down before its author hears of it."""
+    """Answers players and authors; `persist_change` stores a change before its author is answered."""
 
     def __init__(self, core: Core, front: str, persist_change: Callable[[Change, bool, int], None]) -> None:
         self.core = core
@@ -48,7 +48,7 @@
     # Players.
 
     def manifest(self, id: str, name: str, hints: ClientHints, as_interstitials: bool) -> Reply | None:
-        """A manifest; None where nothing plays under this id."""
+        """Return a manifest; None if no session with this id is playing."""
         view = self.core.on_client_report(id, hints)
         if view is None:
             return None
@@ -74,7 +74,7 @@
         )
 
     def segment(self, id: str, seq: int, hints: ClientHints) -> Reply | None:
-        """Where a segment is to be had; None where nothing plays under this id."""
+        """Redirect to the source of a segment; None if no session with this id is playing."""
         view = self.core.on_client_report(id, hints)
         if view is None:
             return None
@@ -83,7 +83,7 @@
         )
 
     def asset(self, id: str, change: str, hints: ClientHints) -> Reply | None:
-        """The playlist of a clip told as_interstitials; None where nothing plays under this id."""
+        """Return the playlist of an interstitial; None if no session with this id is playing."""
         view = self.core.on_client_report(id, hints)
         if view is None:
             return None
@@ -94,7 +94,7 @@
         return Reply(200, fields, hls.interstitial_playlist(change, *found).encode())
 
     def asset_segment(self, id: str, change: str, number: int, hints: ClientHints) -> Reply | None:
-        """Where a segment of a clip told as_interstitials is to be had."""
+        """Redirect to the source of an interstitial's segment; None if no session with this id is playing."""
         view = self.core.on_client_report(id, hints)
         if view is None:
             return None
@@ -102,7 +102,7 @@
         return self._segment_reply(fetch, replies.cmsd_fields(view, "", self.front, None))
 
     def init(self, id: str, rest: str, hints: ClientHints) -> Reply | None:
-        """Where an initialisation is to be had."""
+        """Redirect to the source of an initialization segment; None if no session with this id is playing."""
         view = self.core.on_client_report(id, hints)
         match = _INIT.fullmatch(rest)
         if view is None:
@@ -127,7 +127,7 @@
     # Authors.
 
     def author(self, key: str, needs_write: bool) -> Author | Reply:
-        """Whose key this is, or the answer to matching who may not."""
+        """Return the author with this key, or the rejection if the key is unknown or lacks the permission."""
         author = self.core.content.author_of_key(key) if key else None
         if author is None:
             reply = replies.fault("no-key", "send Authorization: Bearer and an author's key")
@@ -138,7 +138,7 @@
         return author
 
     def submit(self, author: Author, body: bytes) -> Reply:
-        """A change made, found made, or refused whole."""
+        """Apply a change; confirm one that was already applied, reject an invalid one as a whole."""
         try:
             order = _ORDER.decode(body)
             change = _change(order, author.name)
@@ -156,7 +156,7 @@
         )
 
     def withdraw(self, id: str) -> Reply:
-        """A change taken back, now or before."""
+        """Withdraw a change; confirm one that was already withdrawn."""
         verdict = self.core.content.withdraw(id)
         if verdict.status is ChangeStatus.UNKNOWN:
             return replies.fault("unknown-change", id[:80])
@@ -166,7 +166,7 @@
         return Reply(200, [replies.JSON], msgspec.json.encode(state))
 
     def changes(self, title: str | None, id: str | None = None) -> Reply:
-        """All changes, or matching."""
+        """Return all changes, all of a title, or the one with this id."""
         found = self.core.content.list_changes(title)
         if id is None:
             return Reply(
--- a/packages/ingress/src/fennelcove/ingress/replies.py
+++ b/packages/ingress/src/fennelcove/ingress/replies.py
@@ -1,4 +1,4 @@
-"""Answers of the session interface as HTTP: statuses, problem details, Retry-After, CMSD."""
+"""HTTP responses of the session interface: statuses, problem details, Retry-After and CMSD."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 JSON = ("Content-Type", "application/json")
 PROBLEM_JSON = ("Content-Type", "application/problem+json")
-MAX_SERVER_HOP_CHARACTERS = 1024  # characters of boxes' own_values hints passed on
+MAX_SERVER_HOP_CHARACTERS = 1024  # longer hop entries of servers are not passed on
 
 
 @dataclass(slots=True)
 class Reply:
-    """One answer before it is bytes."""
+    """A response before it is encoded."""
 
     status: int
     fields: list[tuple[str, str]] = field(default_factory=list)
@@ -28,12 +28,12 @@
     close: bool = False
 
     def to_bytes(self, close: bool) -> bytes:
-        """The bytes."""
+        """Encode the response; `close` adds `Connection: close`."""
         return writer.response(self.status, self.fields, self.body, self.close or close)
 
 
 def fault(kind: str, detail: str = "", status: int | None = None, close: bool = False) -> Reply:
-    """An error that concerns the request itself."""
+    """An error in the request itself, as problem details."""
     return _problem(problem(kind, detail, status), close)
 
 
@@ -42,7 +42,7 @@
 
 
 def playing_state(view: SessionView, attempts: int | UnsetType = UNSET) -> Playing:
-    """The state of what plays, as both doors tell it."""
+    """The state of a playing session, as sent over HTTP and WebSocket."""
     return Playing(
         id=view.id,
         state="playing",
@@ -59,24 +59,24 @@
 
 
 def playing(session: Session, view: SessionView, hops: str, front: str, took_us: int) -> Reply:
-    """201: the subscription plays."""
+    """201: the session is playing."""
     fields = [JSON, ("Location", f"/v1/subscriptions/{view.id}"), *cmsd_fields(view, hops, front, took_us)]
     return Reply(201, fields, msgspec.json.encode(playing_state(view, session.attempt_count)))
 
 
 def state(view: SessionView, front: str) -> Reply:
-    """200: the state of what plays."""
+    """200: the state of a playing session."""
     return Reply(200, [JSON, *cmsd_fields(view, "", front, None)], msgspec.json.encode(playing_state(view)))
 
 
 def rung(view: SessionView, front: str) -> Reply:
-    """200: the rung in force."""
+    """200: the current rung."""
     body = Rung(rung=view.rung, top_rung=view.top_rung, rate_kb=view.rate_kb)
     return Reply(200, [JSON, *cmsd_fields(view, "", front, None)], msgspec.json.encode(body))
 
 
 def cmsd_fields(view: SessionView, hops: str, front: str, took_us: int | None) -> list[tuple[str, str]]:
-    """CMSD of an answer: the object's rate, then each hop's word, the front's own_values last (CTA-5006)."""
+    """Return the CMSD fields (CTA-5006): the rate, then the entry of each hop, the front's own last."""
     kbit = round(view.rate_kb * KBIT_PER_KB)
     own_values: dict[str, int | float | str | bool | bytes] = {"mb": kbit}
     if took_us is not None:
@@ -87,7 +87,7 @@
 
 
 def rejected(response: SessionResponse, front: str, session: Session | None, timed_out: bool) -> Reply:
-    """503 with a time to come back, or 502 and 504 where a join may have run and nothing may be promised."""
+    """503 with a time to retry, or 502 or 504 without one if an attempt may have run."""
     instance = f"/v1/subscriptions/{session.id}" if session is not None else ""
     if response.kind is ResponseKind.REJECTED:
         details = problem(
--- a/packages/ingress/src/fennelcove/ingress/routes.py
+++ b/packages/ingress/src/fennelcove/ingress/routes.py
@@ -1,4 +1,4 @@
-"""The session interface's requests: which path and method means what, and how bodies and hints are read."""
+"""The routes of the session interface: paths and methods, and how bodies and CMCD are read."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRequest:
-    """A request read: its route, the id in its path, its query and hints."""
+    """A parsed request: its route, the session id and the resource named in its path, its query arguments."""
 
     route: Route
     id: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One line of the interface."""
+    """An operation of the interface."""
 
     method: str
     path: str
@@ -60,7 +60,7 @@
 
 
 class Routes:
-    """Reads requests; set-ups come out as an Ask, everything else as a Reply."""
+    """Handles requests: a set-up yields a `SessionRequest`, everything else a `Reply`."""
 
     def __init__(
         self, core: Core, front: str, persist_change: ChangePersister, operator_commands: OperatorCommands
@@ -72,7 +72,7 @@
         self.dropped_hint_count = 0
 
     def handle(self, received: ReceivedRequest) -> Reply | SessionRequest:
-        """What a request asks for, or the answer to it."""
+        """Return the session request that a request contains, or the response to it."""
         target = _ABSOLUTE.sub("", received.head.target, count=1)
         path, _, query = target.partition("?")
         methods = []
@@ -97,7 +97,7 @@
         return reply
 
     def read_cmcd(self, request: RouteRequest, body: dict[str, Any] | None = None) -> Cmcd:
-        """The viewer's CMCD from whichever carrier; what was malformed is counted and no more."""
+        """Read the client's CMCD from headers, query or body; malformed keys are only counted."""
         fields = {
             name.decode(): value.decode("latin-1")
             for name, value in request.received.head.headers
@@ -108,6 +108,7 @@
         return found
 
     def set_up(self, request: RouteRequest) -> Reply | SessionRequest:
+        """Check the access token and the body of a set-up."""
         try:
             body = _SETUP.decode(request.received.body)
         except msgspec.MsgspecError as error:
@@ -124,14 +125,17 @@
         return found if isinstance(found, SessionRequest) else replies.fault(*found)
 
     def state(self, request: RouteRequest) -> Reply:
+        """Answer with the session's state; CMCD in the request counts as a client report."""
         view = self.core.on_client_report(request.id, client_hints(self.read_cmcd(request)))
         return self._missing_session(request.id) if view is None else replies.state(view, self.front)
 
     def rung(self, request: RouteRequest) -> Reply:
+        """Answer with the session's current rung."""
         view = self.core.on_client_report(request.id, client_hints(self.read_cmcd(request)))
         return self._missing_session(request.id) if view is None else replies.rung(view, self.front)
 
     def set_top(self, request: RouteRequest) -> Reply:
+        """Set the highest rung that the client wants."""
         try:
             body = _TOP.decode(request.received.body)
         except msgspec.MsgspecError as error:
@@ -140,11 +144,13 @@
         return self._missing_session(request.id) if view is None else replies.rung(view, self.front)
 
     def release(self, request: RouteRequest) -> Reply:
+        """Release the session."""
         if self.core.release(request.id, "released by its viewer"):
             return Reply(204)
         return self._missing_session(request.id)
 
     def renew_seat(self, request: RouteRequest) -> Reply:
+        """Renew the session's seat lease."""
         try:
             body = _SEAT.decode(request.received.body or b"{}")
         except msgspec.MsgspecError as error:
@@ -158,6 +164,7 @@
         return Reply(200, [replies.JSON], msgspec.json.encode(state))
 
     def manifest(self, request: RouteRequest) -> Reply:
+        """Answer with a manifest; `interstitials=1` asks for clips as HLS interstitials."""
         as_interstitials = request.query.get("interstitials") == "1"
         reply = self.playback.manifest(
             request.id, request.resource, client_hints(self.read_cmcd(request)), as_interstitials
@@ -165,10 +172,12 @@
         return reply or self._missing_session(request.id)
 
     def asset(self, request: RouteRequest) -> Reply:
+        """Answer with the playlist of an interstitial."""
         reply = self.playback.asset(request.id, request.resource, client_hints(self.read_cmcd(request)))
         return reply or self._missing_session(request.id)
 
     def asset_segment(self, request: RouteRequest) -> Reply:
+        """Redirect to a segment of an interstitial."""
         change, _, number = request.resource.rpartition("/")
         reply = self.playback.asset_segment(
             request.id, change, int(number), client_hints(self.read_cmcd(request))
@@ -176,12 +185,14 @@
         return reply or self._missing_session(request.id)
 
     def segment(self, request: RouteRequest) -> Reply:
+        """Redirect to a segment."""
         reply = self.playback.segment(
             request.id, int(request.resource), client_hints(self.read_cmcd(request))
         )
         return reply or self._missing_session(request.id)
 
     def init(self, request: RouteRequest) -> Reply:
+        """Redirect to an initialization segment."""
         reply = self.playback.init(request.id, request.resource, client_hints(self.read_cmcd(request)))
         return reply or self._missing_session(request.id)
 
@@ -189,37 +200,45 @@
         return self.playback.author(bearer(request.received.head.get(b"authorization")), needs_write)
 
     def submit_change(self, request: RouteRequest) -> Reply:
+        """Apply an author's change."""
         author = self._authorize_author(request, True)
         return author if isinstance(author, Reply) else self.playback.submit(author, request.received.body)
 
     def withdraw_change(self, request: RouteRequest) -> Reply:
+        """Withdraw an author's change."""
         author = self._authorize_author(request, True)
         return author if isinstance(author, Reply) else self.playback.withdraw(request.resource)
 
     def list_changes(self, request: RouteRequest) -> Reply:
+        """Answer with all changes, or those of the title in the query."""
         author = self._authorize_author(request, False)
         return author if isinstance(author, Reply) else self.playback.changes(request.query.get("title"))
 
     def show_change(self, request: RouteRequest) -> Reply:
+        """Answer with one change."""
         author = self._authorize_author(request, False)
         return author if isinstance(author, Reply) else self.playback.changes(None, request.resource)
 
     def status(self, request: RouteRequest) -> Reply:
+        """Answer with the front's status."""
         return Reply(200, [replies.JSON], msgspec.json.encode(self.core.status().to_json_fields()))
 
     def command(self, request: RouteRequest) -> Reply:
+        """Execute an operator command."""
         header = request.received.head.get(command_authorization.HEADER_NAME.encode())
         signature = None if header is None else header.decode("latin-1")
         path = f"/v1/control/{request.resource}"
         return self.operator_commands.handle(signature, path, request.resource, request.received.body)
 
     def openapi(self, request: RouteRequest) -> Reply:
-        # Written only when request for: a front that nobody asks never loads the writer.
+        # Imported on demand: most fronts are never asked for their description.
+        """Answer with the OpenAPI description."""
         from fennelcove.api import openapi
 
         return Reply(200, [replies.JSON], openapi.text(LINES).encode())
 
     def asyncapi(self, request: RouteRequest) -> Reply:
+        """Answer with the AsyncAPI description."""
         from fennelcove.api import asyncapi
 
         return Reply(200, [replies.JSON], asyncapi.text().encode())
@@ -234,20 +253,24 @@
 
 
 def bearer(authorization: bytes | None) -> str:
-    """The token of a field `Authorization: Bearer` (RFC 6750, section 2.1); empty where there is none."""
+    """The token of an `Authorization: Bearer` field (RFC 6750, section 2.1); empty if there is none."""
     scheme, _, token = (authorization or b"").decode("latin-1").partition(" ")
     return token.strip() if scheme.lower() == "bearer" else ""
 
 
 def presented_token(core: Core, authorization: bytes | None) -> PresentedToken:
-    """The pass in a header field, and what it is worth."""
+    """The access token in a header field, and its status."""
     return access_tokens.verify_access_token(bearer(authorization), core.token_keys, core.clock.wall_us())
 
 
 def asked_for(
     core: Core, body: SetUp, hints: Cmcd, presented: PresentedToken
 ) -> SessionRequest | tuple[str, str]:
-    """What a set-up asks for, through whichever door; or the problem's kind and detail."""
+    """Build the session request of a set-up, from either protocol.
+
+    Returns:
+        The request, or the kind and the detail of the problem.
+    """
     title = body.title or hints.text("cid")
     if body.room_type not in core.catalogue.service_classes:
         return "unknown-room-type", f"{body.room_type!r}; known: {', '.join(core.catalogue.service_classes)}"
@@ -275,7 +298,7 @@
 
 
 def client_hints(hints: Cmcd) -> ClientHints:
-    """What of a viewer's CMCD decides anything: top bitrate, measured throughput, starvation."""
+    """The CMCD keys that affect decisions: top bitrate, measured throughput, buffer starvation."""
     return ClientHints(hints.number("tb"), hints.number("mtp"), hints.flag("bs"))
 
 
@@ -286,7 +309,7 @@
 
 _ID = r"(?P<id>[0-9a-f]{1,16}-[0-9a-f]{24})"
 _NAME = r"[A-Za-z0-9._-]{1,64}"
-_PARAMETER_PATTERNS = {  # what stands for each part of a path
+_PARAMETER_PATTERNS = {  # what each parameter of a path matches
     "id": _ID,
     "change": f"(?P<resource>{_NAME})",
     "manifest": r"(?P<resource>master\.m3u8|media\.m3u8|manifest\.mpd)",
@@ -299,15 +322,15 @@
 
 
 def compile_path(path: str) -> re.Pattern[str]:
-    """A path of the table as what it matches."""
+    """Compile a path of the table into the pattern that it matches."""
     parts = re.split(r"\{([a-z_]+)\}", path)
     return re.compile(
         "".join(_PARAMETER_PATTERNS[part] if i % 2 else re.escape(part) for i, part in enumerate(parts))
     )
 
 
-# One table for the door and for its description (fennelcove/api): neither can know a path that the other does
-# not.
+# The server and the API description (fennelcove/api) share this table, so neither can have a path that the
+# other lacks.
 LINES: tuple[tuple[str, str, Handler, str], ...] = (
     ("POST", "/v1/subscriptions", Routes.set_up, "setUp"),
     ("GET", "/v1/subscriptions/{id}", Routes.state, "state"),
--- a/packages/ingress/src/fennelcove/ingress/session_setups.py
+++ b/packages/ingress/src/fennelcove/ingress/session_setups.py
@@ -1,4 +1,4 @@
-"""A subscription run to its answer on the thread of whoever asked, through whichever door."""
+"""Runs a session set-up to its response on the calling thread, for both HTTP and WebSocket."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUpResult:
-    """How it ended; without an answer nobody waits for one any more."""
+    """The result of a set-up; `response` is None if the client no longer waits for one."""
 
     session: Session | None
     response: SessionResponse | None
     hops: str = ""
     timed_out: bool = False
     took_us: int = 0
-    has_key: bool = False  # its client_socket may come for it again
-    replayed: bool = False  # the answer of a set-up that was run before
+    has_key: bool = False  # set up under an idempotency key: the client may repeat the request
+    replayed: bool = False  # the stored response of an earlier set-up with the same key
 
 
 class SessionSetups:
-    """Runs set-ups; one for all doors of a front."""
+    """Runs session set-ups; shared by all listeners of a front."""
 
     def __init__(
         self, core: Core, clock: Clock, attempt_sender: AttemptSender, log_event: EventLogger
@@ -47,8 +47,11 @@
         self.log_event = log_event
 
     def run(self, request: SessionRequest, client_socket: socket.socket) -> SetUpResult | None:
-        """Ask the core and send joins until there is an answer; None where this front failed at it, so that
-        the client_socket is owed an error and nothing is held.
+        """Submit the request to the core and send attempts until there is a response.
+
+        Returns:
+            The result; None after an internal error: the session is discarded and the caller must report an
+            error to the client.
         """
         session: Session | None = None
         is_pending = False
@@ -86,7 +89,7 @@
                 bool(request.idempotency_key),
             )
         except Exception as error:
-            # Whatever failed here, the client_socket is owed its one answer and the box its release.
+            # After any failure the client must get one response, and the server a release.
             self.log_event("subscription_failed", reason=repr(error))
             if session is not None:
                 self.core.discard(session)
@@ -99,7 +102,7 @@
     def _run_attempts(
         self, session: Session, step: NextStep | None, client_socket: socket.socket
     ) -> tuple[SessionResponse | None, str, bool]:
-        """Send joins until there is an answer; None where nobody waits for it any more."""
+        """Send attempts until there is a response; None if the client no longer waits for one."""
         hops, timed_out = "", False
         response: SessionResponse | None = None
         if isinstance(step, WaitForSlot):
@@ -131,7 +134,7 @@
         return step, hops, timed_out
 
     def _wait_for_slot(self, step: WaitForSlot, client_socket: socket.socket) -> NextStep | None:
-        """Wait for a slot; nothing has left, so that a hang-up ends it here and now."""
+        """Wait for an attempt slot; nothing has been sent, so a disconnect ends the set-up at once."""
         left_us = step.deadline_us - self.clock.now_us()
         wake_reason = wait_bell(step.wakeup.reader, left_us, self.attempt_sender.halt, client_socket)
         event = {
@@ -142,12 +145,12 @@
         return self.core.slots.on_wait_ended(step, event)
 
     def on_response_written(self, result: SetUpResult, written: bool) -> None:
-        """The answer was handed on, or could not be: then what plays is released."""
+        """Log the response; if it could not be written, report to the core that the client is gone."""
         session, response = result.session, result.response
         if session is None or response is None or result.replayed:
-            return  # one that comes again and hangs up must not completion what its first try began
+            return  # a repeated request whose client disconnects must not end the first one's session
         if not written and not result.has_key:
-            # One with a key comes again and finds it, or the silence limit ends it.
+            # A request with a key can be repeated and finds its session; otherwise the idle timeout ends it.
             self.core.on_client_gone(session)
         self.log_event(
             "subscription_answered",
--- a/packages/ingress/src/fennelcove/ingress/tls.py
+++ b/packages/ingress/src/fennelcove/ingress/tls.py
@@ -1,5 +1,6 @@
-"""TLS for both doors: the certificate in force, read again when its files change, without a connection
-lost.
+"""TLS for HTTP and WebSocket connections.
+
+The certificate is loaded again when its files change; open connections are not affected.
 """
 
 from __future__ import annotations
@@ -15,16 +16,16 @@
 
 
 class TlsError(OperatorError):
-    """The files of the settings hold no usable certificate and key."""
+    """The certificate and key files named in the settings are missing, unreadable or don't match."""
 
     code = "tls-pair-unusable"
     advice = (
-        "Put a whole pair in place; a running front takes it within a second and keeps the old one until then"
+        "Install a matching pair; a running front loads it within a second and uses the old one until then"
     )
 
 
 class TlsKeys:
-    """The newest good pair. Connections go on under the one they began with."""
+    """The newest valid certificate and key; open connections keep those they were accepted with."""
 
     def __init__(self, settings: TlsSettings, log_event: EventLogger) -> None:
         self.settings = settings
@@ -58,9 +59,9 @@
         return context
 
     def check(self) -> bool:
-        """Read the files again if they changed; whether a new pair is in force.
+        """Reload the files if they have changed; return whether a new pair is in use.
 
-        A pair that does not fit, as between two files written one after the other, leaves the old one.
+        While a pair doesn't match, as between the writing of its two files, the previous one stays in use.
         """
         with self.lock:
             stamp = self._stamp()
@@ -77,10 +78,10 @@
         return True
 
     def wrap(self, sock: socket.socket, timeout_us: int) -> socket.socket:
-        """Shake hands on an accepted socket, within the limit.
+        """Perform the TLS handshake on an accepted socket within the time limit.
 
         Raises:
-            OSError: the handshake failed, or took too long.
+            OSError: The handshake failed or timed out.
         """
         sock.settimeout(timeout_us / 1e6)
         return self.context.wrap_socket(sock, server_side=True, do_handshake_on_connect=True)
--- a/packages/ingress/src/fennelcove/ingress/websocket_routes.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_routes.py
@@ -1,4 +1,4 @@
-"""The messages of players over WebSocket: how each is read, and what answers it."""
+"""Handlers of the messages that clients send over WebSocket."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def handle_message(session: WebSocketSession, text: str) -> None:
-    """Act on one message."""
+    """Decode a message and dispatch it to its handler."""
     try:
         message = _DECODER.decode(text)
     except msgspec.MsgspecError as error:
@@ -33,7 +33,7 @@
 
 
 def _message_ref(text: str) -> str | None:
-    """The ref of a message that is amiss otherwise: its sender waits for an answer to it."""
+    """Return the `ref` of an otherwise invalid message, whose sender waits for an answer with it."""
     try:
         ref = _REF.decode(text).get("ref")
     except msgspec.MsgspecError:
@@ -66,7 +66,7 @@
 
 
 def _is_permitted(session: WebSocketSession, ref: str, permission: Permission) -> bool:
-    """Whether the pass, as old as it is by now, lets its holder in for this."""
+    """Return whether the access token, with its status as of now, grants the permission."""
     if not session.core.requires_token:
         return True
     presented = session.presented
--- a/packages/ingress/src/fennelcove/ingress/websocket_server.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_server.py
@@ -1,4 +1,4 @@
-"""The second door: opens WebSockets on the first one's connections, and takes leave of them all."""
+"""Opens WebSockets on connections of the HTTP server, and closes them when the front stops."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.shutting_down = False
 
     def serve(self, connection: Connection, received: ReceivedRequest) -> bool:
-        """Open and serve until it is over; whether what the peer still sends must be read past."""
+        """Open a WebSocket and serve it until it ends; True if closing the connection must linger."""
         head = received.head
         try:
             opened = handshake.server(head, [SUBPROTOCOL], self.settings.origins, self.settings.deflate)
@@ -74,7 +74,7 @@
             if shutting_down:
                 session.begin_shutdown()
             return session.run(connection.unread_bytes())
-        except msgspec.MsgspecError as error:  # a message of ours that can't be written is a fault of ours
+        except msgspec.MsgspecError as error:  # a message that can't be encoded is an internal error
             self.log_event("connection_failed", reason=repr(error))
             return False
         finally:
@@ -83,7 +83,7 @@
             session.shut_down()
 
     def begin_shutdown(self) -> None:
-        """This front ends: every connection is told when to come back, and closed once it is owed nothing."""
+        """Tell all clients when to reconnect, and close each connection once its pending answers are sent."""
         with self.lock:
             self.shutting_down = True
             open_sessions = list(self.sessions)
--- a/packages/ingress/src/fennelcove/ingress/websocket_session.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_session.py
@@ -1,4 +1,7 @@
-"""One WebSocket: its thread reads and writes; set-ups run beside it, and notification come from the core."""
+"""A WebSocket connection.
+
+Its own thread reads and writes. Set-ups run on threads beside it, and notifications come from the core.
+"""
 
 from __future__ import annotations
 
@@ -41,14 +44,17 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedMessage:
-    """One message that waits; `session` where it tells a player of a subscription that nobody else knows."""
+    """A queued message; `session_id` is set if only this message tells the client of its new session."""
 
     message: msgspec.Struct
     session_id: str = ""
 
 
 class WebSocketSession:
-    """Belongs to its connection's thread. `put`, `leave` and the set-ups' ends come from others."""
+    """A client's WebSocket, owned by the thread of its connection.
+
+    Other threads call `put`, `send` and `begin_shutdown`.
+    """
 
     def __init__(
         self,
@@ -75,15 +81,15 @@
         self.wakeup = Wakeup()
         self.closed = False
         self.shutting_down = False
-        self.setups_in_progress: dict[str, threading.Thread] = {}  # set-ups, by their ref
+        self.setups_in_progress: dict[str, threading.Thread] = {}  # by the `ref` of the request
         now_us = clock.now_us()
         self.rate_limit = MessageRateLimit(now_us)
         self.keepalive = KeepaliveMonitor(core.expiry.timeout_us, now_us)
 
-    # From any thread.
+    # Called from any thread.
 
     def send(self, message: msgspec.Struct, conflation_key: object = None, session_id: str = "") -> None:
-        """A message for the player; past the bound the connection is cut off."""
+        """Queue a message in place of one with the same conflation key; an overflow closes the connection."""
         with self.lock:
             result = self.outbox.put(QueuedMessage(message, session_id), conflation_key)
         if result is PutResult.OVERFLOWED:
@@ -91,13 +97,13 @@
         self._wake()
 
     def _wake(self) -> None:
-        # Rung by others while it is closed, the descriptor could be somebody else's by then.
+        # After the close, the file descriptor may already belong to another connection.
         with self.lock:
             if not self.closed:
                 self.wakeup.notify()
 
     def put(self, notification: Notification, sequence: int) -> None:
-        """News of the core; never waits."""
+        """Queue a notification of the core; never blocks."""
         if isinstance(notification, RungNotification):
             view = notification.view
             self.send(
@@ -135,7 +141,7 @@
         self.send(message, ("moved", view.id))
 
     def begin_shutdown(self) -> None:
-        """This front ends: say so, answer what is owed, close."""
+        """Announce that the front is stopping; the connection closes once its pending answers are sent."""
         earliest_us, latest_us = reconnect_window_us(
             len(self.core.notifier.mailboxes), self.core.admission_controller.average_wait_us
         )
@@ -146,10 +152,10 @@
         self.shutting_down = True
         self._wake()
 
-    # Its own thread.
+    # Called from the connection's thread.
 
     def run(self, first_bytes: bytes) -> bool:
-        """Serve until it is over; whether what the peer still sends must be read past."""
+        """Serve until the connection ends; True if closing it must linger."""
         self.core.notifier.register(self)
         self.send(self.welcome(None))
         data: bytes | None = first_bytes or None
@@ -182,7 +188,7 @@
             if not self._flush():
                 return KeepaliveAction.CLOSE, 0
         if self.conversation.state is State.CLOSING:
-            # The peer has our close: it answers within the limit of a message, or is cut.
+            # The peer must answer our close frame within the message timeout, or is disconnected.
             left_us = self.close_deadline_us - now_us
             return (KeepaliveAction.CLOSE, 0) if left_us <= 0 else (KeepaliveAction.WAIT, left_us)
         token = self.presented.token
@@ -203,16 +209,16 @@
         self.conversation.close(code, reason)
 
     def _close_if_finished(self) -> None:
-        """A front that ends closes connections to which it owes nothing more."""
+        """Close after an outbox overflow, or if the front is stopping and no set-up is in progress."""
         if self.outbox.has_overflowed:
             self._close(CloseCode.TRY_LATER, "this connection reads too slowly")
         elif self.shutting_down and not self.setups_in_progress:
-            # What says when to come back was put in queued before, and may be there only since the last flush.
+            # The `leaving` message may have been queued only since the last flush.
             self._flush()
             self._close(CloseCode.RESTART, "this front is ending")
 
     def _on_data(self, data: bytes) -> bool:
-        """Bytes of the peer; False once it is over."""
+        """Process received bytes; False once the conversation is closed."""
         now_us = self.clock.now_us()
         if data:
             self.keepalive.on_received(now_us)
@@ -231,7 +237,7 @@
         return True
 
     def _flush(self) -> bool:
-        """Send what waits; False where the peer is gone or reads too slowly."""
+        """Send queued messages; False if the peer has disconnected or reads too slowly."""
         with self.lock:
             messages = self.outbox.drain()
         for queued in messages:
@@ -249,12 +255,12 @@
             return False
 
     def _release_unannounced(self, queued: QueuedMessage) -> None:
-        """A subscription whose player never got its id can't be resumed by anybody."""
+        """Release a session whose id the client never received, as nobody could resume it."""
         if queued.session_id:
             self.core.release(queued.session_id, "its answer could not be written")
 
     def shut_down(self) -> None:
-        """Over: end what was under way, and leave the rest to whoever comes for it."""
+        """Wait for running set-ups and close; sessions stay for their clients to resume."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         for thread in list(self.setups_in_progress.values()):
@@ -268,19 +274,19 @@
             self.closed = True
             self.wakeup.close()
 
-    # What messages ask for.
+    # Called by the message handlers.
 
     def fault(self, ref: str | None, kind: str, detail: str = "") -> None:
-        """A request that can't be acted on."""
+        """Answer a request that can't be processed."""
         self.send(wire.Fault(ref=ref, kind=kind, title=KINDS[kind][1], detail=detail))
 
     def pass_for_ms(self) -> float:
-        """How long the pass is still good for."""
+        """Return how long the access token remains valid, in milliseconds."""
         token = self.presented.token
         return max(0.0, (token.until_us - self.core.clock.wall_us()) / 1000) if token is not None else 0.0
 
     def welcome(self, ref: str | None) -> wire.Welcome:
-        """Who this front is, and what it needs."""
+        """Return the welcome message: the front's identity and limits, and the status of the access token."""
         token = self.presented.token
         valid = token is not None and self.presented.status in (TokenStatus.VALID, TokenStatus.EXPIRING)
         return wire.Welcome(
@@ -295,16 +301,16 @@
         )
 
     def client_name(self) -> str:
-        """Whose pass was shown."""
+        """Return the client named in the access token."""
         return self.presented.token.client if self.presented.token is not None else ""
 
     def start_setup(self, ref: str, request: SessionRequest) -> None:
-        """Run a set-up beside this thread, so that pings and releases go on meanwhile."""
+        """Run a set-up on its own thread, so that pings and other requests are served meanwhile."""
         thread = threading.Thread(target=self._set_up, args=(ref, request), name="set-up")
         self.setups_in_progress[ref] = thread
         try:
             thread.start()
-        except RuntimeError:  # the machine gives no more threads
+        except RuntimeError:  # no more threads available
             del self.setups_in_progress[ref]
             wait_ms = self.core.admission.retry_after_us() / 1000
             self.send(wire.Throttled(ref=ref, detail="no thread to be had", retry_after_ms=wait_ms))
@@ -343,7 +349,7 @@
             message = wire.Terminated(ref=ref, detail=response.reason, subscription=session_id)
         else:
             claimed = self.core.notifier.claim(self, session.id, self.client_name(), None)
-            if claimed.view is None:  # it ended in this very moment
+            if claimed.view is None:  # it ended before it could be claimed
                 message = wire.Terminated(ref=ref, detail=claimed.reason or "it has ended")
             else:
                 state = playing_state(claimed.view, session.attempt_count)
