--- a/packages/wire/src/fennelcove/wire/boxes.py
+++ b/packages/wire/src/fennelcove/wire/boxes.py
@@ -83,6 +83,6 @@
 TURNED_AWAY = "urn:fennelcove:box:turned-away"
 
 
-def join_path(subscription: str, join: int) -> str:
+def join_path(session_id: str, attempt: int) -> str:
     """Where one join is addressed."""
-    return f"/v1/joins/{subscription}/{join}"
+    return f"/v1/joins/{session_id}/{attempt}"
--- a/packages/wire/src/fennelcove/wire/events.py
+++ b/packages/wire/src/fennelcove/wire/events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-MOST_BYTES = 4 * 1024 * 1024
+MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 
 class EventError(Exception):
@@ -22,8 +22,8 @@
 class EventReader:
     """Takes bytes of a stream, gives whole events; comments only show that the stream lives."""
 
-    def __init__(self, most_bytes: int = MOST_BYTES) -> None:
-        self.most_bytes = most_bytes
+    def __init__(self, max_bytes: int = MAX_EVENT_BYTES) -> None:
+        self.max_bytes = max_bytes
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[ServerEvent]:
@@ -35,18 +35,18 @@
         self.buffer += data
         if b"\r" in data:
             raise EventError("a carriage return; our streams end lines with a line feed")
-        found = []
+        events = []
         while (end := self.buffer.find(b"\n\n")) >= 0:
-            event = _event(bytes(self.buffer[:end]))
+            event = _parse_event(bytes(self.buffer[:end]))
             del self.buffer[: end + 2]
             if event is not None:
-                found.append(event)
-        if len(self.buffer) > self.most_bytes:
-            raise EventError(f"an event longer than {self.most_bytes} bytes")
-        return found
+                events.append(event)
+        if len(self.buffer) > self.max_bytes:
+            raise EventError(f"an event longer than {self.max_bytes} bytes")
+        return events
 
 
-def _event(raw: bytes) -> ServerEvent | None:
+def _parse_event(raw: bytes) -> ServerEvent | None:
     name, data = "message", list[bytes]()
     for line in raw.split(b"\n"):
         field, _, value = line.partition(b":")
--- a/packages/wire/src/fennelcove/wire/lists.py
+++ b/packages/wire/src/fennelcove/wire/lists.py
@@ -42,14 +42,14 @@
     """
     entries = tuple(
         ListEntry(
-            box.address,
-            box.zone,
-            box.kind,
-            box.cell,
-            ServerState(box.state),
-            box.weight,
-            0 if box.age_ms is None else max(1, now_us - round(box.age_ms * 1000)),
+            server.address,
+            server.zone,
+            server.kind,
+            server.cell,
+            ServerState(server.state),
+            server.weight,
+            0 if server.age_ms is None else max(1, now_us - round(server.age_ms * 1000)),
         )
-        for box in message.boxes
+        for server in message.boxes
     )
     return EndpointListUpdate(message.version, message.base, entries)
--- a/packages/wire/src/fennelcove/wire/orders.py
+++ b/packages/wire/src/fennelcove/wire/orders.py
@@ -19,11 +19,11 @@
     "box-out",
     "write-off",
 )
-Number = Annotated[int, Meta(ge=0, le=0xFFFF_FFFF)]
-Thousandths = Annotated[int, Meta(ge=0, le=1000)]
-Few = Annotated[int, Meta(ge=1, le=0x7FFF)]
-Step = Annotated[int, Meta(ge=1, le=255)]
-Place = Annotated[int, Meta(ge=0, le=0x7FFF)]
+UInt32 = Annotated[int, Meta(ge=0, le=0xFFFF_FFFF)]
+PerMille = Annotated[int, Meta(ge=0, le=1000)]
+PositiveInt16 = Annotated[int, Meta(ge=1, le=0x7FFF)]
+PositiveUInt8 = Annotated[int, Meta(ge=1, le=255)]
+NonNegativeInt16 = Annotated[int, Meta(ge=0, le=0x7FFF)]
 
 
 class PlanOrder(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -31,25 +31,25 @@
     the operator saw last.
     """
 
-    fence: Number
+    fence: UInt32
     wanted: Annotated[int, Meta(ge=1, le=0xFFFF_FFFF)]
     before: Annotated[int, Meta(ge=1, le=0xFFFF_FFFF)]
-    canary: Few = 1
-    wave: Few = 1
-    soak_ms: Number = 30_000
-    out_ms: Number = 60_000
-    floor: Thousandths = 900
-    refused: Thousandths = 100
-    failed: Thousandths = 50
-    worse: Thousandths = 20
-    level: Step = 2
-    storm: Step = 2
+    canary: PositiveInt16 = 1
+    wave: PositiveInt16 = 1
+    soak_ms: UInt32 = 30_000
+    out_ms: UInt32 = 60_000
+    floor: PerMille = 900
+    refused: PerMille = 100
+    failed: PerMille = 50
+    worse: PerMille = 20
+    level: PositiveUInt8 = 2
+    storm: PositiveUInt8 = 2
 
 
 class FenceOrder(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """`release-halt`, `release-on`, `release-back`."""
 
-    fence: Number
+    fence: UInt32
 
 
 class OutOrder(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -58,5 +58,5 @@
     """
 
     kind: Literal["front", "box"] = "front"
-    place: Place = 0
+    place: NonNegativeInt16 = 0
     version: Annotated[int, Meta(ge=1, le=0xFFFF_FFFF)] = 1
--- a/packages/wire/src/fennelcove/wire/sessions.py
+++ b/packages/wire/src/fennelcove/wire/sessions.py
@@ -117,7 +117,7 @@
 }
 
 
-# Kinds that come with other statuses than their usual one.
+# Kinds that come with other statuses than their default_status one.
 STATUSES: dict[str, tuple[int, ...]] = {
     "terminated": (502, 504),
     "malformed": (400, 411, 413, 417, 431, 501, 503, 505),
@@ -135,11 +135,11 @@
     may_have_run: bool | None = None,
 ) -> Problem:
     """Problem details of one of our kinds."""
-    usual, title = KINDS[kind]
+    default_status, title = KINDS[kind]
     return Problem(
         type=f"urn:fennelcove:problem:{kind}",
         title=title,
-        status=status or usual,
+        status=status or default_status,
         detail=detail,
         instance=instance,
         retry_after_ms=retry_after_ms,
--- a/packages/wire/src/fennelcove/wire/socket.py
+++ b/packages/wire/src/fennelcove/wire/socket.py
@@ -19,32 +19,32 @@
 Token = Annotated[str, Meta(max_length=800)]
 
 
-class _Request(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, tag_field="type"):
+class _ClientMessage(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, tag_field="type"):
     """Unknown fields are refused by name."""
 
 
-class Hello(_Request, frozen=True, kw_only=True, tag="hello"):
+class Hello(_ClientMessage, frozen=True, kw_only=True, tag="hello"):
     """A pass, from a player that could not send it as a header field; answered by `welcome`."""
 
     ref: Ref
     token: Token
 
 
-class Renew(_Request, frozen=True, kw_only=True, tag="renew"):
+class Renew(_ClientMessage, frozen=True, kw_only=True, tag="renew"):
     """A newer pass of the same client; answered by `renewed`."""
 
     ref: Ref
     token: Token
 
 
-class AskSetUp(_Request, frozen=True, kw_only=True, tag="set-up"):
+class AskSetUp(_ClientMessage, frozen=True, kw_only=True, tag="set-up"):
     """A subscription, as over HTTP; answered by `playing`, `throttled` or `terminated`."""
 
     ref: Ref
     ask: SetUp
 
 
-class Resume(_Request, frozen=True, kw_only=True, tag="resume"):
+class Resume(_ClientMessage, frozen=True, kw_only=True, tag="resume"):
     """A subscription that plays, claimed for this connection; `seen` is the last news' number. Answered by
     `resumed`.
     """
@@ -54,14 +54,14 @@
     seen: Annotated[int, Meta(ge=0)] | None = None
 
 
-class Release(_Request, frozen=True, kw_only=True, tag="release"):
+class Release(_ClientMessage, frozen=True, kw_only=True, tag="release"):
     """The end of a subscription; answered by `released`."""
 
     ref: Ref
     subscription: Id
 
 
-class SetTop(_Request, frozen=True, kw_only=True, tag="set-top"):
+class SetTop(_ClientMessage, frozen=True, kw_only=True, tag="set-top"):
     """The highest rung wanted from now on; answered by `state`."""
 
     ref: Ref
@@ -69,7 +69,7 @@
     top_rung: Annotated[int, Meta(ge=0, le=1000)]
 
 
-class RenewSeat(_Request, frozen=True, kw_only=True, tag="renew-seat"):
+class RenewSeat(_ClientMessage, frozen=True, kw_only=True, tag="renew-seat"):
     """A seat that expires, kept for longer; under one `key` it is renewed once. Answered by `seat`."""
 
     ref: Ref
@@ -77,7 +77,7 @@
     key: Annotated[str, Meta(min_length=1, max_length=64)] | None = None
 
 
-class Report(_Request, frozen=True, kw_only=True, tag="report"):
+class Report(_ClientMessage, frozen=True, kw_only=True, tag="report"):
     """A player's CMCD (CTA-5004); not answered."""
 
     subscription: Id
@@ -87,11 +87,11 @@
 Request = Hello | Renew | AskSetUp | Resume | Release | SetTop | RenewSeat | Report
 
 
-class _Told(Struct, frozen=True, kw_only=True, tag_field="type", omit_defaults=True):
+class _FrontMessage(Struct, frozen=True, kw_only=True, tag_field="type", omit_defaults=True):
     """What the front says."""
 
 
-class Welcome(_Told, frozen=True, kw_only=True, tag="welcome"):
+class Welcome(_FrontMessage, frozen=True, kw_only=True, tag="welcome"):
     """The connection is open; without `ref` it says so of itself."""
 
     front: str
@@ -104,14 +104,14 @@
     pass_for_ms: float | None = None
 
 
-class Renewed(_Told, frozen=True, kw_only=True, tag="renewed"):
+class Renewed(_FrontMessage, frozen=True, kw_only=True, tag="renewed"):
     """The newer pass is in force."""
 
     ref: str
     pass_for_ms: float
 
 
-class ToldPlaying(_Told, frozen=True, kw_only=True, tag="playing"):
+class ToldPlaying(_FrontMessage, frozen=True, kw_only=True, tag="playing"):
     """It plays, and its news come on this connection."""
 
     ref: str
@@ -120,14 +120,14 @@
     took_ms: float
 
 
-class ToldState(_Told, frozen=True, kw_only=True, tag="state"):
+class ToldState(_FrontMessage, frozen=True, kw_only=True, tag="state"):
     """The state of a subscription."""
 
     ref: str
     state: Playing
 
 
-class Resumed(_Told, frozen=True, kw_only=True, tag="resumed"):
+class Resumed(_FrontMessage, frozen=True, kw_only=True, tag="resumed"):
     """It is this connection's from now on. `missed` counts the news not seen; unset where that can't be told.
     The state holds all that they said.
     """
@@ -138,7 +138,7 @@
     missed: int | UnsetType = UNSET
 
 
-class SeatKept(_Told, frozen=True, kw_only=True, tag="seat"):
+class SeatKept(_FrontMessage, frozen=True, kw_only=True, tag="seat"):
     """For how long the seat lasts now."""
 
     ref: str
@@ -146,14 +146,14 @@
     seat_for_ms: float
 
 
-class Released(_Told, frozen=True, kw_only=True, tag="released"):
+class Released(_FrontMessage, frozen=True, kw_only=True, tag="released"):
     """It has ended."""
 
     ref: str
     subscription: str
 
 
-class Throttled(_Told, frozen=True, kw_only=True, tag="throttled"):
+class Throttled(_FrontMessage, frozen=True, kw_only=True, tag="throttled"):
     """Not now: come back between the two times, and send `place` as it is."""
 
     ref: str
@@ -164,7 +164,7 @@
     subscription: str | None = None  # what was tried; it plays nowhere
 
 
-class Terminated(_Told, frozen=True, kw_only=True, tag="terminated"):
+class Terminated(_FrontMessage, frozen=True, kw_only=True, tag="terminated"):
     """It could not be set up, and a join may have run."""
 
     ref: str
@@ -173,7 +173,7 @@
     subscription: str | None = None
 
 
-class Fault(_Told, frozen=True, kw_only=True, tag="fault"):
+class Fault(_FrontMessage, frozen=True, kw_only=True, tag="fault"):
     """A request that can't be acted on; kinds as over HTTP. Without `ref` none could be read."""
 
     kind: str
@@ -182,7 +182,7 @@
     ref: str | None = None
 
 
-class RungChanged(_Told, frozen=True, kw_only=True, tag="rung"):
+class RungChanged(_FrontMessage, frozen=True, kw_only=True, tag="rung"):
     """The rung in force is another."""
 
     subscription: str
@@ -192,7 +192,7 @@
     rate_kb: float
 
 
-class Moved(_Told, frozen=True, kw_only=True, tag="moved"):
+class Moved(_FrontMessage, frozen=True, kw_only=True, tag="moved"):
     """Another box plays it."""
 
     subscription: str
@@ -202,7 +202,7 @@
     rate_kb: float
 
 
-class Ended(_Told, frozen=True, kw_only=True, tag="ended"):
+class Ended(_FrontMessage, frozen=True, kw_only=True, tag="ended"):
     """It has ended, and not by this connection."""
 
     subscription: str
@@ -210,14 +210,14 @@
     detail: str
 
 
-class Taken(_Told, frozen=True, kw_only=True, tag="taken"):
+class Taken(_FrontMessage, frozen=True, kw_only=True, tag="taken"):
     """Another connection has claimed it."""
 
     subscription: str
     number: int
 
 
-class Stitched(_Told, frozen=True, kw_only=True, tag="stitched"):
+class Stitched(_FrontMessage, frozen=True, kw_only=True, tag="stitched"):
     """An author has changed its lesson; the next manifest shows it."""
 
     subscription: str
@@ -226,19 +226,19 @@
     state: str
 
 
-class Weather(_Told, frozen=True, kw_only=True, tag="weather"):
+class Weather(_FrontMessage, frozen=True, kw_only=True, tag="weather"):
     """This front's storm phase is another."""
 
     phase: str
 
 
-class PassEnds(_Told, frozen=True, kw_only=True, tag="pass-ends"):
+class PassEnds(_FrontMessage, frozen=True, kw_only=True, tag="pass-ends"):
     """The pass is soon over; renew it to ask for more. What plays goes on."""
 
     in_ms: float
 
 
-class Leaving(_Told, frozen=True, kw_only=True, tag="leaving"):
+class Leaving(_FrontMessage, frozen=True, kw_only=True, tag="leaving"):
     """This front is ending. What plays goes on at its boxes; come back between the two times and resume."""
 
     reconnect_after_ms: float
