--- a/packages/wire/src/fennelcove/wire/__init__.py
+++ b/packages/wire/src/fennelcove/wire/__init__.py
@@ -1,3 +1,1 @@
-"""Typed messages of every interface: one source for doors, peers, stand-ins and, later, descriptions. No
-I/O.
-"""
+"""Typed messages of every interface, shared by servers, clients, emulators and API descriptions; no I/O."""
--- a/packages/wire/src/fennelcove/wire/events.py
+++ b/packages/wire/src/fennelcove/wire/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events (WHATWG HTML, section 9.2) as a codec without I/O: name and data of each event."""
+"""Codec for server-sent events (WHATWG HTML, section 9.2), without I/O: the name and data of each event."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 
 class EventError(Exception):
-    """A stream that can't be read on."""
+    """The stream is invalid and can't be read further."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEvent:
-    """One event."""
+    """A server-sent event."""
 
     name: str
     data: bytes
 
 
 class EventReader:
-    """Takes bytes of a stream, gives whole events; comments only show that the stream lives."""
+    """Assembles events from the bytes of a stream; comments are skipped, they only keep the stream alive."""
 
     def __init__(self, max_bytes: int = MAX_EVENT_BYTES) -> None:
         self.max_bytes = max_bytes
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[ServerEvent]:
-        """The events that are whole now.
+        """Add received bytes, and return the events that are now complete.
 
         Raises:
-            EventError: an event longer than the bound.
+            EventError: An event is too long, or the stream contains a carriage return.
         """
         self.buffer += data
         if b"\r" in data:
-            raise EventError("a carriage return; our streams end lines with a line feed")
+            raise EventError("the stream contains a carriage return; lines must end with a line feed")
         events = []
         while (end := self.buffer.find(b"\n\n")) >= 0:
             event = _parse_event(bytes(self.buffer[:end]))
@@ -42,7 +42,7 @@
             if event is not None:
                 events.append(event)
         if len(self.buffer) > self.max_bytes:
-            raise EventError(f"an event longer than {self.max_bytes} bytes")
+            raise EventError(f"an event exceeds {self.max_bytes} bytes")
         return events
 
 
@@ -59,10 +59,10 @@
 
 
 def write_event(name: str, data: bytes) -> bytes:
-    """One event; data must hold no line break, as JSON written compactly does not.
+    """Encode an event; data must not contain a line break, which compact JSON never does.
 
     Raises:
-        ValueError: a line break in name or data.
+        ValueError: The name or the data contains a line break.
     """
     if b"\n" in data or b"\r" in data or "\n" in name:
         raise ValueError("a line break would end the event's data early")
--- a/packages/wire/src/fennelcove/wire/lists.py
+++ b/packages/wire/src/fennelcove/wire/lists.py
@@ -1,8 +1,7 @@
-"""What the list service says.
+"""Messages of the endpoint list service.
 
-GET /v1/list                     the whole list as JSON
-GET /v1/list/stream?since={n}    text/event-stream: a whole list or changes since n, then changes as they
-come
+GET /v1/list                     the full list as JSON
+GET /v1/list/stream?since={n}    text/event-stream: the full list or the changes since n, then updates
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 
 class ListedBox(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One box; `age_ms` since its process started, absent where that is long ago."""
+    """A server; `age_ms` is the time since its process started, absent if that is long ago."""
 
     address: Annotated[str, Meta(min_length=3, max_length=64, pattern=r"^[0-9A-Za-z._-]+:[0-9]{1,5}$")]
     zone: Annotated[str, Meta(min_length=1, max_length=64)]
@@ -27,7 +26,7 @@
 
 
 class ListMessage(Struct, frozen=True, kw_only=True):
-    """A whole list, or with `base` what changed since that version."""
+    """A full list, or the changes since version `base`."""
 
     version: Annotated[int, Meta(ge=0)]
     boxes: list[ListedBox]
@@ -35,10 +34,10 @@
 
 
 def news(message: ListMessage, now_us: int) -> EndpointListUpdate:
-    """The message on the front's own clock.
+    """Convert the message, with start times on the front's own clock.
 
-    Ages count from the sending, so that no two machines' clocks are compared; a slow way makes a box look
-    younger, which is the careful side.
+    Ages are relative to the time of sending, so clocks of different machines are never compared. A transit
+    delay makes a server look younger, which is the safe direction.
     """
     entries = tuple(
         ListEntry(
--- a/packages/wire/src/fennelcove/wire/orders.py
+++ b/packages/wire/src/fennelcove/wire/orders.py
@@ -1,4 +1,4 @@
-"""Bodies of operators' commands about releases; shares in thousandths, times in milliseconds."""
+"""Bodies of operator commands about rollouts; ratios are in thousandths, times in milliseconds."""
 
 from __future__ import annotations
 
@@ -27,8 +27,15 @@
 
 
 class PlanOrder(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """`release-start`, `release-change`: what is wanted, in which steps, and what halts it. `fence` is what
-    the operator saw last.
+    """`release-start`, `release-change`: the target version, the steps to it, and what halts the rollout.
+
+    `fence` is the value that the operator saw last; a stale one is rejected. `before` is the version to roll
+    back to, `canary` the number of fronts in the first step, `wave` in each further one.
+
+    The rollout halts if a front is unavailable for longer than `out_ms`, if less than `floor` of the set-ups
+    are served, more than `refused` are rejected or more than `failed` have a failed attempt, if the new
+    version is behind its neighbours by more than `worse`, or at load-shedding level `level` or retry-storm
+    phase `storm`.
     """
 
     fence: UInt32
@@ -47,14 +54,16 @@
 
 
 class FenceOrder(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """`release-halt`, `release-on`, `release-back`."""
+    """`release-halt`, `release-on` and `release-back`: halt, resume or roll back."""
 
     fence: UInt32
 
 
 class OutOrder(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """`out`: this front, to come back with a version. `box-out`: the box of a cell. `write-off`: a front by
-    its index or a box by its cell does not come back.
+    """The body of `out`, `box-out` and `write-off`.
+
+    `out` takes this front out of service, to restart with a version. `box-out` takes out the server of a
+    cell. `write-off` declares that a front, by its index, or a server, by its cell, will not return.
     """
 
     kind: Literal["front", "box"] = "front"
--- a/packages/wire/src/fennelcove/wire/sessions.py
+++ b/packages/wire/src/fennelcove/wire/sessions.py
@@ -1,5 +1,6 @@
-"""The session interface for players: bodies of requests and answers. Rates in kB a second, times in
-milliseconds.
+"""The session interface for players: request and response bodies. Rates in kB/s, times in milliseconds.
+
+On the wire, a session is a "subscription", a server a "box", and a service class a "room type".
 """
 
 from __future__ import annotations
@@ -9,13 +10,16 @@
 
 from msgspec import UNSET, Meta, Struct, UnsetType
 
-VERSION = "1.0.0"  # of both doors' interface; a breaking change takes a step (fennelcove api diff)
+# Version of the HTTP and WebSocket interfaces; a breaking change requires a step (`fennelcove api diff`).
+VERSION = "1.0.0"
 
 
 class SetUp(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """`POST /v1/subscriptions`: a player asks for a subscription. The title may come as CMCD `cid`
-    instead. With a `key` of the player's choice, sent twice it counts once. `tenant` is the customer that it
-    counts for, `watch_ms` a guess of how long it will play.
+    """`POST /v1/subscriptions`: request a session.
+
+    The title may be sent as CMCD `cid` instead. Requests with the same `key`, chosen by the player, count
+    once. `tenant` is the customer to which the session is attributed, `watch_ms` an estimate of how long it
+    will play.
     """
 
     room_type: Annotated[str, Meta(min_length=1, max_length=64)]
@@ -37,7 +41,7 @@
 
 
 class Playing(Struct, frozen=True, kw_only=True):
-    """The state of a subscription that plays."""
+    """The state of a playing session."""
 
     id: str
     state: str
@@ -53,20 +57,20 @@
 
 
 class SeatRenewal(Struct, frozen=True, forbid_unknown_fields=True):
-    """`POST /v1/subscriptions/{id}/seat`: keep a seat that expires. Under one `key` it is renewed once."""
+    """`POST /v1/subscriptions/{id}/seat`: renew a seat lease, once per `key`."""
 
     key: Annotated[str, Meta(min_length=1, max_length=64)] | None = None
 
 
 class SeatState(Struct, frozen=True, kw_only=True):
-    """For how long a seat lasts now."""
+    """How long the lease of a seat remains valid."""
 
     subscription: str
     seat_for_ms: float
 
 
 class Rung(Struct, frozen=True, kw_only=True):
-    """The rung in force."""
+    """The current rung."""
 
     rung: int
     top_rung: int
@@ -74,7 +78,7 @@
 
 
 class Problem(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Problem details (RFC 9457), with what a machine needs to go on."""
+    """Problem details (RFC 9457), with machine-readable hints for what to do next."""
 
     type: str
     title: str
@@ -117,7 +121,7 @@
 }
 
 
-# Kinds that come with other statuses than their default_status one.
+# Kinds that also occur with other statuses than their default.
 STATUSES: dict[str, tuple[int, ...]] = {
     "terminated": (502, 504),
     "malformed": (400, 411, 413, 417, 431, 501, 503, 505),
@@ -134,7 +138,7 @@
     retry_after_ms: float | None = None,
     may_have_run: bool | None = None,
 ) -> Problem:
-    """Problem details of one of our kinds."""
+    """Problem details of one of `KINDS`."""
     default_status, title = KINDS[kind]
     return Problem(
         type=f"urn:fennelcove:problem:{kind}",
@@ -162,9 +166,7 @@
 
 
 class ChangeState(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One change as it stands: `made`, `stands` (told again) or `withdrawn`; how many players it has
-    reached.
-    """
+    """A change: `made`, `stands` (already made) or `withdrawn`; and how many players it has reached."""
 
     id: str
     state: str
--- a/packages/wire/src/fennelcove/wire/socket.py
+++ b/packages/wire/src/fennelcove/wire/socket.py
@@ -1,7 +1,10 @@
-"""The session interface over WebSocket: every message of either side, as JSON with its `type`.
+"""The session interface over WebSocket: the messages of both sides, as JSON objects with a `type`.
 
-Requests carry a `ref` of the player's choice, and the one answer to each carries it back. News come without
-being asked for; `number` counts those of one subscription, so that one that resumes knows what it missed.
+A request carries a `ref` chosen by the player, and its one answer repeats it. Notifications are sent without
+a request; `number` is their sequence number within the session, from which a resuming player learns how many
+it has missed.
+
+On the wire, a session is a "subscription" and an access token is a "pass".
 """
 
 from __future__ import annotations
@@ -20,34 +23,32 @@
 
 
 class _ClientMessage(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, tag_field="type"):
-    """Unknown fields are refused by name."""
+    """A message of a client; unknown fields are rejected by name."""
 
 
 class Hello(_ClientMessage, frozen=True, kw_only=True, tag="hello"):
-    """A pass, from a player that could not send it as a header field; answered by `welcome`."""
+    """An access token, from a player that could not send it in a header field; answered by `welcome`."""
 
     ref: Ref
     token: Token
 
 
 class Renew(_ClientMessage, frozen=True, kw_only=True, tag="renew"):
-    """A newer pass of the same client; answered by `renewed`."""
+    """A newer access token of the same client; answered by `renewed`."""
 
     ref: Ref
     token: Token
 
 
 class AskSetUp(_ClientMessage, frozen=True, kw_only=True, tag="set-up"):
-    """A subscription, as over HTTP; answered by `playing`, `throttled` or `terminated`."""
+    """Request a session, as over HTTP; answered by `playing`, `throttled` or `terminated`."""
 
     ref: Ref
     ask: SetUp
 
 
 class Resume(_ClientMessage, frozen=True, kw_only=True, tag="resume"):
-    """A subscription that plays, claimed for this connection; `seen` is the last news' number. Answered by
-    `resumed`.
-    """
+    """Claim a playing session; `seen` is the number of the last notification. Answered by `resumed`."""
 
     ref: Ref
     subscription: Id
@@ -55,14 +56,14 @@
 
 
 class Release(_ClientMessage, frozen=True, kw_only=True, tag="release"):
-    """The end of a subscription; answered by `released`."""
+    """Release a session; answered by `released`."""
 
     ref: Ref
     subscription: Id
 
 
 class SetTop(_ClientMessage, frozen=True, kw_only=True, tag="set-top"):
-    """The highest rung wanted from now on; answered by `state`."""
+    """Set the highest rung that the player wants from now on; answered by `state`."""
 
     ref: Ref
     subscription: Id
@@ -70,7 +71,7 @@
 
 
 class RenewSeat(_ClientMessage, frozen=True, kw_only=True, tag="renew-seat"):
-    """A seat that expires, kept for longer; under one `key` it is renewed once. Answered by `seat`."""
+    """Renew a seat lease, once per `key`; answered by `seat`."""
 
     ref: Ref
     subscription: Id
@@ -88,16 +89,16 @@
 
 
 class _FrontMessage(Struct, frozen=True, kw_only=True, tag_field="type", omit_defaults=True):
-    """What the front says."""
+    """A message of the front."""
 
 
 class Welcome(_FrontMessage, frozen=True, kw_only=True, tag="welcome"):
-    """The connection is open; without `ref` it says so of itself."""
+    """The connection is open, or `hello` was accepted; without `ref` it answers no request."""
 
     front: str
     boot: str
     subscriptions_most: int
-    silent_ms: float  # a connection that says nothing for so long, pongs included, is taken for lost
+    silent_ms: float  # a connection without any data, pongs included, for this long is considered lost
     pass_needed: bool
     ref: str | None = None
     client: str | None = None
@@ -105,14 +106,14 @@
 
 
 class Renewed(_FrontMessage, frozen=True, kw_only=True, tag="renewed"):
-    """The newer pass is in force."""
+    """The newer access token is in use."""
 
     ref: str
     pass_for_ms: float
 
 
 class ToldPlaying(_FrontMessage, frozen=True, kw_only=True, tag="playing"):
-    """It plays, and its news come on this connection."""
+    """The session is playing, and its notifications are sent on this connection."""
 
     ref: str
     number: int
@@ -121,15 +122,17 @@
 
 
 class ToldState(_FrontMessage, frozen=True, kw_only=True, tag="state"):
-    """The state of a subscription."""
+    """The state of a session."""
 
     ref: str
     state: Playing
 
 
 class Resumed(_FrontMessage, frozen=True, kw_only=True, tag="resumed"):
-    """It is this connection's from now on. `missed` counts the news not seen; unset where that can't be told.
-    The state holds all that they said.
+    """The session belongs to this connection from now on.
+
+    `missed` counts the notifications that were not seen; it is absent if that is unknown. `state` includes
+    everything that they contained.
     """
 
     ref: str
@@ -139,7 +142,7 @@
 
 
 class SeatKept(_FrontMessage, frozen=True, kw_only=True, tag="seat"):
-    """For how long the seat lasts now."""
+    """How long the seat lease remains valid."""
 
     ref: str
     subscription: str
@@ -147,25 +150,25 @@
 
 
 class Released(_FrontMessage, frozen=True, kw_only=True, tag="released"):
-    """It has ended."""
+    """The session was released."""
 
     ref: str
     subscription: str
 
 
 class Throttled(_FrontMessage, frozen=True, kw_only=True, tag="throttled"):
-    """Not now: come back between the two times, and send `place` as it is."""
+    """Rejected for now: retry between the two times, and send `place` unchanged."""
 
     ref: str
     detail: str
     retry_after_ms: float
     latest_ms: float | None = None
     place: str | None = None
-    subscription: str | None = None  # what was tried; it plays nowhere
+    subscription: str | None = None  # the session that was attempted; it is not playing
 
 
 class Terminated(_FrontMessage, frozen=True, kw_only=True, tag="terminated"):
-    """It could not be set up, and a join may have run."""
+    """The session could not be set up, and an attempt may have run."""
 
     ref: str
     detail: str
@@ -174,7 +177,7 @@
 
 
 class Fault(_FrontMessage, frozen=True, kw_only=True, tag="fault"):
-    """A request that can't be acted on; kinds as over HTTP. Without `ref` none could be read."""
+    """A request that can't be processed; kinds as over HTTP. Without `ref`, none could be read."""
 
     kind: str
     title: str
@@ -183,7 +186,7 @@
 
 
 class RungChanged(_FrontMessage, frozen=True, kw_only=True, tag="rung"):
-    """The rung in force is another."""
+    """The session's rung has changed."""
 
     subscription: str
     number: int
@@ -193,7 +196,7 @@
 
 
 class Moved(_FrontMessage, frozen=True, kw_only=True, tag="moved"):
-    """Another box plays it."""
+    """Another server plays the session now."""
 
     subscription: str
     number: int
@@ -203,7 +206,7 @@
 
 
 class Ended(_FrontMessage, frozen=True, kw_only=True, tag="ended"):
-    """It has ended, and not by this connection."""
+    """The session has ended, but was not released by this connection."""
 
     subscription: str
     number: int
@@ -211,14 +214,14 @@
 
 
 class Taken(_FrontMessage, frozen=True, kw_only=True, tag="taken"):
-    """Another connection has claimed it."""
+    """Another connection has claimed the session."""
 
     subscription: str
     number: int
 
 
 class Stitched(_FrontMessage, frozen=True, kw_only=True, tag="stitched"):
-    """An author has changed its lesson; the next manifest shows it."""
+    """An author has changed the session's content; the next manifest shows it."""
 
     subscription: str
     number: int
@@ -227,19 +230,22 @@
 
 
 class Weather(_FrontMessage, frozen=True, kw_only=True, tag="weather"):
-    """This front's storm phase is another."""
+    """The retry-storm phase of this front has changed."""
 
     phase: str
 
 
 class PassEnds(_FrontMessage, frozen=True, kw_only=True, tag="pass-ends"):
-    """The pass is soon over; renew it to ask for more. What plays goes on."""
+    """The access token expires soon; renew it to make further requests. Playing sessions continue."""
 
     in_ms: float
 
 
 class Leaving(_FrontMessage, frozen=True, kw_only=True, tag="leaving"):
-    """This front is ending. What plays goes on at its boxes; come back between the two times and resume."""
+    """This front is stopping.
+
+    Playing sessions continue on their servers; reconnect between the two times and resume.
+    """
 
     reconnect_after_ms: float
     reconnect_before_ms: float
@@ -266,7 +272,7 @@
     | Leaving
 )
 
-# Which answers each request may have; for the descriptions, and for players generated from them.
+# The answers that each request may have; for the descriptions, and for players generated from them.
 ANSWERS: dict[type[Struct], tuple[type[Struct], ...]] = {
     Hello: (Welcome, Fault),
     Renew: (Renewed, Fault),
