--- a/benchmarks/sockets.py
+++ b/benchmarks/sockets.py
@@ -1,10 +1,10 @@
-"""The second door at size: idle connections, one event for all, messages beside HTTP, resumption.
+"""Measures the WebSocket server under many connections, beside HTTP.
 
     python -m benchmarks.sockets [--idle 5000] [--resume 1000] [--seconds 3]
 
-One front in a process of its own. Prints memory and threads an idle connection, the time to push one event to
-all, set-ups a second through either door in the same run, what masking, deflate and TLS cost, and the time to
-resume after a restart.
+Runs one front in a separate process. Prints its memory and threads per idle connection, the time to send one
+event to all connections, the set-ups per second over HTTP and over WebSocket in the same run, the cost of
+masking, deflate and TLS, and the time to resume all sessions after a restart.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 from fennelcove.websocket.frames import masked
 
 JSON = ("Content-Type", "application/json")
-CONNECTIONS = 30  # a thread of a client
+CONNECTIONS_PER_THREAD = 30
 
 
-def day(tls: TlsSettings | None) -> Day:
-    """A day's rig with room for all."""
+def load_script(tls: TlsSettings | None) -> Day:
+    """Return the script of a test system with capacity for all connections and sessions."""
     script = read("drain")
     kinds = [msgspec.structs.replace(kind, streams=5000) for kind in script.front.fleet.kinds]
     front = msgspec.structs.replace(
@@ -59,70 +59,72 @@
     return msgspec.structs.replace(script, front=front, boxes=boxes, rig=rig, troubles=[])
 
 
-def status(process: FrontProcess) -> dict[str, int]:
-    """Memory in KiB and threads of the front."""
+def process_status(process: FrontProcess) -> dict[str, int]:
+    """Read the resident memory, in KiB, and the thread count of the front."""
     assert process.process is not None
-    found = {}
+    values = {}
     for line in Path(f"/proc/{process.process.pid}/status").read_text().splitlines():
         name, _, value = line.partition(":")
         if name in ("VmRSS", "Threads"):
-            found[name] = int(value.split()[0])
-    return found
+            values[name] = int(value.split()[0])
+    return values
 
 
-def opened(process: FrontProcess, count: int, clock: SystemClock, threads: int = 8) -> list[SocketPlayer]:
-    """So many connections."""
-    found: list[SocketPlayer] = []
+def open_connections(
+    process: FrontProcess, count: int, clock: SystemClock, threads: int = 8
+) -> list[SocketPlayer]:
+    """Open connections from several threads."""
+    players: list[SocketPlayer] = []
     lock = threading.Lock()
 
-    def some(number: int) -> None:
-        chance = random.Random(number)
+    def worker(number: int) -> None:
+        rng = random.Random(number)
         for _ in range(count // threads):
             try:
-                player = SocketPlayer(process.address, clock, chance, timeout_s=30.0)
+                player = SocketPlayer(process.address, clock, rng, timeout_s=30.0)
             except Unanswered as error:
-                print(f"  ended at {len(found)}: {error.how}")
+                print(f"  stopped after {len(players)} connections: {error.how}")
                 return
             with lock:
-                found.append(player)
+                players.append(player)
 
-    run = [threading.Thread(target=some, args=(i,)) for i in range(threads)]
-    for thread in run:
+    workers = [threading.Thread(target=worker, args=(i,)) for i in range(threads)]
+    for thread in workers:
         thread.start()
-    for thread in run:
+    for thread in workers:
         thread.join()
-    return found
+    return players
 
 
-def idle(process: FrontProcess, count: int, clock: SystemClock) -> None:
-    """Connections that say nothing, and one event for all of them."""
-    before = status(process)
-    began = time.perf_counter()
-    players = opened(process, count, clock)
-    took = time.perf_counter() - began
-    after = status(process)
-    grown = (after["VmRSS"] - before["VmRSS"]) / max(1, len(players))
+def measure_idle(process: FrontProcess, count: int, clock: SystemClock) -> None:
+    """Measure the memory of idle connections, and the time to send one event to all of them."""
+    before = process_status(process)
+    started_s = time.perf_counter()
+    players = open_connections(process, count, clock)
+    elapsed_s = time.perf_counter() - started_s
+    after = process_status(process)
+    kib_per_connection = (after["VmRSS"] - before["VmRSS"]) / max(1, len(players))
     print(
-        f"{len(players)} idle connections in {took:.1f} s: {grown:.1f} KiB each, "
+        f"{len(players)} idle connections in {elapsed_s:.1f} s: {kib_per_connection:.1f} KiB each, "
         f"threads {before['Threads']} -> {after['Threads']}",
         flush=True,
     )
     for player in players:
         player.news("welcome", 10.0)
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     assert process.process is not None
     process.process.terminate()
-    times = []
+    times_s = []
     for player in players:
         try:
-            told = player.next(30.0)
-            while told is not None and told["type"] != "leaving":
-                told = player.next(30.0)
-            times.append(time.perf_counter() - began)
+            message = player.next(30.0)
+            while message is not None and message["type"] != "leaving":
+                message = player.next(30.0)
+            times_s.append(time.perf_counter() - started_s)
         except Unanswered:
             pass
     print(
-        f"one event (leaving) reached {len(times)} of them, the last read after {max(times):.2f} s",
+        f"one event (leaving) was read on {len(times_s)} of them, the last after {max(times_s):.2f} s",
         flush=True,
     )
     for player in players:
@@ -130,16 +132,18 @@
     process.process.wait(60)
 
 
-def loads(process: FrontProcess, clock: SystemClock, seconds: float, tls: ssl.SSLContext | None) -> None:
-    """Set-ups with their releases through either door, eight at a time."""
-    body = {"room_type": "recorded", "title": "knee-1", "client_timeout_ms": 5000}
+def measure_load(
+    process: FrontProcess, clock: SystemClock, seconds: float, tls: ssl.SSLContext | None
+) -> None:
+    """Measure set-ups, each followed by a release, over HTTP and over WebSocket from eight client threads."""
+    set_up = {"room_type": "recorded", "title": "knee-1", "client_timeout_ms": 5000}
     for name in ("http", "websocket", "websocket deflated"):
         if tls is not None and name != "websocket":
             continue
         counts: list[int] = []
         ready = threading.Barrier(8)
 
-        def run(
+        def generate_load(
             number: int, name: str = name, counts: list[int] = counts, ready: threading.Barrier = ready
         ) -> None:
             count = 0
@@ -148,7 +152,7 @@
             if name == "http":
                 player = Player(process.address, clock)
             else:
-                # Many, used in turn: a connection may say twenty messages a second.
+                # Used in turn, because a connection may send only 20 messages per second.
                 sockets = [
                     SocketPlayer(
                         process.address,
@@ -157,135 +161,139 @@
                         context=tls,
                         deflates="deflated" in name,
                     )
-                    for _ in range(CONNECTIONS)
+                    for _ in range(CONNECTIONS_PER_THREAD)
                 ]
             ready.wait()
-            until = time.perf_counter() + seconds
-            while time.perf_counter() < until:
+            end_s = time.perf_counter() + seconds
+            while time.perf_counter() < end_s:
                 if player is not None:
-                    heard = player.ask("POST", "/v1/subscriptions", [JSON], msgspec.json.encode(body), 5.0)
-                    if heard.status == 201:
-                        player.ask("DELETE", f"/v1/subscriptions/{heard.body['id']}", [], b"", 5.0)
+                    response = player.ask(
+                        "POST", "/v1/subscriptions", [JSON], msgspec.json.encode(set_up), 5.0
+                    )
+                    if response.status == 201:
+                        player.ask("DELETE", f"/v1/subscriptions/{response.body['id']}", [], b"", 5.0)
                         count += 1
                 else:
-                    socket = sockets[count % CONNECTIONS]
-                    told: dict[str, Any] = socket.ask("set-up", ask=body)
-                    if told["type"] == "playing":
-                        socket.ask("release", subscription=told["state"]["id"])
+                    socket = sockets[count % CONNECTIONS_PER_THREAD]
+                    message: dict[str, Any] = socket.ask("set-up", ask=set_up)
+                    if message["type"] == "playing":
+                        socket.ask("release", subscription=message["state"]["id"])
                         count += 1
                     else:
                         time.sleep(0.001)
             counts.append(count)
 
-        threads = [threading.Thread(target=run, args=(i,)) for i in range(8)]
+        threads = [threading.Thread(target=generate_load, args=(i,)) for i in range(8)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        over = " over TLS" if tls is not None else ""
-        print(f"{name}{over}: {sum(counts) / seconds:.0f} set-ups with release a second", flush=True)
+        suffix = " over TLS" if tls is not None else ""
+        print(f"{name}{suffix}: {sum(counts) / seconds:.0f} set-ups with release per second", flush=True)
 
 
-def resumed(process: FrontProcess, clock: SystemClock, count: int, recorder: Recorder) -> None:
-    """Players whose front is killed and started again."""
-    players = opened(process, count, clock)
+def measure_resumption(process: FrontProcess, clock: SystemClock, count: int, recorder: Recorder) -> None:
+    """Measure how long all players take to resume after their front is killed and restarted."""
+    players = open_connections(process, count, clock)
     ids = []
-    body = {"room_type": "recorded", "title": "knee-1", "client_timeout_ms": 5000, "top_rung": 0}
+    set_up = {"room_type": "recorded", "title": "knee-1", "client_timeout_ms": 5000, "top_rung": 0}
     for player in players:
-        told = player.ask("set-up", 10.0, ask=body)
-        if told["type"] == "playing":
-            ids.append(told["state"]["id"])
+        message = player.ask("set-up", 10.0, ask=set_up)
+        if message["type"] == "playing":
+            ids.append(message["state"]["id"])
     before = sum(1 for record in recorder.records if record["what"] == "set_up")
     process.kill()
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     process.start()
-    up = time.perf_counter() - began
-    left, times = list(ids), []
+    start_duration_s = time.perf_counter() - started_s
+    remaining, times_s = list(ids), []
     lock = threading.Lock()
 
-    def some(number: int) -> None:
-        chance = random.Random(number)
+    def worker(number: int) -> None:
+        rng = random.Random(number)
         while True:
             with lock:
-                if not left:
+                if not remaining:
                     return
-                id = left.pop()
+                id = remaining.pop()
             while True:
                 try:
-                    player = SocketPlayer(process.address, clock, chance)
-                    told = player.ask("resume", 5.0, subscription=id)
+                    player = SocketPlayer(process.address, clock, rng)
+                    message = player.ask("resume", 5.0, subscription=id)
                     player.close()
                 except Unanswered:
-                    told = {"type": "none"}
-                if told["type"] == "resumed":
-                    times.append(time.perf_counter() - began)
+                    message = {"type": "none"}
+                if message["type"] == "resumed":
+                    times_s.append(time.perf_counter() - started_s)
                     break
-                if time.perf_counter() - began > 30:
+                if time.perf_counter() - started_s > 30:
                     return
                 time.sleep(0.02)
 
-    threads = [threading.Thread(target=some, args=(i,)) for i in range(16)]
+    threads = [threading.Thread(target=worker, args=(i,)) for i in range(16)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    again = sum(1 for record in recorder.records if record["what"] == "set_up") - before
+    repeated = sum(1 for record in recorder.records if record["what"] == "set_up") - before
     print(
-        f"restart: {len(times)} of {len(ids)} resumed, front up after {up:.2f} s, the last resumed after "
-        f"{max(times, default=0):.2f} s, set up a second time: {again}",
+        f"restart: {len(times_s)} of {len(ids)} resumed, front started after {start_duration_s:.2f} s, "
+        f"the last resumed after {max(times_s, default=0):.2f} s, set up a second time: {repeated}",
         flush=True,
     )
     for player in players:
         player.hang_up()
 
 
-def parts() -> None:
-    """Masking and deflate of one message, no sockets."""
-    told = {"type": "rung", "subscription": "1-" + "a" * 24, "number": 7, "rung": 2, "x": "y" * 200}
-    text = msgspec.json.encode(told)
-    packed = deflate(text)
-    for name, call in (
+def measure_codec() -> None:
+    """Measure masking and deflate of one message without sockets."""
+    message = {"type": "rung", "subscription": "1-" + "a" * 24, "number": 7, "rung": 2, "x": "y" * 200}
+    text = msgspec.json.encode(message)
+    compressed = deflate(text)
+    for name, function in (
         ("masking", lambda: masked(text, b"abcd")),
         ("deflating", lambda: deflate(text)),
-        ("inflating", lambda: Inflater(65_536).add(packed)),
+        ("inflating", lambda: Inflater(65_536).add(compressed)),
     ):
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         for _ in range(20_000):
-            call()
-        print(f"{name} {len(text)} bytes: {(time.perf_counter() - began) / 20_000 * 1e6:.1f} us", flush=True)
+            function()
+        print(
+            f"{name} {len(text)} bytes: {(time.perf_counter() - started_s) / 20_000 * 1e6:.1f} us", flush=True
+        )
 
 
 def main() -> None:
-    """All of it."""
+    """Run all measurements."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--idle", type=int, default=5000)
     parser.add_argument("--resume", type=int, default=1000)
     parser.add_argument("--seconds", type=float, default=3.0)
     options = parser.parse_args()
     print(f"{os.cpu_count()} cores, Python {sys.version.split()[0]}")
-    parts()
+    measure_codec()
     clock = SystemClock()
     with tempfile.TemporaryDirectory() as folder:
         certificates.make(folder, ("localhost", "127.0.0.1"), datetime.now(UTC), timedelta(days=1))
         pem = str(Path(folder) / certificates.CERTIFICATE)
         tls = TlsSettings(certificate=pem, key=str(Path(folder) / certificates.KEY))
-        for use in (None, tls):
+        for tls_settings in (None, tls):
             recorder = Recorder(clock)
-            script = day(use)
+            script = load_script(tls_settings)
             rig = Rig(script, clock, recorder)
             (Path(folder) / "places.keys").unlink(missing_ok=True)
             rotate(str(Path(folder) / "places.keys"), clock.wall_us() // 1000)
             process = FrontProcess(script, 0, rig.lists.address, 1, recorder, Path(folder))
             rig.start()
             try:
-                if use is not None:
+                if tls_settings is not None:
                     process.context = ssl.create_default_context(cafile=pem)
                 process.start()
-                context = ssl.create_default_context(cafile=pem) if use is not None else None
-                loads(process, clock, options.seconds, context)
-                if use is None:
-                    resumed(process, clock, options.resume, recorder)
-                    idle(process, options.idle, clock)
+                context = ssl.create_default_context(cafile=pem) if tls_settings is not None else None
+                measure_load(process, clock, options.seconds, context)
+                if tls_settings is None:
+                    measure_resumption(process, clock, options.resume, recorder)
+                    measure_idle(process, options.idle, clock)
             finally:
                 process.kill()
                 rig.stop()
