--- a/packages/ingress/src/fennelcove/ingress/playback_routes.py
+++ b/packages/ingress/src/fennelcove/ingress/playback_routes.py
@@ -101,10 +101,10 @@
         fetch = self.core.content.locate_interstitial_segment(id, change, number)
         return self._segment_reply(fetch, replies.cmsd_fields(view, "", self.front, None))
 
-    def init(self, id: str, rest: str, hints: ClientHints) -> Reply | None:
+    def init(self, id: str, resource: str, hints: ClientHints) -> Reply | None:
         """Redirect to the source of an initialization segment; None if no session with this id is playing."""
         view = self.core.on_client_report(id, hints)
-        match = _INIT.fullmatch(rest)
+        match = _INIT.fullmatch(resource)
         if view is None:
             return None
         fetch = (
