--- a/packages/ingress/src/fennelcove/ingress/tls.py
+++ b/packages/ingress/src/fennelcove/ingress/tls.py
@@ -1,5 +1,6 @@
-"""TLS for both doors: the certificate in force, read again when its files change, without a connection
-lost.
+"""TLS for HTTP and WebSocket connections.
+
+The certificate is loaded again when its files change; open connections are not affected.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 
 
 class TlsError(OperatorError):
-    """The files of the settings hold no usable certificate and key."""
+    """The certificate and key files named in the settings are missing, unreadable or don't match."""
 
     code = "tls-pair-unusable"
     advice = (
-        "Put a whole pair in place; a running front takes it within a second and keeps the old one until then"
+        "Install a matching pair; a running front loads it within a second and uses the old one until then"
     )
 
 
 class TlsKeys:
-    """The newest good pair. Connections go on under the one they began with."""
+    """The newest valid certificate and key; open connections keep those they were accepted with."""
 
-    def __init__(self, settings: TlsSettings, notice: EventLogger) -> None:
+    def __init__(self, settings: TlsSettings, log_event: EventLogger) -> None:
         self.settings = settings
-        self.notice = notice
+        self.log_event = log_event
         self.lock = threading.Lock()
         self.seen = self._stamp()
         self.context = self._load()
@@ -37,8 +38,8 @@
         stamps = []
         for path in (self.settings.certificate, self.settings.key):
             try:
-                found = os.stat(path)
-                stamps.append((found.st_ino, found.st_mtime_ns, found.st_size))
+                status = os.stat(path)
+                stamps.append((status.st_ino, status.st_mtime_ns, status.st_size))
             except OSError:
                 stamps.append((0, 0, 0))
         return tuple(stamps)
@@ -58,9 +59,9 @@
         return context
 
     def check(self) -> bool:
-        """Read the files again if they changed; whether a new pair is in force.
+        """Reload the files if they have changed; return whether a new pair is in use.
 
-        A pair that does not fit, as between two files written one after the other, leaves the old one.
+        While a pair doesn't match, as between the writing of its two files, the previous one stays in use.
         """
         with self.lock:
             stamp = self._stamp()
@@ -70,17 +71,17 @@
             try:
                 context = self._load()
             except TlsError as error:
-                self.notice("certificate_refused", **error.fields())
+                self.log_event("certificate_refused", **error.fields())
                 return False
             self.context = context
-        self.notice("certificate_taken")
+        self.log_event("certificate_taken")
         return True
 
-    def wrap(self, sock: socket.socket, limit_us: int) -> socket.socket:
-        """Shake hands on an accepted socket, within the limit.
+    def wrap(self, sock: socket.socket, timeout_us: int) -> socket.socket:
+        """Perform the TLS handshake on an accepted socket within the time limit.
 
         Raises:
-            OSError: the handshake failed, or took too long.
+            OSError: The handshake failed or timed out.
         """
-        sock.settimeout(limit_us / 1e6)
+        sock.settimeout(timeout_us / 1e6)
         return self.context.wrap_socket(sock, server_side=True, do_handshake_on_connect=True)
