--- a/packages/scenarios/src/fennelcove/scenarios/__init__.py
+++ b/packages/scenarios/src/fennelcove/scenarios/__init__.py
@@ -1,3 +1,1 @@
-"""Scripted days of trouble: played against a live front, recorded from its peers' sockets, judged by the
-rules.
-"""
+"""Fault-injection scenarios: run against live fronts, recorded at their peers' sockets, checked by rules."""
--- a/packages/scenarios/src/fennelcove/scenarios/authors.py
+++ b/packages/scenarios/src/fennelcove/scenarios/authors.py
@@ -1,4 +1,4 @@
-"""A day's author: sends the script's changes to the front, as anybody with a key would."""
+"""Sends the scenario's playlist changes to a front, with an author's key."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def send(line: ChangeLine, number: int, address: Callable[[], str], clock: Clock, recorder: Recorder) -> None:
-    """Make or take back one change and write down what was answered."""
+    """Submit or delete one change and record the response."""
     player = Player(address(), clock)
     fields = [("Authorization", f"Bearer {KEY}"), ("Content-Type", "application/json")]
     id = line.id or f"change-{number}"
--- a/packages/scenarios/src/fennelcove/scenarios/checker.py
+++ b/packages/scenarios/src/fennelcove/scenarios/checker.py
@@ -1,4 +1,4 @@
-"""Judges a recording by the six rules, from nothing but what passed on the stand-ins' sockets."""
+"""Checks a recording against the six rules, using only what passed on the sockets of the emulated peers."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 from fennelcove.scenarios.tenants import Tenants, tenants
 
 PLAYS, THROTTLED = 201, 503
-DESCRIBED = 8  # none of them either: a front says nothing that its descriptions do not mention
-SOUND = 9  # nor this: a store holds no record that is not what was written
-SMOOTH = 7  # none of the six rules: what a day's script asks of its players' pictures
+# Checks beside the six rules.
+DESCRIBED = 8  # every message of a front matches the published API descriptions
+SOUND = 9  # a store holds no record that differs from what was written
+SMOOTH = 7  # playback stays within the limits of the scenario
 
 
 class Broken(msgspec.Struct, frozen=True):
-    """One break of a rule."""
+    """One violation of a rule."""
 
     rule: int
     time: float
@@ -31,7 +32,7 @@
 
 
 class Verdict(msgspec.Struct, kw_only=True):
-    """A day's verdict; counts are of requests, service a share of the benefit asked for."""
+    """The verdict on one run. Counts are of requests; service is a share of the requested benefit."""
 
     day: str
     requests: int
@@ -47,26 +48,26 @@
     stalls: int
     longest_stall_ms: float
     settled_s: float | None = None
-    rig_late_ms: float = 0.0  # the longest that a request took which no front or box had a part in
-    rig_late_s: float = 0.0  # spent in such requests that took longer than the judge allows for
+    rig_late_ms: float = 0.0  # longest duration of a request that involved no front or server
+    rig_late_s: float = 0.0  # total duration of such requests that took longer than the checker's slack
     service: float
     service_floor: float
     broken: list[Broken]
-    inconclusive: list[Broken] = []  # too late while the machine itself stood still, as measured
-    fleet: Fleet | None = None  # where a day has several fronts
-    outs: Outs | None = None  # where a day has releases
-    tenants: Tenants | None = None  # where a day has tenants
-    slots: Slots | None = None  # where a day looks at joins out at boxes
+    inconclusive: list[Broken] = []  # lateness during a measured stall of the host
+    fleet: Fleet | None = None  # only with several fronts
+    outs: Outs | None = None  # only with releases
+    tenants: Tenants | None = None  # only with tenants
+    slots: Slots | None = None  # only where attempts in flight at servers are checked
 
     @property
     def passed(self) -> bool:
-        """No rule broken, none inconclusive, and service at its floor or above."""
+        """Whether there is no violation, nothing inconclusive, and service is at least at its floor."""
         return not self.broken and not self.inconclusive and self.service >= self.service_floor
 
 
 @dataclass(slots=True)
 class _Join:
-    """One set-up as its box saw it; times in microseconds."""
+    """One session attempt as its server observed it; times in microseconds."""
 
     front: str
     box: str
@@ -82,7 +83,7 @@
 
 @dataclass(slots=True)
 class _Seen:
-    """A recording, sorted by what it concerns."""
+    """A recording, indexed by the subject of its records."""
 
     terms: Record
     rooms: dict[str, Any]
@@ -91,7 +92,7 @@
     unanswered: dict[tuple[str, int], Record] = field(default_factory=dict)
     joins: dict[str, list[_Join]] = field(default_factory=lambda: defaultdict(list))
     boxes: dict[str, Record] = field(default_factory=dict)
-    left: dict[str, int] = field(default_factory=dict)  # when a subscription's viewer released it
+    left: dict[str, int] = field(default_factory=dict)  # when a session's client released it
     told: list[Record] = field(default_factory=list)
     starts: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
     excuses: Excuses = field(default_factory=Excuses)
@@ -103,8 +104,9 @@
         self.broken.append(Broken(rule, round(t_us / 1e6, 3), subscription, reason))
 
     def break_by_lateness(self, rule: int, t_us: int, subscription: str, reason: str) -> None:
-        """A rule broken by nothing but the time that something took: inconclusive where it came late inside
-        a measured stall of the machine, or while what had piled up in it was worked off.
+        """Record a violation that consists only of lateness.
+
+        It is inconclusive during a measured stall of the host and while the stall's backlog is processed.
         """
         stalled = any(from_us <= t_us <= until_us + SLACK_US for from_us, until_us in self.machine_stalls)
         found = self.inconclusive if stalled else self.broken
@@ -114,7 +116,7 @@
 def _sort(records: list[Record]) -> _Seen:
     terms = next((record for record in records if record["what"] == "terms"), None)
     if terms is None:
-        raise ValueError("the recording holds no terms: nothing to judge it by")
+        raise ValueError("the recording has no `terms` record, so there is nothing to check it against")
     seen = _Seen(terms, {room["name"]: room for room in terms["room_types"]})
     seen.excuses.stop_us = round(terms.get("stop_ms", 0.0) * 1000)
     for record in records:
@@ -167,7 +169,9 @@
     elif what == "rung":
         join = _join(seen, record)
         if join is not None and record["rung"] < seen.rooms[join.room]["floor"]:
-            seen.break_(5, record["t_us"], record["subscription"], f"rung {record['rung']} under the floor")
+            seen.break_(
+                5, record["t_us"], record["subscription"], f"rung {record['rung']} is below the floor"
+            )
     elif what == "box_died":
         for joins in seen.joins.values():
             for join in joins:
@@ -193,20 +197,20 @@
         name = f"{key[0]}/{key[1]}"
         due_us = asked["t_us"] + round(asked["timeout_ms"] * 1000)
         if len(answers) > 1:
-            seen.break_(1, answers[1]["t_us"], name, f"{len(answers)} answers to one request")
+            seen.break_(1, answers[1]["t_us"], name, f"{len(answers)} responses to one request")
         if not answers:
             if silence is None:
-                seen.break_(1, due_us, name, "neither an answer nor an end of its connection")
+                seen.break_(1, due_us, name, "neither a response nor an end of its connection")
             elif silence["how"] not in ("hung_up",) and not seen.excuses.not_taken(asked, silence):
                 seen.break_by_lateness(
-                    1, silence["t_us"], name, f"no answer before the client timeout ({silence['how']})"
+                    1, silence["t_us"], name, f"no response before the client timeout ({silence['how']})"
                 )
             continue
         answer = answers[0]
         if seen.excuses.not_taken(asked, {"t_us": answer["t_us"], "how": "late"}):
-            continue  # one that was stopped where it stood answers when it goes on
+            continue  # a paused front responds once it continues
         if answer["t_us"] > due_us:
-            seen.break_by_lateness(1, answer["t_us"], name, "answered after the client timeout")
+            seen.break_by_lateness(1, answer["t_us"], name, "response after the client timeout")
         _at_once(seen, name, asked, answer)
 
 
@@ -214,14 +218,14 @@
     if answer["status"] == PLAYS:
         return
     if answer["status"] == THROTTLED and not answer["retry_after"]:
-        seen.break_(1, answer["t_us"], name, "throttled without a time to come back")
+        seen.break_(1, answer["t_us"], name, "throttled without a Retry-After time")
     last = asked["t_us"]
     for join in seen.joins.get(answer["subscription"] or "", []):
         last = max(last, join.over if join.over is not None else answer["t_us"])
-    # A set-up may wait for a slot, for so long at most; what follows is due at once.
+    # A request may wait this long for a slot; once no attempt is in flight, its refusal is due immediately.
     if answer["t_us"] - last > SLACK_US + round(seen.terms.get("slot_wait_ms", 0) * 1000):
         held_ms = (answer["t_us"] - last) / 1000
-        seen.break_by_lateness(1, answer["t_us"], name, f"given up but held back for {held_ms:.0f} ms")
+        seen.break_by_lateness(1, answer["t_us"], name, f"refusal was delayed for {held_ms:.0f} ms")
 
 
 # Rule 2.
@@ -240,20 +244,24 @@
             if seen.excuses.hidden(before.began, after.began):
                 continue
             if before.over is None or after.began < before.over - SLACK_US:
-                seen.break_(2, after.began, id, f"join {after.number} out while join {before.number} was")
+                seen.break_(
+                    2, after.began, id, f"attempt {after.number} in flight while attempt {before.number} was"
+                )
         ran = [join for join in joins if join.how != "turned_away"]
         if room["effect"] == "free" or not ran:
             continue
         first = ran[0]
         for join in joins[joins.index(first) + 1 :]:
             if room["effect"] == "single_shot":
-                seen.break_(2, join.began, id, "a single-shot set-up again after one that may have run")
+                seen.break_(
+                    2, join.began, id, "a single-shot set-up was repeated after an attempt that may have run"
+                )
             elif not _same_group(seen, room, first, join):
-                seen.break_(2, join.began, id, "a guarded set-up again outside its group or window")
+                seen.break_(2, join.began, id, "a guarded set-up was repeated outside its scope or window")
         answer = answered.get(id)
         keyed = room["effect"] == "guarded" and room["scope"] == "all"
         if answer is not None and answer["status"] == THROTTLED and not keyed:
-            seen.break_(2, answer["t_us"], id, "throttled although a join may have run")
+            seen.break_(2, answer["t_us"], id, "throttled although an attempt may have run")
 
 
 def _same_group(seen: _Seen, room: dict[str, Any], first: _Join, join: _Join) -> bool:
@@ -268,7 +276,9 @@
 
 def _drains(seen: _Seen) -> None:
     grace_us = round(seen.terms["drain_grace_ms"] * 1000)
-    closed: dict[str, list[tuple[int, int | None]]] = defaultdict(list)  # told closed, told open again
+    closed: dict[str, list[tuple[int, int | None]]] = defaultdict(
+        list
+    )  # listed as inactive, listed as active again
     listed: set[str] = set()
     for told in seen.told:
         active = {box for box, state in told["boxes"].items() if state == "active"}
@@ -288,7 +298,10 @@
                 late = join.began > since + grace_us + SLACK_US
                 if late and (until is None or join.began < until - SLACK_US):
                     seen.break_(
-                        3, join.began, id, f"set up at {join.box}, told to drain {since / 1e6:.3f} s in"
+                        3,
+                        join.began,
+                        id,
+                        f"set up at {join.box}, listed as draining since {since / 1e6:.3f} s",
                     )
 
 
@@ -309,8 +322,8 @@
             if join.box == box
         ]
         for front in sorted({name for name, _, _ in joins}) if not joint else [""]:
-            # Each front keeps to its own share: what the others send is no fault of it. Fronts that know of
-            # each other may take of one another's, so that only their sum can be judged.
+            # A front alone is checked against its own share. Fronts that know their peers may use each
+            # other's shares, so only their sum can be checked.
             times = sorted((t, id) for name, t, id in joins if joint or name == front)
             for start in starts:
                 _cold_start(
@@ -325,10 +338,10 @@
         sent = sum(1 for other, _ in cold[: i + 1] if other > t - window_us)
         warmth = terms["start_capacity"] + (1 - terms["start_capacity"]) * (t - start) / ramp_us
         pace = seen.boxes[box]["streams"] / ramp_us * warmth
-        # One set-up more for the edge of the window: a budget is counted in whole ones.
+        # The budget is counted in whole set-ups, so one more is allowed at the edge of the window.
         sharers = 1 if terms.get("company", False) else terms["fronts"]
         if sent > pace * window_us / sharers * terms["fall_multiple"] + 1:
-            seen.break_(4, t, id, f"{sent} set-ups at a cold box within {window_us / 1e6:g} s")
+            seen.break_(4, t, id, f"{sent} set-ups at a cold server within {window_us / 1e6:g} s")
 
 
 # Rule 5.
@@ -340,12 +353,12 @@
         for join in joins:
             room = seen.rooms[join.room]
             if join.rung < room["floor"]:
-                seen.break_(5, join.began, id, f"set up at rung {join.rung} under the floor")
+                seen.break_(5, join.began, id, f"set up at rung {join.rung}, below the floor")
             if room["seats"]:
                 changes[join.front, join.title, join.room].append((join.began, 1, id))
                 end = join.ended if join.how == "started" else join.over
-                # A seat is the viewer's: one that has left holds none, though its box may hear of it
-                # late. Without its word the box's counts, which is the strict side.
+                # A client that has left occupies no seat, though its server may be notified late. Without a
+                # release by the client the server's record counts, which is the strict interpretation.
                 end = min((at for at in (end, seen.left.get(id)) if at is not None), default=None)
                 if end is not None:
                     changes[join.front, join.title, join.room].append((end - SLACK_US, -1, id))
@@ -354,7 +367,7 @@
         for t, change, id in sorted(events):
             taken += change
             if taken > seen.rooms[name]["seats"]:
-                seen.break_(5, t, id, f"{taken} subscriptions of {title} where there are seats for fewer")
+                seen.break_(5, t, id, f"{taken} sessions of {title}, more than it has seats")
 
 
 # Rule 6.
@@ -369,7 +382,7 @@
         (join.front, join.began, id) for id, found in seen.joins.items() for join in found if join.number > 0
     ]
     for front in sorted({name for name, _, _ in joins}):
-        # Which front a request reached is told by its port; a recording of one front need not tell.
+        # A request is attributed to a front by its address; recordings of a single front may omit it.
         port = seen.excuses.ports.get(front)
         taken = sorted(a["t_us"] for a in seen.asked.values() if port is None or a.get("front") == port)
         further = sorted((t, id) for name, t, id in joins if name == front)
@@ -378,23 +391,34 @@
             spent = sum(1 for other, _ in further[: i + 1] if other >= since + SLACK_US)
             earned = free + seen.terms["budget_ratio"] * sum(1 for at in taken if since - SLACK_US <= at <= t)
             if spent > earned:
-                seen.break_(6, t, id, f"{spent} further joins where {earned:.1f} were earned")
+                seen.break_(6, t, id, f"{spent} further attempts, where the budget allows {earned:.1f}")
 
 
 RULES = (_one_answer, _no_double, _drains, _cold, _terms, _budget)
 
 
 def _smooth(seen: _Seen, records: list[Record]) -> None:
-    """What a day may ask beside the rules: no stall past its limit, nothing listed and then denied."""
+    """Check that no stall exceeds the scenario's limit and that no listed segment is denied."""
     limit_ms = seen.terms.get("stall_limit_ms")
     for record in records:
         if record["what"] == "stall" and limit_ms is not None and record["ms"] > limit_ms:
-            where = "at a seam" if record["seam"] else "as it moved" if record["moved"] else "between"
+            where = (
+                "at a splice"
+                if record["seam"]
+                else "during a migration"
+                if record["moved"]
+                else "between splices"
+            )
             seen.break_by_lateness(
                 SMOOTH, record["t_us"], record["subscription"], f"stalled {record['ms']:.0f} ms {where}"
             )
         elif record["what"] in ("denied", "fell_off", "no_segment"):
-            seen.break_(SMOOTH, record["t_us"], record["subscription"], f"a listed segment: {record['what']}")
+            seen.break_(
+                SMOOTH,
+                record["t_us"],
+                record["subscription"],
+                f"a listed segment was not served: {record['what']}",
+            )
 
 
 def _described(seen: _Seen, records: list[Record]) -> None:
@@ -402,14 +426,12 @@
         if record["what"] == "undescribed":
             seen.break_(DESCRIBED, record["t_us"], "", record["fault"])
         elif record["what"] == "store_fault" and "cut short" not in record["fault"]:
-            # What was being written when the front was killed is cut short, and never used.
+            # A record that was being written when the front was killed is truncated and never used.
             seen.break_(SOUND, record["t_us"], "", record["fault"])
 
 
 def _settled(seen: _Seen, records: list[Record]) -> float | None:
-    """When the share of refusals was last over a twentieth in a second, in seconds after the last crowd
-    came.
-    """
+    """Seconds after the last crowd until no second has more than a twentieth of its requests refused."""
     last = seen.terms.get("last_crowd_s")
     if last is None:
         return None
@@ -422,14 +444,12 @@
     settled = max(0.0, float(max(rough, default=0) + 1 - last))
     within = seen.terms.get("settle_within_s")
     if within is not None and settled > within:
-        seen.break_(SMOOTH, began_us, "", f"refusals went on for {settled:g} s after the last crowd")
+        seen.break_(SMOOTH, began_us, "", f"refusals continued for {settled:g} s after the last crowd")
     return settled
 
 
 def _service(seen: _Seen) -> float:
-    """The benefit answered within the join objective over that asked for; further tries belong to the
-    first.
-    """
+    """The benefit served within the join objective over that requested; retries belong to the first try."""
     offered = earned = 0.0
     first: dict[str, Record] = {}
     for (viewer, number), asked in seen.asked.items():
@@ -453,14 +473,14 @@
     """The verdict on a recording.
 
     Raises:
-        ValueError: the recording holds no terms.
+        ValueError: the recording has no `terms` record.
     """
     seen = _sort(records)
     for rule in RULES:
         rule(seen)
     for record in records:
         if record["what"] == "fell":
-            seen.break_(4, record["t_us"], "", f"cold box {record['box']} fell over")
+            seen.break_(4, record["t_us"], "", f"cold server {record['box']} crashed from overload")
     _smooth(seen, records)
     _described(seen, records)
     settled = _settled(seen, records)
--- a/packages/scenarios/src/fennelcove/scenarios/exemptions.py
+++ b/packages/scenarios/src/fennelcove/scenarios/exemptions.py
@@ -1,4 +1,4 @@
-"""When a front owes no answer, and when a box could not see what its fronts did: read off a recording."""
+"""When a front need not respond, and when a server could not observe its fronts: derived from a recording."""
 
 from __future__ import annotations
 
@@ -6,17 +6,16 @@
 
 from fennelcove.emulators.recorder import Record
 
-# What the two ends of a socket may differ by: threads that wake late on a busy machine, nothing of the
-# front's own.
+# The two ends of a socket may record an event this far apart: threads wake late on a busy machine.
 SLACK_US = 250_000
 NEVER = 1 << 62
-OURS = ("all", "fronts", "front-", "hall")  # how a party may be named that stands for a front
-TAKEN_WITH_IT = ("front_killed", "front_paused")  # what it holds then may stay without an answer
+OURS = ("all", "fronts", "front-", "hall")  # parts of party names that include a front
+TAKEN_WITH_IT = ("front_killed", "front_paused")  # pending requests may stay without a response
 
 
 @dataclass(slots=True)
 class _Away:
-    """A time in which a front was down, ending, paused or cut off from viewers; address None for each."""
+    """An interval in which a front was down, ending, paused or cut off; all fronts where address is None."""
 
     name: str
     since: int
@@ -27,7 +26,7 @@
 
 @dataclass(slots=True)
 class _Cut:
-    """A time in which not all that was sent between two groups of parties arrived whole."""
+    """An interval in which messages between two groups of parties could be lost or truncated."""
 
     number: int
     since: int
@@ -36,19 +35,20 @@
 
 @dataclass(slots=True)
 class Excuses:
-    """What is heard of fronts and faults, record by record."""
+    """Collects outages of fronts and network faults, record by record."""
 
     away: list[_Away] = field(default_factory=list)
     ports: dict[str, str] = field(default_factory=dict)
     cuts: list[_Cut] = field(default_factory=list)
-    stop_us: int = 0  # how long before its process is gone one that ends shuts its door
-    let_in: dict[str, int] = field(default_factory=dict)  # when each address last let somebody in
+    stop_us: int = 0  # how long before the end of its process a front closes its listener
+    let_in: dict[str, int] = field(default_factory=dict)  # when each address last accepted a session
 
     def hear(self, record: Record) -> bool:
-        """Take a record; False for one that tells of nothing here."""
+        """Process a record; False if it concerns neither a front's state nor a fault."""
         what, t_us = record["what"], record["t_us"]
         if what == "front_ended":
-            # It shut its door before, and not before the last that it let in: what it had in hand it owes.
+            # The listener was closed earlier, but after the last accepted session. Responses to pending
+            # requests are still due.
             address = self.ports.get(record["front"])
             shut_us = max(t_us - self.stop_us, self.let_in.get(address or "", 0))
             self.away.append(_Away(record["front"], shut_us - SLACK_US, False, address))
@@ -56,7 +56,7 @@
             address = self.ports.get(record["front"])
             self.away.append(_Away(record["front"], t_us - SLACK_US, what in TAKEN_WITH_IT, address))
         elif what in ("front_started", "front_continued"):
-            # One that was paused answers late what it held: its callers have gone meanwhile.
+            # A paused front responds late to pending requests, whose clients have left in the meantime.
             self._back(record["front"], t_us)
             if "address" in record:
                 self.ports[record["front"]] = record["address"]
@@ -85,7 +85,7 @@
             self.cuts.append(_Cut(record["number"], t_us - SLACK_US))
 
     def not_taken(self, asked: Record, silence: Record) -> bool:
-        """A front that was away meanwhile owes nothing to what it did not take, or held when it went."""
+        """Whether an outage of the front explains that a request was refused, reset or not responded to."""
         spans = [
             away
             for away in self.away
@@ -96,5 +96,5 @@
         return bool(spans) and (silence["how"] in ("refused", "reset") or any(away.silent for away in spans))
 
     def hidden(self, first_us: int, then_us: int) -> bool:
-        """A cut kept boxes from seeing that a join was given up: they can't tell when that was."""
+        """Whether a network fault may have kept servers from observing when an attempt was cancelled."""
         return any(cut.since <= then_us and first_us <= cut.until for cut in self.cuts)
--- a/packages/scenarios/src/fennelcove/scenarios/fault_injection.py
+++ b/packages/scenarios/src/fennelcove/scenarios/fault_injection.py
@@ -1,4 +1,4 @@
-"""Troubles that concern fronts, or everybody at once: kills, pauses, cuts between parties, power."""
+"""Injects faults into fronts or the whole fleet: kills, pauses, network partitions and power losses."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """Something that happens at a time of the day."""
+    """An action at a time of the scenario."""
 
     at_s: float
     call: Callable[[], None]
 
 
 class Troubles:
-    """Turns a script's troubles into what is due when. What takes long runs on a thread of its own, and its
-    failure is the day's.
+    """Turns a scenario's faults into scheduled actions.
+
+    Long actions run on their own threads; a failure of one fails the run.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         self.failures: list[DayFailed] = []
 
     def due(self, number: int, trouble: Trouble) -> Iterator[Due]:
-        """What a trouble asks for."""
+        """Return the scheduled actions of one fault."""
         if trouble.until is not None or trouble.leader:
             yield Due(trouble.at_s, self._apart(lambda: self._when(number, trouble)))
         elif trouble.what == "order":
@@ -66,10 +67,10 @@
                 yield Due(trouble.at_s + trouble.for_s, lambda: self.rig.switch(trouble, False))
 
     def end(self) -> None:
-        """Wait for all that still runs.
+        """Wait for all running actions.
 
         Raises:
-            DayFailed: a front did not come back.
+            DayFailed: a front did not restart.
         """
         for thread in self.threads:
             thread.join()
@@ -88,13 +89,13 @@
         return thread.start
 
     def _when(self, number: int, trouble: Trouble) -> None:
-        """Wait for what it waits for, find out whom it strikes, then strike."""
+        """Wait for the fault's condition, resolve its target, then inject it."""
         if not self.supervisor.wait(trouble):
             return
         if trouble.leader:
             leader = self.supervisor.leader()
             if leader is None:
-                return  # the judge finds that it has not struck
+                return  # the checker reports that the fault did not occur
             trouble = replace_struct(trouble, fronts=[leader.index])
         began_us = self.rig.clock.now_us()
         for due in self.due(number, replace_struct(trouble, at_s=0.0, until=None, leader=False)):
@@ -122,7 +123,7 @@
             front.pause(on)
 
     def _lie(self, trouble: Trouble) -> None:
-        """A front's process ends for good, and something that lies speaks from its address."""
+        """Kill a front for good and send false messages from its address."""
         for front in self._some(trouble):
             if not front.strike():
                 continue
@@ -140,13 +141,13 @@
     # Power.
 
     def _power(self, at_s: float, power: Power) -> Iterator[Due]:
-        """Everything dies at once; each part returns at a time of its own, drawn from the day's seed."""
+        """Stop everything at once; each component restarts at its own time, drawn from the seed."""
         yield Due(at_s, lambda: self._dark(power))
         lists = at_s + power.lists_back_s
         yield Due(lists, lambda: self._lists_back(power))
         last = len(self.rig.boxes)
         for number in range(power.boxes_spared, last):
-            back_s = self.chance.uniform(*power.boxes_back_s)  # drawn also for those that never come
+            back_s = self.chance.uniform(*power.boxes_back_s)  # drawn also for servers that never restart
             if number < last - power.boxes_never:
                 yield Due(at_s + back_s, lambda number=number: self._box_back(number))  # type: ignore[misc]
         if power.lists_before and power.lists_learn_s:
@@ -171,7 +172,7 @@
         if power.lists_before:
             self.rig.lists.forget()
         else:
-            # The list service sees that no process runs, and lists nobody until it does.
+            # The list service observes that no process runs and lists no server until one does.
             number = power.boxes_spared
             self.rig.known[number:] = [replace(known, state="left") for known in self.rig.known[number:]]
 
--- a/packages/scenarios/src/fennelcove/scenarios/faults.py
+++ b/packages/scenarios/src/fennelcove/scenarios/faults.py
@@ -1,16 +1,18 @@
-"""What a judge of who is out has to hold against a day."""
+"""Violations found by the outage checks."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-OUT = 10  # no rule of the six: more taken out than may be
-STRUCK = 11  # what the day was played for did not happen
+# Beside the six rules: more fronts or servers were out of service than allowed; a fault or outcome that the
+# scenario requires did not occur.
+OUT = 10
+STRUCK = 11
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing; `front` may name a box as well."""
+    """One violation; `front` may also name a server."""
 
     rule: int
     t_us: int
--- a/packages/scenarios/src/fennelcove/scenarios/fronts.py
+++ b/packages/scenarios/src/fennelcove/scenarios/fronts.py
@@ -1,4 +1,4 @@
-"""The fronts of a day, each in a process of its own: started, stopped, killed, paused, started again."""
+"""The fronts of a scenario, each in its own process, with operations to start, stop, kill and pause them."""
 
 from __future__ import annotations
 
@@ -36,19 +36,19 @@
 from fennelcove.store.directory import verify_folder
 
 START_S = 30.0
-TORN_BYTES = 40  # off the end of a journal: what a disk had not written when its power went
-AT_ONCE = 6  # fronts that are started side by side: more would measure how fast this machine imports
+TORN_BYTES = 40  # removed from the end of a journal, as if not yet on disk at the power loss
+AT_ONCE = 6  # fronts started in parallel; with more, the import speed of the host dominates
 
 
 class DayFailed(OperatorError):
-    """A day could not be played: a front did not start, or did not end."""
+    """A scenario could not be run: a front did not start, or did not end."""
 
     code = "day-not-played"
-    advice = "Read the front's last lines above, and play the day again with nothing else running"
+    advice = "Read the front's last log lines above, and run the scenario again on an otherwise idle machine"
 
 
 class FrontProcess:
-    """One front in a process of its own; it can be stopped, killed and started again on the same port."""
+    """One front in its own process; it can be stopped, killed and restarted on the same port."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self.seed = seed
         self.recorder = recorder
         self.company = company
-        self.clock_s = 0.0  # how far its wall clock is off
+        self.clock_s = 0.0  # offset of its wall clock
         self.config = folder / f"front-{index}.sexp"
         self.log = folder / f"front-{index}.log"
         self.ledger = folder / f"ledger-{index}"
@@ -75,24 +75,24 @@
         self.store = folder / f"store-{index}"
         self.copy = folder / f"store-{index}-before"
         self.operator = folder / "operator.keys"
-        self.wanted = folder / f"wanted-{index}"  # the version that it asks its supervisor for
+        self.wanted = folder / f"wanted-{index}"  # file with the version that it requests from its supervisor
         self.version = 1
-        self.served = 1  # the last version that it has served with
-        self.tended = True  # the day itself stops, kills and starts it
-        self.struck = False  # killed by the script: its supervisor leaves it to that
-        self.lock = threading.Lock()  # round its start and its end
+        self.served = 1  # the last version that started serving
+        self.tended = True  # started, stopped or killed by the scenario, not ended by itself
+        self.struck = False  # killed by the script; its supervisor does not restart it
+        self.lock = threading.Lock()  # guards start and kill
         self.hangs = self.told = False
         self.listen = "127.0.0.1:0"
-        self.address = "127.0.0.1:0"  # where viewers find it
-        self.rig: Rig | None = None  # where there are relays
+        self.address = "127.0.0.1:0"  # the address for clients
+        self.rig: Rig | None = None  # only with relays
         self.process: subprocess.Popen[bytes] | None = None
-        self.context: ssl.SSLContext | None = None  # where the front speaks TLS
+        self.context: ssl.SSLContext | None = None  # only where the front uses TLS
 
     def start(self) -> None:
-        """Start and wait until it listens and has a list.
+        """Start and wait until it listens and has received a server list.
 
         Raises:
-            DayFailed: it ended, or did not get so far in time.
+            DayFailed: it ended, or was not ready in time.
         """
         self.launch()
         waited = threading.Event()
@@ -100,16 +100,16 @@
             if self.up() and self._has_list():
                 return
             waited.wait(0.02)
-        raise DayFailed(f"the front did not start in {START_S:g} s: {self.tail()}", self.name)
+        raise DayFailed(f"the front was not ready within {START_S:g} s: {self.tail()}", self.name)
 
     def launch(self) -> None:
-        """Start with the version that it asked for, and wait for nothing."""
+        """Start the requested version without waiting."""
         with self.lock:
             self.struck = False
             self._launch()
 
     def launch_again(self) -> bool:
-        """As `launch`, by its supervisor: not where it was struck meanwhile."""
+        """Restart as its supervisor, unless the script has killed it; whether it was started."""
         with self.lock:
             if not self.struck:
                 self._launch()
@@ -133,18 +133,18 @@
             self.process.send_signal(signal.SIGSTOP)
 
     def like(self) -> Version:
-        """What its present version is like."""
+        """Return the specification of its current version."""
         found = (version for version in self.day.versions if version.number == self.version)
         return next(found, Version(number=self.version))
 
     def goes_on(self) -> None:
-        """One that hung in its start goes on."""
+        """Resume a front that hung during startup."""
         if self.hangs and self.process is not None:
             self.hangs = False
             self.process.send_signal(signal.SIGCONT)
 
     def serves(self) -> bool:
-        """Whether it has come up in this life, and runs."""
+        """Whether this process has started serving and still runs."""
         return self.told and self.process is not None and self.process.poll() is None
 
     def ended(self) -> bool:
@@ -152,11 +152,11 @@
         return not self.tended and self.process is not None and self.process.poll() is not None
 
     def up(self) -> bool:
-        """Whether it listens by now, in this life.
+        """Whether this process listens.
 
         Raises:
-            DayFailed: it has ended, and not by the script: a power that went again while fronts began failed
-                a day that had gone as it should.
+            DayFailed: it has ended without being killed by the script. A front that the script kills during
+                startup, as in a second power loss, is no failure of the run.
         """
         assert self.process is not None
         if self.process.poll() is not None:
@@ -207,7 +207,7 @@
         )
 
     def _rules(self) -> Rules:
-        """With how a cold box of this day falls over, where the script does not say that apart."""
+        """Return the rules, with the overload limits of the rig's servers unless the script sets its own."""
         told, rig = self.day.front.rules, self.day.rig
         if told.tip_after_ms:
             return told
@@ -223,7 +223,7 @@
             version=self.version,
             wanted=str(self.wanted),
             halls=zones,
-            # A limit that can't be is refused as any front's settings are.
+            # An impossible limit makes the front reject its settings.
             fronts_out=self.day.fronts if self.like().refused else told.fronts_out,
         )
 
@@ -263,14 +263,14 @@
             player.close()
 
     def tail(self) -> str:
-        """The end of its log."""
+        """Return the end of its log."""
         return self.log.read_text("utf-8", "replace")[-600:]
 
     def stop(self) -> None:
-        """Ask it to end and wait for it.
+        """Send SIGTERM and wait for the end of the process.
 
         Raises:
-            DayFailed: it did not end within its stated time, and was killed.
+            DayFailed: it did not end within its stop time, and was killed.
         """
         if self.process is None or self.process.poll() is not None:
             return
@@ -283,10 +283,10 @@
         self.end()
 
     def end(self) -> None:
-        """Wait for the end of one that was asked to end.
+        """Wait for the end of a process that was sent SIGTERM.
 
         Raises:
-            DayFailed: it did not end within its stated time, and was killed.
+            DayFailed: it did not end within its stop time, and was killed.
         """
         if self.process is None:
             return
@@ -294,23 +294,23 @@
             self.process.wait(self.day.front.limits.stop_ms / 1000 + START_S)
         except subprocess.TimeoutExpired:
             self.kill()
-            raise DayFailed(f"the front did not end: {self.tail()}", self.name) from None
+            raise DayFailed(f"the front did not stop and was killed: {self.tail()}", self.name) from None
         self.shut()
         self.recorder.note("front_stopped", front=self.name, status=self.process.returncode)
 
     def kill(self) -> None:
-        """End it without warning, and look at what it leaves."""
+        """Kill the process, wait for it and verify its store."""
         if self.strike():
             self.bury()
 
     def bury(self) -> None:
-        """Wait for the end of one that was struck, and look at what it leaves."""
+        """Wait for the end of a killed process and verify its store."""
         assert self.process is not None
         self.process.wait()
         self.check_store()
 
     def strike(self) -> bool:
-        """Kill it and wait for nothing; whether it ran. One that is down already stays so."""
+        """Kill the process without waiting and prevent restarts by the supervisor; whether it ran."""
         with self.lock:
             self.struck = True
             return self._strike()
@@ -325,24 +325,24 @@
         return True
 
     def shut(self, gone: bool = True) -> None:
-        """Where it listens nobody does any more, or somebody again."""
+        """Make the relay to this front refuse connections, or accept them again."""
         if self.rig is not None:
             self.rig.shut(self.address, gone)
 
     def pause(self, on: bool) -> None:
-        """Stop the process where it is, or let it go on."""
+        """Send SIGSTOP or SIGCONT to the process."""
         if self.process is not None and self.process.poll() is None:
             self.recorder.note("front_paused" if on else "front_continued", front=self.name)
             self.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def check_store(self) -> None:
-        """Write down what is amiss with its store while nobody holds it."""
+        """Record the faults of its store; only while no process has it open."""
         if self.store.exists():
             for fault in verify_folder(str(self.store)):
                 self.recorder.note("store_fault", front=self.name, fault=fault)
 
     def spoil(self, how: str) -> None:
-        """What its folder is like after the power went; only while nobody holds it."""
+        """Change its store as after a power loss; only while no process has it open."""
         if how == "kept" or not self.store.exists():
             return
         self.recorder.note("folder", front=self.name, how=how)
@@ -356,17 +356,17 @@
                 shutil.copytree(self.copy, self.store)
 
     def keep_copy(self) -> None:
-        """A copy of its folder as it is now, for a day that restores an old one."""
+        """Copy its store, for scenarios that restore an old one."""
         if self.store.exists():
             shutil.copytree(self.store, self.copy, dirs_exist_ok=True)
 
 
 class Fronts:
-    """All fronts of a day, each in a process of its own."""
+    """All fronts of a scenario, each in its own process."""
 
     def __init__(self, day: Day, rig: Rig, seed: int, recorder: Recorder, folder: Path) -> None:
-        # One key for all: without it a place was known only at the front that gave it, and viewers, who come
-        # to any of them, were turned away as forgers (142 of 200 watched).
+        # All fronts share the keys: with separate ones a waiting-room token was valid only at the front that
+        # issued it, and clients, who use any front, were rejected as forgers (only 142 of 200 were served).
         for name in ("places.keys", "operator.keys"):
             rotate(str(folder / name), recorder.clock.wall_us() // 1000)
         company: list[list[str] | None] = [None] * day.fronts
@@ -381,29 +381,30 @@
                 front.rig = rig
 
     def start(self) -> None:
-        """Start each and wait for it, a few at a time."""
+        """Start all fronts and wait for them, a few at a time."""
         for at in range(0, len(self.all), AT_ONCE):
             side_by_side([front.start for front in self.all[at : at + AT_ONCE]])
 
     def stop(self) -> None:
-        """Stop all and wait for them."""
+        """Stop all fronts and wait for them."""
         side_by_side([front.stop for front in self.all])
 
     def kill(self) -> None:
-        """End what still runs."""
+        """Kill all fronts that still run."""
         for front in self.all:
             front.kill()
 
     def chooser(self, name: str, some: Sequence[int] = ()) -> Callable[[], str]:
-        """A viewer's way to a front: another one, of all or of some, at each try, by its name, the same in
-        every run.
+        """Return a function that chooses a front for each try of a client, from all or some fronts.
+
+        The choices are drawn from the client's name and are the same in each run.
         """
         chance, among = random.Random(name), [self.all[number] for number in some] or self.all
         return lambda: chance.choice(among).address
 
 
 def side_by_side(calls: list[Callable[[], None]]) -> None:
-    """All calls at once; the first failure is raised when all have ended."""
+    """Run all calls in parallel; the first failure is raised when all have ended."""
     failures: list[DayFailed] = []
 
     def run(call: Callable[[], None]) -> None:
@@ -422,8 +423,9 @@
 
 
 def _free_port(index: int) -> str:
-    """A free address for datagrams. Below the ports that the system hands out by itself: one of those was
-    taken by another socket before its front could bind it.
+    """Return a free address for datagrams.
+
+    It lies below the ephemeral ports: another socket could take one of those before its front binds it.
     """
     while True:
         address = (front_host(index), random.randrange(20_000, 32_000))
--- a/packages/scenarios/src/fennelcove/scenarios/outages.py
+++ b/packages/scenarios/src/fennelcove/scenarios/outages.py
@@ -1,8 +1,8 @@
-"""Who is out at each moment of a day of releases, from the relays and the processes alone.
+"""Which fronts are out of service at each moment of a rollout, derived from relays and processes alone.
 
-A front is out from when it was killed, stopped or paused, or ended by itself, until its door listens again.
-One that ends by itself was taken out by a release, and that began before: with the first that it turned away
-after the last that it let in. What the front says of itself is not read.
+A front is out of service from when it was killed, stopped or paused, or ended by itself, until it listens
+again. A front that ends by itself was taken out by a rollout; its outage began with the first request that it
+rejected after the last that it accepted. What the front reports about itself is not used.
 """
 
 from __future__ import annotations
@@ -22,58 +22,58 @@
 
 
 class Outs(msgspec.Struct, frozen=True):
-    """What a day of releases came to; times in seconds."""
+    """The outages of a run with rollouts; times in seconds."""
 
-    taken: int  # fronts that a release took out, one by one
-    most_taken: int  # at once
-    most_out: int  # at once, with those that the script took out
+    taken: int  # fronts taken out by rollouts
+    most_taken: int  # at the same time
+    most_out: int  # at the same time, including those that the script took out
     longest_out_s: float
-    versions: dict[str, int]  # what each front runs when the day ends
+    versions: dict[str, int]  # the version of each front when the run ends
     boxes_taken: int = 0
-    most_boxes_out: int = 0  # at once, cold ones too, when one more was taken
+    most_boxes_out: int = 0  # servers out or cold at the same time, when another was taken out
 
 
 @dataclass(slots=True)
 class Away:
-    """A time in which one front was out."""
+    """An interval in which one front was out of service."""
 
     front: str
     since: int
     why: str
     until: int = NEVER
-    off: int = NEVER  # when an operator wrote it off: its place is free from then on
+    off: int = NEVER  # when an operator wrote it off, which frees its permit
 
     @property
     def taken(self) -> bool:
-        """Whether a release took it."""
+        """Whether a rollout took it out."""
         return self.why == "taken"
 
     def covers(self, t_us: int) -> bool:
-        """Whether it was out then, and counted."""
+        """Whether it counts as out of service at that time."""
         return self.since <= t_us < min(self.until, self.off)
 
 
 @dataclass(slots=True)
 class Strike:
-    """A fault of the script, from when it struck until it was taken back."""
+    """A fault of the script, from its start until its end."""
 
     what: str
     since: int
-    mark: object = None  # by which its end is told
+    mark: object = None  # identifies the record of its end
     until: int = NEVER
 
 
 @dataclass(slots=True)
 class Seen:
-    """A recording of fronts that come and go."""
+    """The outages, versions, faults and orders of a recording."""
 
     release: Record
     aways: list[Away] = field(default_factory=list)
     ports: dict[str, str] = field(default_factory=dict)  # name of a front by its address
-    let_in: dict[str, int] = field(default_factory=dict)  # when each last let somebody in
-    turned: dict[str, int] = field(default_factory=dict)  # the first that it turned away since
+    let_in: dict[str, int] = field(default_factory=dict)  # when each last accepted a session
+    turned: dict[str, int] = field(default_factory=dict)  # the first rejection since then
     launched: dict[str, int] = field(default_factory=dict)  # the version last started
-    runs: dict[str, int] = field(default_factory=dict)  # the version that has come up
+    runs: dict[str, int] = field(default_factory=dict)  # the version last serving
     ran: set[tuple[str, int]] = field(default_factory=set)
     orders: dict[tuple[str, ...], int] = field(default_factory=dict)
     strikes: list[Strike] = field(default_factory=list)
@@ -112,7 +112,7 @@
 
 
 def _strike(seen: Seen, record: Record) -> None:
-    # A fault of both directions is told as two, and is one.
+    # A fault in both directions is recorded twice but counts once.
     mark = (record["what"], record.get("number"), record.get("kind"), record.get("box"))
     here = [strike for strike in seen.strikes if strike.mark == mark and strike.until == NEVER]
     if record["on"] and not here:
@@ -146,12 +146,12 @@
 
 
 def outs(records: list[Record]) -> Found:
-    """Who was out when, and what is to be held against it."""
+    """Derive the outages and check them against the rollout's limits."""
     release = next(record["release"] for record in records if record["what"] == "terms")
     began_us = next((r["t_us"] for r in records if r["what"] == "day_began"), 0)
     over_us = next((r["t_us"] for r in records if r["what"] == "carried"), records[-1]["t_us"])
     seen = _read([record for record in records if record["t_us"] <= over_us], release)
-    # The fronts of a day start before it begins, and are stopped when it is over.
+    # The fronts start before the scenario begins and are stopped after its end.
     seen.aways = [away for away in seen.aways if away.since >= began_us]
     boxes = boxed(records, release, over_us)
     faults = [*_limits(seen), *_ends(seen, over_us), *_struck(seen, over_us), *boxes.faults]
@@ -170,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """The judge's view of a day of releases."""
+    """The violations and the figures of a run with rollouts."""
 
     faults: list[Fault]
     shown: Outs
@@ -181,7 +181,7 @@
 
 
 def _limits(seen: Seen) -> Iterator[Fault]:
-    """A release takes none out past a limit. What crashed counts as soon as the others can know of it."""
+    """Check the limits of rollouts; a crashed front counts once the other fronts can have detected it."""
     release, halls = seen.release, seen.release["halls"]
     know_us = round(release["know_ms"] * 1000)
     for one in (away for away in seen.aways if away.taken):
@@ -197,35 +197,35 @@
             (hall, release["fronts_out_hall"], f"in {halls[one.front]}"),
         ):
             if len(found) > limit:
-                reason = f"taken out as one of {len(found)} {where}, where {limit} may be: {sorted(found)}"
+                reason = f"taken out as one of {len(found)} {where}, but {limit} are allowed: {sorted(found)}"
                 yield Fault(OUT, one.since, one.front, reason)
 
 
 def _ends(seen: Seen, over_us: int) -> Iterator[Fault]:
-    """What fronts run when the day ends, and how many ever ran what was wanted."""
+    """Check which version fronts run at the end, and how many ever ran the wanted one."""
     release = seen.release
     lost = {name for i, name in enumerate(release["halls"]) if i in release["lost"]}
     gone = {away.front for away in seen.aways if away.until > over_us}
     for name in sorted(gone - lost):
-        yield Fault(STRUCK, over_us, name, "it is out when the day ends")
+        yield Fault(STRUCK, over_us, name, "it is out of service when the scenario ends")
     asked = {name: version for name, version in seen.runs.items() if name not in lost}
     have = [name for name, version in asked.items() if version == release["wanted"]]
     came = {"all": len(have) == len(asked), "none": not have, "some": bool(have)}
     if not came[release["ends"]]:
-        reason = f"{release['ends']} were to run version {release['wanted']} in the end; run: {asked}"
+        reason = f"expected {release['ends']} to run version {release['wanted']} at the end, found: {asked}"
         yield Fault(STRUCK, over_us, "", reason)
     ever = {name for name, version in seen.ran if version == release["wanted"]}
     if release["most"] is not None and len(ever) > release["most"]:
-        reason = f"{len(ever)} fronts ran version {release['wanted']}, {release['most']} may before a halt"
+        reason = f"{len(ever)} fronts ran version {release['wanted']}, at most {release['most']} may"
         yield Fault(OUT, over_us, "", reason)
 
 
 def _struck(seen: Seen, over_us: int) -> Iterator[Fault]:
-    """Each fault of the script struck while the release took fronts out, each order was carried out."""
+    """Check that each fault occurred while the rollout took fronts out and that each order succeeded."""
     release = seen.release
     taken = [away for away in seen.aways if away.taken]
     if not taken and not release["boxes"]:
-        yield Fault(STRUCK, over_us, "", "no release took a front out")
+        yield Fault(STRUCK, over_us, "", "no rollout took a front out")
     if not taken:
         return
     first, last = min(a.since for a in taken), max(min(a.until, over_us) for a in taken)
@@ -235,26 +235,30 @@
     for kind in sorted(set(wanted)):
         if during.count(kind) < wanted.count(kind):
             found, many = during.count(kind), wanted.count(kind)
-            reason = f"{many} of {kind} were to strike while fronts went out, {found} did"
+            reason = f"expected {many} faults `{kind}` while fronts were taken out, found {found}"
             yield Fault(STRUCK, over_us, "", reason)
     if release["hangs"] and not any(one.what == "front_hangs" for one in seen.strikes):
-        yield Fault(STRUCK, over_us, "", "no front hung in its start")
+        yield Fault(STRUCK, over_us, "", "no front hung during startup")
     for number in release["bad"]:
         if not any(version == number for _, version in seen.ran):
             yield Fault(STRUCK, over_us, "", f"no front was started with version {number}")
     if len(seen.orders) < release["orders"]:
-        yield Fault(STRUCK, over_us, "", f"{len(seen.orders)} of {release['orders']} orders were given")
+        yield Fault(
+            STRUCK, over_us, "", f"{len(seen.orders)} of {release['orders']} operator commands were run"
+        )
     for words, status in seen.orders.items():
         if status:
-            yield Fault(STRUCK, over_us, "", f"the order `{' '.join(words)}` ended with status {status}")
+            yield Fault(
+                STRUCK, over_us, "", f"the operator command `{' '.join(words)}` ended with status {status}"
+            )
 
 
 def told(found: Outs) -> str:
-    """The figures in words."""
+    """Format the figures for the command line."""
     versions = ", ".join(f"{name} {version}" for name, version in found.versions.items())
     return (
-        f"{found.boxes_taken} boxes taken out by permits, {found.most_boxes_out} out at once at most; "
-        f"{found.taken} fronts taken out by releases, {found.most_taken} at once at most; {found.most_out} "
-        f"out at once for whatever reason, the longest {found.longest_out_s:.1f} s; versions in the end: "
-        f"{versions}"
+        f"{found.boxes_taken} servers taken out by permits, at most {found.most_boxes_out} out at once; "
+        f"{found.taken} fronts taken out by rollouts, at most {found.most_taken} at once; at most "
+        f"{found.most_out} out at once for any reason, the longest for {found.longest_out_s:.1f} s; versions "
+        f"at the end: {versions}"
     )
--- a/packages/scenarios/src/fennelcove/scenarios/player.py
+++ b/packages/scenarios/src/fennelcove/scenarios/player.py
@@ -1,4 +1,4 @@
-"""Plays a day: stand-ins on loopback, a front of its own process, viewers by the script, troubles on time."""
+"""Runs a scenario: emulated peers on loopback, fronts in their own processes, clients and faults on time."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 __all__ = ["DayFailed", "DayPlayer", "arrivals", "terms"]
 
 MOST_VIEWERS = 5000
-MOST_MORE_US = 60_000_000  # how much longer than it says a day of releases may take
+MOST_MORE_US = 60_000_000  # how far a run with rollouts may exceed its stated duration
 
 
 def arrivals(crowd: Crowd, number: int, seed: int) -> Iterator[tuple[float, Habits]]:
-    """A crowd's viewers with their times, drawn from a seed of the crowd's own."""
+    """Draw the arrival times and habits of a crowd's clients from a seed of its own."""
     chance = random.Random(f"{seed}/{number}")
     at_s = crowd.from_s
     while (at_s := at_s + chance.expovariate(crowd.per_s)) < crowd.to_s:
@@ -58,22 +58,23 @@
 
 
 def _player() -> type[StandInViewer]:
-    """Players need a manifest parser of the development tools; other days do without.
+    """Import the emulated player, which needs a manifest parser of the development tools.
 
     Raises:
-        DayFailed: it is not installed.
+        DayFailed: the parser is not installed.
     """
     try:
         from fennelcove.emulators.players import StandInPlayer
     except ImportError as error:
         raise DayFailed(
-            f"its players need {error.name}", suggestion="install the development tools"
+            f"the scenario's players need the package {error.name}",
+            suggestion="install the development tools",
         ) from None
     return StandInPlayer
 
 
 class DayPlayer:
-    """Plays one day and hands back its recording."""
+    """Runs one scenario and returns its recording."""
 
     def __init__(
         self,
@@ -91,10 +92,10 @@
         self.viewers: list[StandInViewer] = []
 
     def play(self) -> list[Record]:
-        """Play it all.
+        """Run the scenario and return its records.
 
         Raises:
-            DayFailed: the front did not start or end.
+            DayFailed: a front did not start or end.
         """
         with tempfile.TemporaryDirectory(prefix="fennelcove-day-") as folder:
             self.recorder.note("terms", **terms(self.day))
@@ -129,7 +130,7 @@
         return self.recorder.records
 
     def _arrivals(self) -> list[tuple[float, str, Habits, bool]]:
-        """Who comes when: those handed in, or the script's crowds; a bounded number."""
+        """The given arrivals or else those of the script's crowds, up to `MOST_VIEWERS`."""
         found: list[tuple[float, str, Habits, bool]] = []
         if self.arrivals is not None:
             found = [(at_s, name, habits, False) for at_s, name, habits in self.arrivals]
@@ -158,8 +159,9 @@
         authors.send(line, number, lambda: front.address, self.clock, self.recorder)
 
     def _left(self, supervisor: Supervisor) -> None:
-        """A day of releases lasts as long as it says, and until its plan is over: how long that takes hangs
-        on how fast a machine starts processes, and what a day comes to must not.
+        """Wait until a scenario with rollouts has reached its stated duration and its plan has ended.
+
+        How long a plan takes depends on how fast the host starts processes; the verdict must not.
         """
         began_us = next(r["t_us"] for r in self.recorder.records if r["what"] == "day_began")
         until_us = self.recorder.began_us + began_us + round(self.day.seconds * 1e6)
@@ -179,7 +181,7 @@
 
 
 def terms(day: Day) -> Record:
-    """What the judge must know beforehand."""
+    """The `terms` record: the parameters that the checker needs."""
     front = day.front
     return {
         "day": day.name,
@@ -208,7 +210,7 @@
 
 
 def _tenants(day: Day) -> Record | None:
-    """What a day's tenants are to get; none without."""
+    """The requirements for tenants, if any."""
     told, fair = day.tenants, day.front.fair
     if told is None:
         return None
@@ -222,7 +224,7 @@
 
 
 def _release(day: Day) -> Record | None:
-    """What a day's releases have to keep to; none without."""
+    """The limits and expected outcome of rollouts, if any."""
     told, limits = day.release, day.front.releases
     if told is None or limits is None:
         return None
--- a/packages/scenarios/src/fennelcove/scenarios/plots.py
+++ b/packages/scenarios/src/fennelcove/scenarios/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a recorded storm, as PNG and SVG; matplotlib is one of the development tools."""
+"""Plots of recordings, as PNG and SVG; matplotlib is one of the development tools."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def draw(records: list[Record], folder: str) -> list[str]:
-    """Draw one figure of three panels into a folder; the files written.
+    """Draw one figure of three panels into a folder and return the files written.
 
     Raises:
         ImportError: matplotlib is not installed.
@@ -29,12 +29,12 @@
         middle.plot(*zip(*found[name], strict=True), label=name, drawstyle="steps-post")
     waits = found["come-back times told"]
     if waits:
-        lower.plot(*zip(*waits, strict=True), ".", markersize=2, label="told to come back in, s")
-    for panel, title in ((upper, "a second"), (middle, "answers a second"), (lower, "seconds")):
+        lower.plot(*zip(*waits, strict=True), ".", markersize=2, label="Retry-After, s")
+    for panel, title in ((upper, "per second"), (middle, "responses per second"), (lower, "seconds")):
         panel.set_ylabel(title)
         panel.legend(loc="upper right")
         panel.grid(alpha=0.3)
-    lower.set_xlabel("second of the day")
+    lower.set_xlabel("second of the run")
     here = Path(folder)
     here.mkdir(parents=True, exist_ok=True)
     files = [str(here / f"storm.{kind}") for kind in ("png", "svg")]
@@ -45,7 +45,7 @@
 
 
 def draw_seconds(records: list[Record], file: str) -> None:
-    """Draw what became of requests in each second, with the troubles marked.
+    """Draw the outcomes of requests in each second, with the faults marked.
 
     Raises:
         ImportError: matplotlib is not installed.
@@ -65,8 +65,8 @@
     for record in records:
         if record["what"] == "power" or (record["what"] in ("trouble", "fault") and record["on"]):
             panel.axvline((record["t_us"] - began_us) / 1e6, color="grey", linewidth=0.8)
-    panel.set_xlabel("second of the day")
-    panel.set_ylabel("a second")
+    panel.set_xlabel("second of the run")
+    panel.set_ylabel("per second")
     panel.legend(loc="upper right")
     panel.grid(alpha=0.3)
     figure.savefig(file, dpi=90, bbox_inches="tight")
--- a/packages/scenarios/src/fennelcove/scenarios/recovery.py
+++ b/packages/scenarios/src/fennelcove/scenarios/recovery.py
@@ -1,4 +1,4 @@
-"""How a whole fleet came back from a trouble, and what that cost, from what passed on the sockets."""
+"""How a fleet recovered from power losses and at what cost, from what passed on the sockets."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from fennelcove.emulators.recorder import Record
 
 PLAYS, THROTTLED = 201, 503
-BEFORE_S = 6  # over which the service before a trouble is taken
-BACK = 0.9  # of the service before it
-FOR_S = 3  # over which the service after it is taken: single seconds swing by chance
+BEFORE_S = 6  # window for the service before a fault
+BACK = 0.9  # share of the service before the fault that counts as recovered
+FOR_S = 3  # window for the service after it, since single seconds vary by chance
 FIRST_S = 30
 
 
 class Second(msgspec.Struct, frozen=True):
-    """What was asked in one second, and what became of requests in it; benefit is of what played."""
+    """The requests and outcomes of one second; benefit is that of the sessions that were served."""
 
     at_s: int
     asked: int
@@ -23,35 +23,35 @@
     refused: int  # throttled or terminated
     unanswered: int
     benefit: float = 0.0
-    held: int = 0  # subscriptions that play at boxes, at the second's end
-    places: int = 0  # of all boxes that are up
+    held: int = 0  # sessions playing at servers at the end of the second
+    places: int = 0  # session capacity of all running servers
 
 
 class Return(msgspec.Struct, frozen=True):
-    """What followed one trouble; times in seconds."""
+    """The recovery from one fault; times in seconds."""
 
     trouble: str
     at_s: float
-    before: float  # set-ups played a second, before it
-    back_after_s: float | None  # until `BACK` of it was played again; None: never on this day
-    bound_s: float  # the same, as the warm-up of the boxes alone allows
-    first_share: float  # played in the first 30 s, of what was played before in such a time
+    before: float  # set-ups served per second before it
+    back_after_s: float | None  # until `BACK` of that was reached again; None: never in this run
+    bound_s: float  # lower bound of that, from the warm-up of the servers alone
+    first_share: float  # set-ups served in the first 30 s, over those in the same time before the fault
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """The day of a whole fleet; costs are for each request that viewers made."""
+    """The figures of a fleet; costs are per request of a client."""
 
     seconds: list[Second]
     returns: list[Return]
     pushed_over: int
     joins: float
-    connections: float  # by fronts, to boxes and list service
+    connections: float  # opened by fronts to servers and the list service
     list_calls: float
     datagrams: float
 
 
 def began_us(records: list[Record]) -> int:
-    """When the day's script began."""
+    """When the scenario began."""
     times: dict[str, int] = {}
     for record in records:
         times.setdefault(record["what"], record["t_us"])
@@ -59,7 +59,7 @@
 
 
 def seconds(records: list[Record]) -> list[Second]:
-    """The day, second by second."""
+    """Requests and outcomes in each second of the run."""
     since_us = began_us(records)
     worth = {
         room["name"]: room["benefit"] for r in records if r["what"] == "terms" for room in r["room_types"]
@@ -97,7 +97,7 @@
 
 
 def held(records: list[Record], since_us: int) -> dict[int, tuple[int, int]]:
-    """For each second, how many subscriptions played at its end, and for how many the boxes had places."""
+    """For each second, the sessions playing at its end and the capacity of the running servers."""
     streams = {r["box"]: r["streams"] for r in records if r["what"] == "box"}
     up = dict.fromkeys(streams, True)
     playing: dict[str, set[tuple[str, int]]] = {box: set() for box in streams}
@@ -119,12 +119,12 @@
 
 
 def returns(records: list[Record], found: list[Second]) -> Iterator[Return]:
-    """Each time that the power went, and how the service came back."""
+    """Yield the recovery from each power loss."""
     since_us = began_us(records)
     played = [second.played for second in found]
     times = [(r["t_us"] - since_us) / 1e6 for r in records if r["what"] == "power"]
     for i, at_s in enumerate(times):
-        first = int(at_s) + 1  # what was played in the second of the trouble is of both
+        first = int(at_s) + 1  # the second of the fault belongs to both periods
         before = played[max(0, first - 1 - BEFORE_S) : first - 1]
         mean = sum(before) / max(1, len(before))
         until = int(times[i + 1]) if i + 1 < len(times) else len(played)
@@ -139,8 +139,9 @@
 
 
 def warm_bound_s(records: list[Record], at_s: float, mean: float) -> float:
-    """How soon after a trouble the boxes alone could take `BACK` of the set-ups before it: from then on all
-    boxes that are back, each at the pace that it has warmed up to, take so many a second.
+    """The earliest time after a fault at which restarted servers could accept `BACK` of the former set-ups.
+
+    Each server accepts set-ups at the pace to which it has warmed up.
     """
     since_us = began_us(records)
     terms = next(r for r in records if r["what"] == "terms")
@@ -176,7 +177,7 @@
 
 
 def fleet(records: list[Record]) -> Fleet:
-    """The figures of the whole fleet."""
+    """Compute the figures of the fleet."""
     found = seconds(records)
     asked = max(1, sum(second.asked for second in found))
     carried = next((r for r in records if r["what"] == "carried"), {})
@@ -196,21 +197,21 @@
 
 
 def told(figures: Fleet) -> Iterator[str]:
-    """The figures in words, a line each."""
+    """Format the figures for the command line, one per line."""
     for back in figures.returns:
-        when = "never on this day" if back.back_after_s is None else f"{back.back_after_s:.1f} s after"
+        when = "not in this run" if back.back_after_s is None else f"after {back.back_after_s:.1f} s"
         yield (
-            f"power went at {back.at_s:.1f} s, at {back.before:.1f} set-ups a second; {BACK:.0%} of it "
-            f"was back {when} (the boxes' warm-up alone: {back.bound_s:.1f} s), {back.first_share:.2f} of "
-            "the first 30 s"
+            f"power loss at {back.at_s:.1f} s, at {back.before:.1f} set-ups per second; {BACK:.0%} of that "
+            f"reached {when} (bound by the servers' warm-up: {back.bound_s:.1f} s); share served in the "
+            f"first 30 s {back.first_share:.2f}"
         )
     if figures.connections:
         yield (
-            f"for each request {figures.joins:.2f} joins, {figures.connections:.2f} connections, "
-            f"{figures.list_calls:.3f} list calls, {figures.datagrams:.2f} datagrams; "
-            f"{figures.pushed_over} boxes pushed over"
+            f"per request {figures.joins:.2f} attempts, {figures.connections:.2f} connections, "
+            f"{figures.list_calls:.3f} list requests, {figures.datagrams:.2f} datagrams; "
+            f"{figures.pushed_over} servers crashed from overload"
         )
-    yield "second: asked, played, refused, unanswered; playing of places"
+    yield "second: requests, served, refused, without response; sessions playing of capacity"
     for second in figures.seconds:
         parts = (second.asked, second.played, second.refused, second.unanswered)
         counted = " ".join(f"{part:4d}" for part in parts)
--- a/packages/scenarios/src/fennelcove/scenarios/replays.py
+++ b/packages/scenarios/src/fennelcove/scenarios/replays.py
@@ -1,4 +1,4 @@
-"""Storms played again: who asked when, read off a recording, and a log's decisions told in words."""
+"""Replays of retry storms from recordings, and explanations of a front's decisions from its log."""
 
 from __future__ import annotations
 
@@ -10,19 +10,17 @@
 from fennelcove.emulators.recorder import Record
 
 WORDS = {
-    "first": "a first try past what the pace has room for",
-    "again": "a further try without a place",
+    "first": "a first try beyond the admission rate",
+    "again": "a retry without a place in the waiting room",
     "early": "it came before its place was due, and keeps it",
-    "due": "its place was due, but the pace had no room for one more",
-    "late": "its place's time had passed, and the pace had no room for one more",
-    "invented": "its place was made up, made for another, or used before",
+    "due": "its place was due, but the admission rate was used up",
+    "late": "its place had expired, and the admission rate was used up",
+    "invented": "its place was made up, issued to another client, or used before",
 }
 
 
 def arrivals(records: Iterable[Record], retries: int, watch_s: float) -> Iterator[tuple[float, str, Habits]]:
-    """The first tries of a recording: when, by whom, and with what habits; further tries come of
-    themselves.
-    """
+    """Yield time, client and habits of each first try of a recording; the clients retry by themselves."""
     began_us: int | None = None
     for record in records:
         if record["what"] == "front_started" and began_us is None:
@@ -43,9 +41,7 @@
 
 
 def explained(lines: Iterable[dict[str, Any]]) -> Iterator[str]:
-    """What a front's log says of storms, one line for each change of phase and each viewer turned away at the
-    door.
-    """
+    """Explain a front's log: a line for each phase change of a storm and each client rejected by it."""
     turned: Counter[str] = Counter()
     for line in lines:
         event, at = line.get("event"), str(line.get("timestamp", ""))[11:23]
@@ -53,14 +49,14 @@
             asked, usual, refused = (line.get(name) for name in ("asked", "usual", "refused"))
             yield (
                 f"{at} {line.get('was')} -> {line.get('phase')}: {asked} asked in the last window "
-                f"(usual {usual}), {refused} refused; set-ups served {line.get('pace')} a second"
+                f"(usual {usual}), {refused} refused; set-ups served per second {line.get('pace')}"
             )
         elif event == "subscription_turned_away" and line.get("standing"):
             standing = str(line["standing"])
             turned[standing] += 1
             wait_s = float(line.get("wait_ms", 0)) / 1000
-            client = line.get("client") or "a viewer without a name"
-            yield f"{at} {client}: {WORDS.get(standing, standing)}; told to come in {wait_s:.1f} s"
+            client = line.get("client") or "a client without a name"
+            yield f"{at} {client}: {WORDS.get(standing, standing)}; retry after {wait_s:.1f} s"
     total = sum(turned.values())
     if total:
         parts = ", ".join(f"{count} {WORDS.get(name, name)}" for name, count in turned.most_common())
@@ -68,7 +64,7 @@
 
 
 def series(records: list[Record]) -> dict[str, list[tuple[float, float]]]:
-    """What a storm's plots show, each as points of second and value."""
+    """The data series of a storm's plots, each as points of second and value."""
     asked: Counter[int] = Counter()
     answers: dict[str, Counter[int]] = {"played": Counter(), "throttled": Counter(), "terminated": Counter()}
     load: Counter[int] = Counter()
--- a/packages/scenarios/src/fennelcove/scenarios/rig.py
+++ b/packages/scenarios/src/fennelcove/scenarios/rig.py
@@ -1,4 +1,4 @@
-"""One day's stand-ins, the relays between them, and the script's troubles as switches on them."""
+"""The emulated peers of a scenario, the relays between them, and the faults that are switched on them."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Switch:
-    """What a trouble does when it begins and when it ends."""
+    """The actions at the start and at the end of a fault."""
 
     begin: Callable[[Rig, Trouble], None]
     end: Callable[[Rig, Trouble], None] | None = None
 
 
 def front_host(index: int) -> str:
-    """The address that a front dials from, by which relays know it."""
+    """The source address of a front's connections, by which relays identify it."""
     return f"127.0.1.{index + 1}"
 
 
 class Rig:
-    """The boxes and the list service of a day, and the relays where it has them."""
+    """The servers and the list service of a scenario, and its relays if it has them."""
 
     def __init__(self, day: Day, clock: Clock, recorder: Recorder, seed: int = 1) -> None:
         self.day = day
         self.relays = Relays(clock, Random(f"{seed}/relays").random) if day.relays else None
         self.gauge = Gauge(clock, recorder, self.relays) if self.relays is not None else None
-        self.faults: dict[int, list[Fault]] = {}  # by the trouble that makes them
+        self.faults: dict[int, list[Fault]] = {}  # by the number of the scenario's fault
         self.clock = clock
         self.recorder = recorder
         racks = day.front.fleet.racks
@@ -54,7 +54,7 @@
             self._add(i)
 
     def _add(self, line: int) -> StandInBox:
-        # A successor has its forerunner's place, also where that one was a successor itself.
+        # A replacement takes the configuration of the server it replaces, also if that was a replacement.
         settings, spec = self.day.front, self.day.boxes[line % len(self.day.boxes)]
         streams = {kind.name: kind.streams for kind in settings.fleet.kinds}[spec.kind]
         rack = self.racks[spec.cell % len(self.racks)]
@@ -89,7 +89,7 @@
         return box
 
     def start(self) -> None:
-        """Start all stand-ins and publish the first list."""
+        """Start all emulated peers and publish the first list."""
         for box in self.boxes:
             box.start()
         self.lists.publish(*self.known)
@@ -100,7 +100,7 @@
             self.gauge.start()
 
     def stop(self) -> None:
-        """Stop all stand-ins."""
+        """Stop all emulated peers."""
         if self.gauge is not None:
             self.gauge.stop()
         self.lists.stop()
@@ -110,22 +110,22 @@
             box.stop()
 
     def party(self, front: int) -> Party:
-        """What a front is called in faults: as one of the fronts, by its number, by its hall."""
+        """The names of a front in faults: the group of fronts, its number and its zone."""
         halls = self.day.halls or [self.day.front.instance.zone]
         return frozenset({"fronts", f"front-{front}", halls[front % len(halls)]})
 
     def front_door(self, front: int, address: str) -> str:
-        """Where viewers find a front that listens there."""
+        """The address at which clients reach a front that listens there."""
         return self.relays.door(address, self.party(front)) if self.relays is not None else address
 
     def company(self, addresses: list[str]) -> list[list[str]]:
-        """For fronts that listen for each other at these addresses: the addresses as each is to know them."""
+        """For fronts with these peer addresses: the addresses of all peers as each front has to know them."""
         if self.relays is None:
             return [addresses for _ in addresses]
         return self.relays.post(addresses, [self.party(i) for i in range(len(addresses))])
 
     def fault(self, number: int, trouble: Trouble, on: bool) -> None:
-        """A trouble between parties begins or ends."""
+        """Start or end a network fault between parties."""
         told = trouble.between
         assert told is not None and self.relays is not None
         ways = [(told.sender, told.taker)] + ([(told.taker, told.sender)] if told.both else [])
@@ -138,7 +138,7 @@
         self.relays.set(*[fault for faults in self.faults.values() for fault in faults])
 
     def late(self, front: int, late_ms: float) -> None:
-        """What this front sends to boxes comes so late from now on; 0: no more."""
+        """Delay what this front sends to servers from now on; 0 ends the delay."""
         if self.relays is None or bool(late_ms) is (-1 - front in self.faults):
             return
         party = f"front-{front}"
@@ -152,24 +152,24 @@
         self.relays.set(*[fault for faults in self.faults.values() for fault in faults])
 
     def shut(self, address: str, gone: bool = True) -> None:
-        """What listens behind this address is gone, or back."""
+        """Make the relay at this address refuse connections, or accept them again."""
         if self.relays is not None:
             (self.relays.shut if gone else self.relays.open)(address)
 
     def carried(self) -> None:
-        """Write down what the relays carried."""
+        """Record what the relays carried."""
         if self.relays is not None:
             self.recorder.note("carried", **self.relays.told())
 
     def share_of(self, address: str) -> float:
-        """What share of its rate a player at this box gets."""
+        """The share of its rate that a player at this server gets."""
         for box in self.boxes:
             if box.address == address:
                 return box.model.delivered() if box.model.up and not box.faults.hang else 0.0
         return 1.0
 
     def switch(self, trouble: Trouble, on: bool) -> None:
-        """Begin or end a trouble."""
+        """Start or end a fault."""
         switch = SWITCHES[trouble.what]
         self.recorder.note("trouble", kind=trouble.what, box=trouble.box, on=on)
         if on:
@@ -178,11 +178,11 @@
             switch.end(self, trouble)
 
     def box(self, trouble: Trouble) -> StandInBox:
-        """The box that a trouble concerns."""
+        """The server that a fault concerns."""
         return self.boxes[trouble.box or 0]
 
     def list_state(self, trouble: Trouble, state: State) -> None:
-        """The list says so from now on."""
+        """Publish a new state for the server of a fault."""
         number = trouble.box or 0
         self.known[number] = replace(self.known[number], state=state)
         self.lists.publish(self.known[number])
@@ -244,7 +244,7 @@
 
 
 def _replace(rig: Rig, trouble: Trouble) -> None:
-    """The box drains and leaves; a cold one of another address takes its place."""
+    """Drain a server and add a cold one with another address in its place."""
     number = trouble.box or 0
     successor = rig._add(number)
     successor.model.start(rig.clock.now_us())
--- a/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
+++ b/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
@@ -1,4 +1,4 @@
-"""Every message of a front, held against its descriptions as it passes."""
+"""Checks every message of a front against the published API descriptions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DescribedWitness:
-    """Writes down what no description mentions; the judge takes each for a break."""
+    """Records whatever the descriptions do not cover; the checker reports each as a violation."""
 
     def __init__(self, recorder: Recorder) -> None:
         self.recorder = recorder
@@ -19,11 +19,11 @@
         self.socket = Described(asyncapi.document())
 
     def answer(self, method: str, path: str, status: int, media: str, body: Any) -> None:
-        """An answer of the HTTP door."""
+        """Check a response of the HTTP interface."""
         self._note(self.http.answer(method, path, status, media, body))
 
     def message(self, told: dict[str, Any]) -> None:
-        """A message of the WebSocket door."""
+        """Check a message of the WebSocket interface."""
         self._note(self.socket.message(told))
 
     def _note(self, amiss: list[str]) -> None:
--- a/packages/scenarios/src/fennelcove/scenarios/script.py
+++ b/packages/scenarios/src/fennelcove/scenarios/script.py
@@ -1,4 +1,4 @@
-"""What a day's script may say. Times in seconds from the day's start, rates in kB a second."""
+"""The format of scenario scripts. Times are in seconds from the scenario's start, rates in kB per second."""
 
 from __future__ import annotations
 
@@ -50,8 +50,8 @@
     "between",
     "order",
 ]
-# What a trouble waits for past its time: the plan's halt or end as fronts tell an operator, that so many
-# fronts have ended by themselves, or that a place is written off.
+# What a fault waits for after its time: the plan's halt or end as fronts report it to operators, a number of
+# fronts that have ended by themselves, or a front that is written off.
 Until = Literal["halted", "over", "out-1", "out-2", "out-3", "out-4", "off"]
 Ways = Literal["silent", "reset", "refuse", "delay", "throttle", "cut", "lose", "double", "reorder"]
 Parties = Annotated[str, Meta(min_length=1, max_length=400, pattern=r"^[A-Za-z0-9._|-]+$")]
@@ -62,17 +62,17 @@
 
 
 class BoxLine(Strict, frozen=True, kw_only=True):
-    """One stand-in box; its rack is its cell, modulo the racks."""
+    """One emulated server; its rack is its cell modulo the number of racks."""
 
     cell: Count
     zone: Name
     kind: Name
     link_kb: SomeFigure
-    knee: SomeCount | None = None  # as the rig's, of this box
+    knee: SomeCount | None = None  # overrides the rig's knee for this server
 
 
 class Crowd(Strict, frozen=True, kw_only=True):
-    """Viewers that come at random moments between two times."""
+    """Clients that arrive at random moments between two times."""
 
     room_type: Name
     titles: Annotated[list[Name], Meta(min_length=1)]
@@ -88,25 +88,25 @@
     vanish: Share = 0.0
     top_kbit: SomeCount | None = None
     tempers: list[Literal["obeys", "half", "hasty", "drops", "forges"]] = field(default_factory=list)
-    plays: bool = False  # reads manifests and fetches segments
-    sockets: Share = 0.0  # of those that do not play, who ask over WebSocket
-    apart: Share = 0.0  # of those that play, who ask for interstitials
+    plays: bool = False  # the clients read manifests and fetch segments
+    sockets: Share = 0.0  # share of non-playing clients that use WebSocket
+    apart: Share = 0.0  # share of playing clients that request interstitials
     tenant: Annotated[str, Meta(max_length=64)] = ""
-    fronts: list[Count] = field(default_factory=list)  # that they come to; all where none is named
+    fronts: list[Count] = field(default_factory=list)  # the fronts that they use; empty: all
 
 
 class TenantBar(Strict, frozen=True, kw_only=True):
-    """What a day's tenants are to get beside the hog, from when it comes."""
+    """What the other tenants must be served from when the overloading tenant (the hog) arrives."""
 
     hog: Name
     from_s: Seconds
-    served: Share  # of each neighbour's viewers
-    wait_ms: SomeFigure  # of its waits the longest but one in a hundred
-    fills: SomeCount = 1  # joins that must have been out at one box, or the hog was none
+    served: Share  # the least share of each other tenant's clients
+    wait_ms: SomeFigure  # limit for the 99th percentile of its waits
+    fills: SomeCount = 1  # attempts in flight at one server that show the hog's overload
 
 
 class ChangeLine(Strict, frozen=True, kw_only=True):
-    """A change that the day's author makes, or takes back."""
+    """A playlist change that the scenario's author submits or deletes."""
 
     at_s: Seconds
     kind: Literal["insert", "replace", "cut", "remove"]
@@ -115,12 +115,14 @@
     clip: Name | None = None
     at: str | None = None
     until: str | None = None
-    wall_in_s: Seconds | None = None  # in place of `at`: so long after it is sent
+    wall_in_s: Seconds | None = None  # instead of `at`: the time from when it is sent
 
 
 class Between(Strict, frozen=True, kw_only=True):
-    """A fault of the relays: what `sender` sends to `taker`. Parties are `all`, `fronts`, `boxes`, `lists`,
-    `viewers`, a hall, `front-3`, `box-2`, or several with `|` between.
+    """A network fault that relays apply to what `sender` sends to `taker`.
+
+    Parties are `all`, `fronts`, `boxes`, `lists`, `viewers`, a zone, `front-3`, `box-2`, or several separated
+    by `|`.
     """
 
     sender: Parties
@@ -131,92 +133,90 @@
 
 
 class Power(Strict, frozen=True, kw_only=True):
-    """Every front, box and the list service die in one moment; when and how they return, in seconds after."""
+    """A loss of power for all fronts, servers and the list service; restarts are in seconds after it."""
 
     boxes_back_s: Span
     fronts_back_s: Span
     lists_back_s: Seconds = 0.0
-    boxes_never: Count = 0  # the last ones of the script
+    boxes_never: Count = 0  # servers that never restart, from the end of the script's list
     fronts_never: Count = 0
-    boxes_spared: Count = 0  # the first ones of the script: they were never down
-    # What each front finds of its folder, one after the other: as it was, with a torn tail, as it was when
-    # the day began, or nothing.
+    boxes_spared: Count = 0  # servers that stay up, from the start of the script's list
+    # The store of each front in turn after the loss: unchanged, with a truncated tail, as it was when the
+    # scenario began, or deleted.
     folders: list[Literal["kept", "torn", "old", "gone"]] = field(default_factory=lambda: ["kept"])
     clocks_s: list[Annotated[float, Meta(ge=-86_400, le=86_400)]] = field(default_factory=list)
-    lists_before: bool = False  # the list service returns with what it knew when the day began
-    lists_learn_s: Seconds = 0.0  # and learns so long after its return what there is
+    lists_before: bool = False  # the list service restarts with its initial list
+    lists_learn_s: Seconds = 0.0  # and publishes the current one this long after its restart
 
 
 class Version(Strict, frozen=True, kw_only=True):
-    """What fronts are like that the supervisor starts with a version; what is not stated is as in the day."""
+    """The behaviour of fronts that run a version; what is left out is as in the scenario's settings."""
 
     number: SomeCount
-    held: SomeCount | None = None  # subscriptions that one holds: past it set-ups are refused
-    late_ms: Figure = 0.0  # how late what it sends to boxes comes there
-    hangs: list[Count] = field(default_factory=list)  # fronts that stand still in their start with it
+    held: SomeCount | None = None  # limit of sessions per front; further set-ups are rejected
+    late_ms: Figure = 0.0  # delay of what it sends to servers
+    hangs: list[Count] = field(default_factory=list)  # fronts that hang during startup with it
     hangs_s: Seconds = 600.0
-    refused: bool = False  # its settings are amiss: the front says so and ends
+    refused: bool = False  # its settings are invalid, so the front exits with an error
 
 
 class Release(Strict, frozen=True, kw_only=True):
-    """What a day's releases have to come to, as its judge sees it."""
+    """The outcome that the checker expects of a scenario's rollouts."""
 
     wanted: SomeCount = 2
-    ends: Literal["all", "none", "some"] = "all"  # that run it in the end; some: one or more
-    lost: list[Count] = field(default_factory=list)  # fronts that are not asked about then
-    most: SomeCount | None = None  # fronts that ever ran it: whoever is halted goes no further
-    restart_ms: Figure = 300.0  # what the supervisor takes
-    know_ms: Figure = 4500.0  # by then a front knows who has crashed, and counts it
-    know_box_ms: Figure = 8000.0  # the same of a box
-    boxes: Count = 0  # how many of them have to be taken out
+    ends: Literal["all", "none", "some"] = "all"  # fronts that run it in the end; some: at least one
+    lost: list[Count] = field(default_factory=list)  # fronts excluded from that
+    most: SomeCount | None = None  # limit of fronts that ever ran it, as a halt stops it
+    restart_ms: Figure = 300.0  # delay of a restart by the supervisor
+    know_ms: Figure = 4500.0  # time by which fronts have detected a crashed front and count it
+    know_box_ms: Figure = 8000.0  # the same for a server
+    boxes: Count = 0  # servers that have to be taken out
 
 
 class SlotDay(Strict, frozen=True, kw_only=True):
-    """What joins out at boxes have to come to, as the judge sees it from the boxes."""
+    """The limits for attempts in flight at servers."""
 
-    over: SomeFigure = 2.5  # times its knee, that may be out at a box
-    learn_s: Seconds = 8.0  # after the day's begin, or a knee's change
-    late: Share = 0.02  # of set-ups that boxes were given, those that fronts gave up
+    over: SomeFigure = 2.5  # limit in flight at a server, as a multiple of its knee
+    learn_s: Seconds = 8.0  # unchecked time after the scenario's start or a change of the knee
+    late: Share = 0.02  # limit for the share of attempts that fronts cancel
 
 
 class Trouble(Strict, frozen=True, kw_only=True):
-    """Something that goes wrong; `box` counts the boxes as the script lists them, and the fronts where it
-    concerns one.
-    """
+    """A scheduled fault; `box` is the index of a server in the script, or of the front that it concerns."""
 
     at_s: Seconds
     what: What
     box: Count | None = None
     for_s: Seconds = 0.0
     value: Figure = 0.0
-    fronts: list[Count] = field(default_factory=list)  # in place of `box`, several at once
+    fronts: list[Count] = field(default_factory=list)  # several fronts at once, instead of `box`
     between: Between | None = None
     power: Power | None = None
-    until: Until | None = None  # it waits for that, beside its time
-    leader: bool = False  # of all fronts the one that leads a plan, by what they tell an operator
-    order: list[str] = field(default_factory=list)  # of an operator: words after `fennelcove fleet`
+    until: Until | None = None  # a condition it waits for after its time
+    leader: bool = False  # the target is the front that leads a plan, as fronts report it to operators
+    order: list[str] = field(default_factory=list)  # an operator's arguments to `fennelcove fleet`
 
 
 class Rig(Strict, frozen=True, kw_only=True):
-    """How the stand-ins behave where the front's settings do not tell."""
+    """The behaviour of the emulated peers, beside what the front's settings define."""
 
     fall_multiple: SomeFigure = 2.0
     tip_after_ms: SomeFigure = 3000.0
     list_late_ms: Figure = 0.0
-    hold_ms: Figure = 0.0  # a set-up takes
+    hold_ms: Figure = 0.0  # duration of a set-up
     slow_titles: list[Name] = field(default_factory=list)
-    slow_hold_ms: Figure = 0.0  # one of these
-    knee: Count = 0  # set-ups at once at a box, past which each takes longer in proportion; 0: never
+    slow_hold_ms: Figure = 0.0  # duration of a set-up of a slow title
+    knee: Count = 0  # concurrent set-ups at a server beyond which each takes proportionally longer; 0: none
     uplink_kb: SomeFigure
 
 
 class Day(Strict, frozen=True, kw_only=True):
-    """A whole day."""
+    """A scenario."""
 
     HEAD: ClassVar[str] = "day"
 
     name: Name
-    like: Name | None = None  # a day of the program; what is left out here is as there
+    like: Name | None = None  # a built-in scenario that supplies what is left out here
     seconds: SomeFigure
     service_floor: Share
     front: FrontSettings
@@ -226,10 +226,10 @@
     troubles: list[Trouble] = field(default_factory=list)
     changes: list[ChangeLine] = field(default_factory=list)
     fronts: Annotated[int, Meta(ge=1, le=32)] = 1
-    halls: list[Name] = field(default_factory=list)  # of the fronts, one after the other
-    relays: bool = False  # all parties speak through relays, where faults can be put
-    company: bool = False  # every front is told of the others
-    settle_within_s: Figure | None = None  # after the last crowd has come
+    halls: list[Name] = field(default_factory=list)  # zones of the fronts, assigned in turn
+    relays: bool = False  # all traffic passes through relays that can inject faults
+    company: bool = False  # every front knows its peers' addresses
+    settle_within_s: Figure | None = None  # limit for refusals after the last crowd
     stall_limit_ms: Figure | None = None
     tenants: TenantBar | None = None
     release: Release | None = None
@@ -238,16 +238,16 @@
 
 
 def names() -> list[str]:
-    """The days that come with the program."""
+    """The names of the built-in scenarios."""
     folder = resources.files("fennelcove.scenarios") / "scripts"
     return sorted(item.name.removesuffix(".sexp") for item in folder.iterdir() if item.name.endswith(".sexp"))
 
 
 def read(name: str) -> Day:
-    """A day that comes with the program, or one of the user's own: a path that ends in `.sexp`.
+    """Read a built-in scenario, or a file whose path ends in `.sexp`.
 
     Raises:
-        SettingsError: no such day, or one that is amiss.
+        SettingsError: the scenario does not exist or is invalid.
     """
     if name.endswith(".sexp"):
         try:
@@ -272,7 +272,7 @@
 
 
 def _as_told(day: Day) -> FrontSettings:
-    """The settings as the first front is told them, where the day adds the others."""
+    """The settings of the first front, with the peers that the scenario adds."""
     front = day.front
     if day.fronts == 1 or front.releases is None:
         return front
@@ -285,21 +285,24 @@
 
 
 def day_amiss(day: Day) -> Iterator[str]:
-    """What no single type can refuse in a day."""
+    """Yield the faults of a scenario that its types can't reject."""
     for i, trouble in enumerate(day.troubles):
         at, concerns_front = f"troubles[{i}]", trouble.what.startswith("front-")
         if trouble.box is not None and not concerns_front and trouble.box >= len(day.boxes):
-            yield f"{at}.box: found {trouble.box} of {len(day.boxes)} boxes"
+            yield f"{at}.box: found index {trouble.box}, but there are {len(day.boxes)} servers; count from 0"
         if any(number >= day.fronts for number in trouble.fronts):
-            yield f"{at}.fronts: found {max(trouble.fronts)} of {day.fronts} fronts; count from 0"
+            yield (
+                f"{at}.fronts: found index {max(trouble.fronts)}, but there are {day.fronts} fronts; "
+                "count from 0"
+            )
         if trouble.what == "between" and (trouble.between is None or not day.relays):
-            yield f"{at}.between: state who from whom and how, in a day with (relays true)"
+            yield f"{at}.between: found none or no relays; state sender, taker and how, and set (relays true)"
         if trouble.what == "order" and not trouble.order:
-            yield f"{at}.order: found no words; state what follows `fennelcove fleet`"
+            yield f"{at}.order: found no arguments; state the arguments to `fennelcove fleet`"
         if trouble.what == "power":
             if trouble.power is None:
-                yield f"{at}.power: found none; state when boxes and fronts return"
+                yield f"{at}.power: found none; state when servers and fronts restart"
             elif trouble.power.boxes_never + trouble.power.boxes_spared >= len(day.boxes):
-                yield f"{at}.power: found no box that returns; there are {len(day.boxes)}"
+                yield f"{at}.power: found no server that restarts; there are {len(day.boxes)}"
             elif trouble.power.fronts_never >= day.fronts:
-                yield f"{at}.power: found no front that returns; there are {day.fronts}"
+                yield f"{at}.power: found no front that restarts; there are {day.fronts}"
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/cold-fleet.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/cold-fleet.sexp
@@ -1,4 +1,4 @@
-;; Half of the boxes start anew within a second under full load.
+;; Half of the servers restart within a second under full load.
 (day
   (name "cold-fleet")
   (seconds 12)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/crowd.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/crowd.sexp
@@ -1,4 +1,4 @@
-;; A crowd comes for one title that three cells hold.
+;; A crowd requests one title that three cells store.
 (day
   (name "crowd")
   (seconds 14)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/drain.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/drain.sexp
@@ -1,4 +1,4 @@
-;; Boxes drain one after another; the fleet's last third stays.
+;; Servers drain one after another; the last third of the fleet stays.
 (day
   (name "drain")
   (seconds 12)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/evening.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/evening.sexp
@@ -1,4 +1,4 @@
-;; An ordinary evening with one of each trouble: what `make demo` plays.
+;; Ordinary load with one fault of each kind; run by `make demo`.
 (day
   (name "evening")
   (seconds 16)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/flood-kill.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/flood-kill.sexp
@@ -1,4 +1,4 @@
-;; Two of the four fronts are killed in the middle of the flood.
+;; Two of four fronts are killed in the middle of the overload.
 (day
   (name "flood-kill")
   (like "flood")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/flood-slow-box.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/flood-slow-box.sexp
@@ -1,4 +1,4 @@
-;; One box is slow to all, one to a single front, and a front stands still for 4 s in the flood.
+;; One server is slow for all fronts, one for a single front, and a front is paused for 4 s during the overload.
 (day
   (name "flood-slow-box")
   (like "flood")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/flood-split.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/flood-split.sexp
@@ -1,4 +1,4 @@
-;; The fronts are cut into two halves in the middle of the flood, and their messages come out of order.
+;; The fronts are partitioned into two halves in the middle of the overload, and their messages arrive out of order.
 (day
   (name "flood-split")
   (like "flood")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/flood-sums.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/flood-sums.sexp
@@ -1,5 +1,5 @@
-;; In the flood two boxes are slow and the list service resets every connection: further joins and list calls of all
-;; fronts stay within the budgets of the whole fleet.
+;; During the overload two servers are slow and the list service resets every connection. Further attempts and list
+;; requests of all fronts stay within the budgets of the fleet.
 (day
   (name "flood-sums")
   (like "flood")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/flood.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/flood.sexp
@@ -1,4 +1,5 @@
-;; Three times the usual load for eight seconds, half of it hasty, on four fronts that shed as one.
+;; Three times the usual load for eight seconds, half of it from clients that retry too early, on four fronts that shed
+;; load by a shared policy.
 (day
   (name "flood")
   (like "power-loss")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/front-kill.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/front-kill.sexp
@@ -1,4 +1,4 @@
-;; A front that remembers, killed without warning three times and started again on the same folder.
+;; A front with a store is killed without warning three times and restarted on the same store.
 (day
   (name "front-kill")
   (seconds 14)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/front-restart.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/front-restart.sexp
@@ -1,4 +1,4 @@
-;; The front is stopped and started again, then killed and started again.
+;; The front is stopped and restarted, then killed and restarted.
 (day
   (name "front-restart")
   (seconds 14)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/hang.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/hang.sexp
@@ -1,4 +1,4 @@
-;; Three of nine boxes stand still for a while, one after another.
+;; Three of nine servers hang for a while, one after another.
 (day
   (name "hang")
   (seconds 12)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/liar.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/liar.sexp
@@ -1,4 +1,4 @@
-;; One box reports itself full and goes on accepting; one reports itself empty and is not; one stops reporting.
+;; One server reports that it is full but accepts sessions; one reports that it is idle but is not; one stops reporting.
 (day
   (name "liar")
   (seconds 12)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/power-few.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/power-few.sexp
@@ -1,4 +1,4 @@
-;; A power loss after which five of twelve fronts stay away: what they leave is there for the others.
+;; A power loss after which five of twelve fronts stay down; the capacity that they leave unused is free for the others.
 (day
   (name "power-few")
   (like "power-loss")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/power-lists.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/power-lists.sexp
@@ -1,4 +1,4 @@
-;; A power loss after which the list service is the last to return, and knows only the list of before.
+;; A power loss after which the list service restarts last and knows only the list from before.
 (day
   (name "power-lists")
   (like "power-loss")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/power-loss.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/power-loss.sexp
@@ -1,5 +1,5 @@
-;; Twelve fronts and eighteen boxes at nine tenths of what the boxes hold lose their power in one moment. Boxes
-;; and fronts return in any order, two boxes and a front never, folders torn, old or gone, clocks off.
+;; Twelve fronts and eighteen servers at nine tenths of the servers' capacity lose power at the same moment. They restart in
+;; random order; two servers and a front never do. Stores are truncated, old or deleted, and clocks are wrong.
 (day
   (name "power-loss")
   (seconds 50)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/power-short.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/power-short.sexp
@@ -1,4 +1,4 @@
-;; A power loss small enough for every change: four fronts, six boxes, folders torn and gone.
+;; A power loss small enough to run on every change: four fronts, six servers, stores truncated and deleted.
 (day
   (name "power-short")
   (like "power-loss")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/power-split.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/power-split.sexp
@@ -1,4 +1,4 @@
-;; A power loss with one hall cut off from the other's fronts and boxes until long after the return.
+;; A power loss with one zone partitioned from the other's fronts and servers until long after the restart.
 (day
   (name "power-split")
   (like "power-loss")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/power-twice.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/power-twice.sexp
@@ -1,4 +1,4 @@
-;; The power goes a second time while the fleet still takes it slowly; later a front stands still for 5 s.
+;; The power is lost a second time while the fleet still ramps up; later a front is paused for 5 s.
 (day
   (name "power-twice")
   (like "power-loss")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/release-bad.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/release-bad.sexp
@@ -1,5 +1,5 @@
-;; The version wanted serves but badly: it holds three subscriptions and refuses the others. Its canary halts the plan,
-;; and the operator goes back.
+;; The wanted version serves badly: it accepts three sessions and rejects the others. Its canary halts the plan, and the
+;; operator rolls back.
 (day
   (name "release-bad")
   (like "release")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/release-boxes.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/release-boxes.sexp
@@ -1,5 +1,5 @@
-;; Two operators want a box out at the same moment, and a third one: one goes after the other, each when the one before is
-;; warm again.
+;; Two operators request to take out a server at the same moment, and later a third server: they are taken out one after
+;; the other, each when the previous one is warm again.
 (day
   (name "release-boxes")
   (like "release")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/release-hall.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/release-hall.sexp
@@ -1,5 +1,5 @@
-;; A hall is lost in the middle of a wave: two of five fronts and half of the boxes. What that does to viewers halts
-;; the plan; when all are back the operator lets it go on, and what boxes that warm up refuse may halt it again.
+;; A zone is lost in the middle of a wave: two of five fronts and half of the servers. The effect on clients halts the plan.
+;; When all are up again the operator resumes it, and rejections by servers that warm up may halt it again.
 (day
   (name "release-hall")
   (like "release")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/release-hung.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/release-hung.sexp
@@ -1,5 +1,5 @@
-;; The second front hangs in its restart: the old process is gone, the new one never gets anywhere. The plan halts by
-;; itself, the operator writes the front off and goes back.
+;; The second front hangs during its restart: the old process has ended and the new one never serves. The plan halts by
+;; itself; the operator writes the front off and rolls back.
 (day
   (name "release-hung")
   (like "release")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/release-leader.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/release-leader.sexp
@@ -1,4 +1,4 @@
-;; The front that leads the plan is killed after the second went out; another carries the plan on.
+;; The front that leads the plan is killed after the second front was taken out; another one continues the plan.
 (day
   (name "release-leader")
   (like "release")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/release-split.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/release-split.sexp
@@ -1,4 +1,4 @@
-;; In the middle of a wave two of five fronts are cut off from the others, and messages come out of order.
+;; In the middle of a wave, two of five fronts are partitioned from the others, and messages arrive out of order.
 (day
   (name "release-split")
   (like "release")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/release.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/release.sexp
@@ -1,4 +1,4 @@
-;; Five fronts go over to another version one by one, each by a permit of the others, while viewers come.
+;; Five fronts are updated to another version one by one, each by a permit of the others, under load.
 (day
   (name "release")
   (like "power-short")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/slots-learn.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/slots-learn.sexp
@@ -1,5 +1,5 @@
-;; Four fronts learn, from six joins on, what six boxes take: set-ups cost time, and each box has a knee. No box gets many
-;; more joins at once than its knee bears, and none waits out its time.
+;; Four fronts learn the capacity of six servers, starting from six attempts each. Set-ups take time and each server has a
+;; knee. No server gets many more concurrent attempts than its knee allows, and no request times out while it waits.
 (day
   (name "slots-learn")
   (like "flood")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/slots-liar.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/slots-liar.sexp
@@ -1,5 +1,5 @@
-;; One front of five ends, and from its address come any number, any figures, asks for all slots, and loans that nobody
-;; asked for.
+;; One front of five ends. From its address come false messages: arbitrary counts and figures, requests for all slots, and
+;; loans that no front has requested.
 (day
   (name "slots-liar")
   (like "slots-learn")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/slots-shift.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/slots-shift.sexp
@@ -1,4 +1,4 @@
-;; A third of the boxes takes half of what it took, and later all of it again.
+;; A third of the servers drops to half of its capacity and later returns to all of it.
 (day
   (name "slots-shift")
   (like "slots-learn")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/slots-split.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/slots-split.sexp
@@ -1,5 +1,5 @@
-;; The fronts of one hall hear nothing of the others' for ten seconds: half of the waits is hidden, and slots that were
-;; lent lapse.
+;; The fronts of one zone receive no messages of the others for ten seconds: half of the waiting requests is unknown to
+;; each side, and slot loans expire.
 (day
   (name "slots-split")
   (like "slots-learn")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/stitch-drain.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/stitch-drain.sexp
@@ -1,4 +1,4 @@
-;; Stitched lessons while boxes drain, one dies, and the front is started anew.
+;; Stitched titles while servers drain, one goes down, and the front is restarted.
 (day
   (name "stitch-drain")
   (seconds 20)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/stitch.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/stitch.sexp
@@ -1,4 +1,4 @@
-;; Players on stitched lessons: insertions, a replacement, a cut, two authors that clash, a change taken back.
+;; Players of stitched titles: insertions, a replacement, a cut, conflicting changes by two authors, a deleted change.
 (day
   (name "stitch")
   (seconds 20)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/storm-cold.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/storm-cold.sexp
@@ -1,4 +1,4 @@
-;; A hall comes back at once, twenty times the usual pace, just as a third of the boxes start anew.
+;; The clients of a zone reconnect at twenty times the usual rate, just as a third of the servers restarts.
 (day
   (name "storm-cold")
   (seconds 40)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/storm-hall.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/storm-hall.sexp
@@ -1,4 +1,4 @@
-;; A hall comes back: fifty times the usual pace, more than all boxes together hold at their lowest rung.
+;; The clients of a zone reconnect at fifty times the usual rate: more than all servers can serve at the lowest rung.
 (day
   (name "storm-hall")
   (seconds 60)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/storm-restart.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/storm-restart.sexp
@@ -1,4 +1,4 @@
-;; A storm in which half of the fronts are killed and know nothing when they are back.
+;; A retry storm in which half of the fronts are killed and restart without state.
 (day
   (name "storm-restart")
   (seconds 40)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/storm-titles.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/storm-titles.sexp
@@ -1,4 +1,4 @@
-;; A crowd of twenty times the usual pace for one title that three cells hold.
+;; A crowd of twenty times the usual rate for one title that three cells store.
 (day
   (name "storm-titles")
   (seconds 40)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/tenant-hog-split.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/tenant-hog-split.sexp
@@ -1,4 +1,4 @@
-;; The same while the fronts are cut into two halves, and their messages come late and twice.
+;; As tenant-hog, while the fronts are partitioned into two halves and their messages arrive late and twice.
 (day
   (name "tenant-hog-split")
   (like "tenant-hog")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/tenant-hog.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/tenant-hog.sexp
@@ -1,5 +1,5 @@
-;; Four fronts, two boxes with sixteen slots each. From the fifth second on one tenant asks ten times over, half of it
-;; for titles whose set-ups take four times as long; three neighbours go on as before.
+;; Four fronts, two servers with sixteen slots each. From the fifth second on, one tenant sends ten times its requests, half
+;; of them for titles whose set-ups take four times as long; three other tenants keep their usual load.
 (day
   (name "tenant-hog")
   (seconds 20)
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/tenant-hop.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/tenant-hop.sexp
@@ -1,4 +1,4 @@
-;; All of the hog comes to one front, then to the next; its neighbours come to all.
+;; All clients of the hog use one front, then the next; clients of the other tenants use all fronts.
 (day
   (name "tenant-hop")
   (like "tenant-hog")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/tenant-stopped.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/tenant-stopped.sexp
@@ -1,4 +1,4 @@
-;; A front is stopped where it stands, with slots out at every box, while the hog is there; it goes on after five seconds.
+;; A front is paused while it uses slots at every server and the hog sends its load; it continues after five seconds.
 (day
   (name "tenant-stopped")
   (like "tenant-hog")
--- a/packages/scenarios/src/fennelcove/scenarios/scripts/watch-hang.sexp
+++ b/packages/scenarios/src/fennelcove/scenarios/scripts/watch-hang.sexp
@@ -1,5 +1,5 @@
-;; Two boxes stand still, one after the other, while a path of one front is bad, messages are lost and late, and a front
-;; stands still itself: its watchers find a box gone for all, and nobody else for the bad path.
+;; Two servers hang one after the other while one front has a bad path, messages are lost and late, and a front is paused.
+;; The health checks mark the hung servers as down for all fronts, and no server because of the bad path.
 (day
   (name "watch-hang")
   (like "power-loss")
--- a/packages/scenarios/src/fennelcove/scenarios/server_outages.py
+++ b/packages/scenarios/src/fennelcove/scenarios/server_outages.py
@@ -1,4 +1,4 @@
-"""Which boxes are out at each moment: drained by a permit, dead, or cold. From the stand-ins alone."""
+"""Which servers are out at each moment (drained by a permit, down or cold), from their own records alone."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Away:
-    """A time in which a box was out."""
+    """An interval in which a server was out."""
 
     box: str
     since: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Boxed:
-    """What became of the boxes."""
+    """The outages of servers and the violations."""
 
     taken: int
     most_out: int
@@ -39,7 +39,7 @@
             aways.append(Away(box, t_us, what == "box_taken"))
         elif what == "box_died":
             for away in mine:
-                away.until = NEVER  # it dies while it is cold, or on its way out
+                away.until = NEVER  # it goes down while cold or draining
         elif what == "box_started":
             for away in mine:
                 away.until = t_us + ramp_us
@@ -47,21 +47,21 @@
 
 
 def boxed(records: list[Record], release: Record, over_us: int) -> Boxed:
-    """Judge them all."""
+    """Check all outages against the rollout's limits."""
     terms = next(record for record in records if record["what"] == "terms")
     aways = _aways(records, round(terms.get("ramp_ms", 0.0) * 1000))
     boxes = {record["box"]: record for record in records if record["what"] == "box"}
     taken = [away for away in aways if away.taken]
     faults = [fault for away in taken for fault in _limits(away, aways, boxes, release)]
     if len(taken) < release["boxes"]:
-        reason = f"{len(taken)} boxes were taken out, {release['boxes']} were to be"
+        reason = f"{len(taken)} servers were taken out, expected {release['boxes']}"
         faults.append(Fault(STRUCK, over_us, "", reason))
     most = max((len(_out(aways, away.since)) for away in taken), default=0)
     return Boxed(len(taken), most, faults)
 
 
 def _out(aways: list[Away], t_us: int, know_us: int = 0) -> set[str]:
-    """Who was out then, by permits or known for so long."""
+    """The servers that were out at that time, by permit or detectable for at least `know_us`."""
     return {a.box for a in aways if a.since <= t_us < a.until and (a.taken or a.since <= t_us - know_us)}
 
 
@@ -69,7 +69,7 @@
     out = _out(aways, one.since, round(release["know_box_ms"] * 1000))
     here = boxes[one.box]
     hall = {box for box in out if boxes[box]["zone"] == here["zone"]}
-    counts = [(out, release["boxes_out"], "in all"), (hall, release["boxes_out_hall"], "in its hall")]
+    counts = [(out, release["boxes_out"], "in all"), (hall, release["boxes_out_hall"], "in its zone")]
     for title, cells in release["titles"].items():
         if here["cell"] in cells:
             holders = {box for box, told in boxes.items() if told["cell"] in cells}
@@ -78,5 +78,5 @@
                 yield Fault(OUT, one.since, one.box, f"the last warm box with {title} was taken out")
     for found, limit, where in counts:
         if len(found) > limit:
-            reason = f"taken out as one of {len(found)} boxes {where}, where {limit} may be"
+            reason = f"taken out as one of {len(found)} servers {where}, but {limit} are allowed"
             yield Fault(OUT, one.since, one.box, reason)
--- a/packages/scenarios/src/fennelcove/scenarios/slots.py
+++ b/packages/scenarios/src/fennelcove/scenarios/slots.py
@@ -1,7 +1,7 @@
-"""Joins out at each box over all fronts, from the boxes' own records and nothing that a front says.
+"""Attempts in flight at each server over all fronts, from the servers' records alone.
 
-A join is out from when a box has read it until the box is done with it. One that its front gave up may be
-noticed a moment later than the next one comes: it counts as over a little earlier.
+An attempt is in flight from when a server has read it until the server has finished it. The cancellation of
+one may be noticed after the next one arrives, so a cancelled attempt counts as finished `NOTICE_US` earlier.
 """
 
 from __future__ import annotations
@@ -12,16 +12,18 @@
 import msgspec
 from fennelcove.emulators.recorder import Record
 
-OVER = 12  # no rule of the six: more joins out at a box than its knee bears
-STRUCK = 11  # what the day was played for did not happen
-LATE = 13  # too many joins that were given up
+# Beside the six rules: more attempts in flight at a server than its knee allows; a fault that the scenario
+# requires did not occur; too many attempts were cancelled.
+OVER = 12
+STRUCK = 11
+LATE = 13
 NOTICE_US = 100_000
 GIVEN_UP = ("front_closed", "silent")
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What the judge has to hold against a day."""
+    """One violation."""
 
     rule: int
     t_us: int
@@ -30,16 +32,16 @@
 
 
 class Slots(msgspec.Struct, frozen=True):
-    """What a day of slots came to."""
+    """The attempts of a run and how far they exceeded the servers' knees."""
 
     joins: int
-    late: float  # the share that fronts gave up
-    most: dict[str, int]  # out at once at each box, past the time to learn
-    over: float  # the largest of them over the knee at the time
+    late: float  # the share that fronts cancelled
+    most: dict[str, int]  # in flight at once at each server, after the learning time
+    over: float  # the largest ratio of these to the server's knee at the time
 
 
 def _moments(records: list[Record]) -> Iterator[tuple[int, int, str, int]]:
-    """When, what first of one moment, box, and the change of joins out, or the new knee."""
+    """Yield time, order within one moment, server, and the change of attempts in flight or the new knee."""
     for record in records:
         if record["what"] == "set_up":
             yield record["t_us"], 1, record["box"], 1
@@ -51,7 +53,7 @@
 
 
 def slots(records: list[Record]) -> tuple[Slots, list[Fault]]:
-    """What the boxes saw, and what is held against it."""
+    """Count the attempts in flight at each server and check them against its knee."""
     terms = next(record for record in records if record["what"] == "terms")
     told, names = terms["slots"], terms["troubles"]
     learn_us = round(told["learn_s"] * 1e6)
@@ -73,20 +75,23 @@
         over = out[box] / knee[box]
         if number > 0 and over > told["over"] and over > worst:
             reason = (
-                f"{out[box]} joins out at a box with a knee of {knee[box]}, {told['over']:g} times will do"
+                f"{out[box]} attempts in flight at a server with a knee of {knee[box]}, "
+                f"at most {told['over']:g} times that are allowed"
             )
             faults.append(Fault(OVER, t_us, box, reason))
         worst = max(worst, over)
     ends = [record["how"] for record in records if record["what"] == "set_up_over"]
     late = sum(how in GIVEN_UP for how in ends) / max(1, len(ends))
     if late > told["late"]:
-        faults.append(Fault(LATE, 0, "", f"{late:.3f} of the joins were given up, {told['late']:g} will do"))
+        faults.append(
+            Fault(LATE, 0, "", f"{late:.3f} of the attempts were cancelled, at most {told['late']:g} may be")
+        )
     faults += _struck(records, names)
     return Slots(len(ends), round(late, 4), most, round(worst, 2)), faults
 
 
 def _struck(records: list[Record], names: list[str]) -> Iterator[Fault]:
-    """What the script has and the records have not."""
+    """Check that each fault of the script occurred."""
     if "knee" in names:
         shifts = [record for record in records if record["what"] == "trouble" and record["kind"] == "knee"]
         after = [
@@ -96,7 +101,7 @@
             if record["what"] == "set_up" and record["t_us"] > shift["t_us"]
         ]
         if not shifts or not after:
-            yield Fault(STRUCK, 0, "", "no knee changed while joins came")
+            yield Fault(STRUCK, 0, "", "no knee changed while attempts arrived")
     if "between" in names:
         lost = sum(
             number
@@ -108,13 +113,13 @@
         if not any(record["what"] == "fault" and record["on"] for record in records) or not lost:
             yield Fault(STRUCK, 0, "", "no message between fronts was lost")
     if "slots-lie" in names and not any(r["what"] == "lies" and r["sent"] > 0 for r in records):
-        yield Fault(STRUCK, 0, "", "nobody lied")
+        yield Fault(STRUCK, 0, "", "no false message was sent")
 
 
 def told(found: Slots) -> str:
-    """One line for whoever played it."""
+    """Format the figures for the command line."""
     most = ", ".join(str(number) for number in found.most.values())
     return (
-        f"{found.joins} joins at boxes, {found.late:.3f} given up; most out at once {most}, "
-        f"{found.over:g} times a knee at the worst"
+        f"{found.joins} attempts at servers, {found.late:.3f} cancelled; most in flight at once per server: "
+        f"{most}; at most {found.over:g} times the knee"
     )
--- a/packages/scenarios/src/fennelcove/scenarios/supervisor.py
+++ b/packages/scenarios/src/fennelcove/scenarios/supervisor.py
@@ -1,4 +1,4 @@
-"""Plays the supervisor of all fronts and their operator: starts what has ended, gives orders, looks on."""
+"""Emulates the supervisor of all fronts, which restarts ended ones, and their operator, who runs commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 LOOK_S = 0.05
 ORDER_S = 30.0
-REFUSED = 2  # the status with which a front ends whose settings are amiss
+REFUSED = 2  # exit status of a front whose settings are invalid
 BOX_DRAINS_S = 3.0
 BOX_DOWN_S = 0.5
 TIMES = Times(300_000, 600_000, 1_500_000)
@@ -28,7 +28,7 @@
 
 
 class Supervisor:
-    """One of all fronts. `start` after they have started; `stop` before they are stopped."""
+    """The supervisor of all fronts. `start` it after they have started; `stop` it before they are stopped."""
 
     def __init__(self, rig: Rig, fronts: Fronts, folder: Path, leaving: threading.Event) -> None:
         self.rig = rig
@@ -37,8 +37,8 @@
         self.leaving = leaving
         self.recorder = rig.recorder
         self.stopped = False
-        self.over = False  # the day is: nothing is waited for any more
-        self.ends = 0  # how many have ended by themselves
+        self.over = False  # the scenario has ended, so waits are abandoned
+        self.ends = 0  # fronts that have ended by themselves
         self.ordered = 0
         self.inventory = folder / "fleet.sexp"
         self.thread = threading.Thread(target=self._run, name="supervisor")
@@ -46,17 +46,17 @@
         self.failures: list[DayFailed] = []
 
     def start(self) -> None:
-        """Look after them from now on."""
+        """Start supervising."""
         lines = [FrontLine(name=front.name, address=front.address) for front in self.fronts.all]
         self.lines = lines
         self.inventory.write_text(write(Inventory(fronts=lines)), "utf-8")
         self.thread.start()
 
     def stop(self) -> None:
-        """No more.
+        """Stop supervising.
 
         Raises:
-            DayFailed: a front did not come back.
+            DayFailed: a front did not restart.
         """
         self.stopped = True
         if self.thread.ident is not None:
@@ -113,17 +113,17 @@
             if front.hangs and hung_s >= front.like().hangs_s:
                 front.goes_on()
             if not front.hangs and hung_s > START_S + front.like().hangs_s:
-                raise DayFailed(f"the front did not start again: {front.tail()}")
+                raise DayFailed(f"the front did not restart: {front.tail()}")
 
     def _is_up(self, front: FrontProcess) -> bool:
         try:
             return front.up()
         except DayFailed:
-            if front.struck:  # between the look and this
+            if front.struck:  # since the check above
                 return False
             raise
 
-    # The keeper of the list.
+    # Server replacement.
 
     def _look_for_box(self, front: FrontProcess) -> None:
         told = Path(f"{front.wanted}.box")
@@ -137,7 +137,7 @@
         thread.start()
 
     def _drain_box(self, number: int) -> None:
-        """A box that may be taken: drained by the list, ended, and back in its place, cold."""
+        """Drain a server that a front has a permit for, stop it and restart it cold."""
         rig, box, look = self.rig, self.rig.boxes[number], threading.Event()
         self.recorder.note("box_taken", box=box.address)
         rig.list_state(Trouble(at_s=0, what="leave", box=number), "leaving")
@@ -153,7 +153,7 @@
     # The operator.
 
     def settled(self, release: Release) -> bool:
-        """Whether all orders are given and all fronts run what they have to in the end."""
+        """Whether all operator commands have run and all fronts serve the expected version."""
         orders = sum(trouble.what == "order" for trouble in self.rig.day.troubles)
         asked = [front for front in self.fronts.all if front.index not in release.lost]
         have = [front for front in asked if front.version == release.wanted]
@@ -161,7 +161,7 @@
         return came and self.ordered >= orders and all(front.serves() for front in asked)
 
     def state(self) -> dict[str, Any]:
-        """The plan as the front tells it that knows it newest; empty where none answers."""
+        """The newest state of the plan that any front reports; empty if none responds."""
         call = Call("GET", "/v1/status")
         found: list[dict[str, Any]] = []
         for outcome in ask_all(self.lines, call, TIMES, self.rig.clock, len(self.lines)):
@@ -176,7 +176,7 @@
         return self.fronts.all[state["leader"]] if state.get("leader") is not None else None
 
     def wait(self, trouble: Trouble) -> bool:
-        """Wait for what a trouble waits for; False where the day ends before."""
+        """Wait for a fault's condition; False if the scenario ends before."""
         return trouble.until is None or self._until(self._holds(trouble.until))
 
     def _holds(self, until: str) -> Callable[[], bool]:
@@ -194,7 +194,7 @@
         return True
 
     def order(self, trouble: Trouble) -> None:
-        """Give an order as an operator does, again for `for_s` where it is not taken."""
+        """Run an operator's command, and retry a failed one for `for_s`."""
         began_us = self.rig.clock.now_us()
         words = [sys.executable, "-m", "fennelcove", "fleet", *trouble.order]
         files = {"FENNELCOVE_FLEET": self.inventory, "FENNELCOVE_OPERATOR_KEY": self.folder / "operator.keys"}
@@ -206,7 +206,7 @@
                 )
                 status, said = done.returncode, (done.stdout + done.stderr).splitlines()
             except subprocess.TimeoutExpired:
-                status, said = -1, ["no end"]
+                status, said = -1, [f"the command did not end within {ORDER_S:g} s"]
             self.recorder.note("order", words=trouble.order, status=status, said=said)
             gone_s = (self.rig.clock.now_us() - began_us) / 1e6
             if status == 0 or gone_s >= trouble.for_s or self.leaving.wait(0.5):
--- a/packages/scenarios/src/fennelcove/scenarios/tenants.py
+++ b/packages/scenarios/src/fennelcove/scenarios/tenants.py
@@ -1,5 +1,6 @@
-"""What each tenant got of the boxes' slots, and whether a day kept to its bounds: read off what passed on the
-sockets of boxes and viewers, and of nothing that a front says of itself.
+"""Each tenant's share of the servers' slots, checked against the scenario's limits.
+
+It is derived from what passed on the sockets of servers and clients, not from what fronts report.
 """
 
 from __future__ import annotations
@@ -13,36 +14,38 @@
 from fennelcove.emulators.recorder import Record
 from fennelcove.scenarios.exemptions import SLACK_US
 
-SLOTS = 10  # none of the six rules: joins out at a box over all fronts
-WAITS = 11  # a neighbour's wait
-PARTS = 12  # what neighbours are served of
-STRUCK = 13  # a day whose fault has not struck shows nothing
+# Beside the six rules: attempts in flight at a server over all fronts; waits of other tenants; the share of
+# their clients that is served; a fault that the scenario requires did not occur.
+SLOTS = 10
+WAITS = 11
+PARTS = 12
+STRUCK = 13
 PLAYS = 201
-TIMES = 3  # of a neighbour's set-ups: a hog that asks less is none
+TIMES = 3  # the hog must send at least this multiple of another tenant's requests
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
-    """One tenant's, from when the hog comes."""
+    """The figures of one tenant, from when the hog arrives."""
 
     name: str
     asked: int
-    served: float  # the share of its viewers that play, first tries and further ones together
-    wait_p50_ms: float  # from a set-up's first byte to its box's
+    served: float  # the share of its clients that were served, at the first try or a retry
+    wait_p50_ms: float  # from the request until the attempt reaches its server
     wait_p99_ms: float
     slot_s: float
 
 
 class Tenants(msgspec.Struct, frozen=True, kw_only=True):
-    """All of a day's."""
+    """The figures of all tenants."""
 
     tenants: list[Tenant]
-    most_out: int  # at one box, over all fronts
+    most_out: int  # most attempts in flight at one server, over all fronts
     slots: int
 
 
 @dataclass(slots=True)
 class Fault:
-    """One break of what the day asks."""
+    """One violation; `name` is a session or a tenant."""
 
     rule: int
     t_us: int
@@ -52,7 +55,7 @@
 
 @dataclass(slots=True)
 class Found:
-    """What was seen, and what is wrong with it."""
+    """The figures and the violations."""
 
     shown: Tenants
     faults: list[Fault] = field(default_factory=list)
@@ -68,7 +71,7 @@
 
 
 def tenants(records: list[Record]) -> Found:
-    """The judgement of a day with tenants."""
+    """Compute and check the figures of all tenants."""
     terms = next(record for record in records if record["what"] == "terms")["tenants"]
     began_us = next(record["t_us"] for record in records if record["what"] == "day_began")
     from_us = began_us + round(terms["from_s"] * 1e6)
@@ -101,9 +104,7 @@
 
 
 def _stopped(records: list[Record]) -> dict[str, list[tuple[int, int]]]:
-    """When each front stood still, by the address that viewers have for it: who comes to it then waits for
-    that, and for no slot.
-    """
+    """When each front was paused, by its address for clients; requests to it then wait for no slot."""
     addresses = {r["front"]: r["address"] for r in records if r["what"] == "front_started"}
     found: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for record in records:
@@ -127,7 +128,7 @@
     for id, found in joins.items():
         ask = whose.get(id)
         if ask is None:
-            continue  # its viewer heard no answer: whose it was is not known
+            continue  # its client received no response, so its tenant is unknown
         tenant = ask["tenant"]
         still = any(
             since < found[0].began and ask["t_us"] < until for since, until in stopped.get(ask["front"], ())
@@ -164,13 +165,13 @@
 
 
 def _out(joins: dict[str, list[_Join]], slots: int) -> tuple[int, list[Fault]]:
-    """The most joins that were out at one box, and each moment with more than there are slots."""
+    """The most attempts in flight at one server, and a violation for each moment with more than its slots."""
     moves: dict[str, list[tuple[int, int, str]]] = defaultdict(list)
     for id, found in joins.items():
         for join in found:
             over = join.over if join.over is not None else join.began
             if join.how == "front_closed":
-                over -= SLACK_US  # the box notices late that it was given up
+                over -= SLACK_US  # the server notices the cancellation late
             moves[join.box].append((join.began, 1, id))
             moves[join.box].append((max(join.began, over), -1, id))
     most, faults = 0, []
@@ -180,7 +181,9 @@
             out += change
             most = max(most, out)
             if change > 0 and out > slots:
-                faults.append(Fault(SLOTS, t_us, id, f"{out} joins out at {box}, which has {slots} slots"))
+                faults.append(
+                    Fault(SLOTS, t_us, id, f"{out} attempts in flight at {box}, which has {slots} slots")
+                )
     return most, faults
 
 
@@ -190,11 +193,18 @@
             continue
         if row.served < terms["served"]:
             found.faults.append(
-                Fault(PARTS, from_us, row.name, f"served {row.served}, where {terms['served']} is asked")
+                Fault(
+                    PARTS, from_us, row.name, f"served {row.served}, at least {terms['served']} is required"
+                )
             )
         if row.wait_p99_ms > terms["wait_ms"]:
             found.faults.append(
-                Fault(WAITS, from_us, row.name, f"waits of {row.wait_p99_ms} ms, at most {terms['wait_ms']}")
+                Fault(
+                    WAITS,
+                    from_us,
+                    row.name,
+                    f"waits of {row.wait_p99_ms} ms (p99), at most {terms['wait_ms']} are allowed",
+                )
             )
 
 
@@ -205,7 +215,7 @@
     joins: dict[str, list[_Join]],
     asked: dict[tuple[str, int], Record],
 ) -> None:
-    """Whether what the day is about has happened at all."""
+    """Check that the overload and the faults of the scenario occurred."""
     end_us = records[-1]["t_us"]
 
     def missing(reason: str) -> None:
@@ -214,17 +224,19 @@
     hog = next((row.asked for row in found.shown.tenants if row.name == terms["hog"]), 0)
     others = [row.asked for row in found.shown.tenants if row.name != terms["hog"]]
     if not others or hog < TIMES * median(others):
-        missing(f"the hog asked {hog} times, its neighbours {others}")
+        missing(f"the hog sent {hog} requests, the other tenants {others}")
     if found.shown.most_out < min(terms["slots"], terms["fills"]):
-        missing(f"never more than {found.shown.most_out} of {found.shown.slots} slots were out at a box")
+        missing(
+            f"never more than {found.shown.most_out} of {found.shown.slots} slots of a server were in use"
+        )
     if terms["cut"]:
         carried = [record for record in records if record["what"] == "fault" and record["on"]]
         if not carried:
-            missing("no cut was made")
+            missing("no network fault was injected")
     if terms["hops"]:
         fronts = {ask["front"] for ask in asked.values() if ask["tenant"] == terms["hog"]}
         if len(fronts) < 2:
-            missing("the hog came to one front alone")
+            missing("the hog used one front only")
     if terms["stopped"]:
         stops = [record for record in records if record["what"] == "front_paused"]
         held = [
@@ -235,4 +247,4 @@
             if join.front == stop["front"] and join.began <= stop["t_us"] <= (join.over or end_us)
         ]
         if not held:
-            missing("no front was stopped while it held slots")
+            missing("no front was paused while it used slots")
--- a/tests/test_fair_judge.py
+++ b/tests/test_fair_judge.py
@@ -84,7 +84,7 @@
     def test_more_out_than_slots_over_all_fronts(self) -> None:
         made = evening()
         made.play("hog", 20)
-        self.assert_breaks(made, tenants.SLOTS, "3 joins out at b")
+        self.assert_breaks(made, tenants.SLOTS, "3 attempts in flight at b")
 
     def test_a_neighbour_that_waits_too_long(self) -> None:
         made = evening()
@@ -102,16 +102,16 @@
         for i in range(8):
             made.play("near", i * 1000)
             made.play("hog", i * 1000 + 10)
-        self.assert_breaks(made, tenants.STRUCK, "the hog asked 8 times")
+        self.assert_breaks(made, tenants.STRUCK, "the hog sent 8 requests")
 
     def test_slots_that_were_never_filled_a_cut_and_a_stop_that_were_not_made(self) -> None:
         self.assert_breaks(evening(fills=3, slots=4), tenants.STRUCK, "never more than 2")
-        self.assert_breaks(evening(cut=True), tenants.STRUCK, "no cut")
-        self.assert_breaks(evening(hops=True), tenants.STRUCK, "one front alone")
+        self.assert_breaks(evening(cut=True), tenants.STRUCK, "no network fault")
+        self.assert_breaks(evening(hops=True), tenants.STRUCK, "one front only")
         made = evening(stopped=True)
         made.add(500, "front_paused", front="front-0")
         made.add(700, "front_continued", front="front-0")
-        self.assert_breaks(made, tenants.STRUCK, "no front was stopped while it held slots")
+        self.assert_breaks(made, tenants.STRUCK, "no front was paused while it used slots")
 
 
 if __name__ == "__main__":
