--- a/benchmarks/live_seam.py
+++ b/benchmarks/live_seam.py
@@ -18,7 +18,7 @@
 import msgspec
 from fennelcove.scenarios.checker import judge
 from fennelcove.scenarios.player import DayPlayer
-from fennelcove.scenarios.script import BoxLine, ChangeLine, Crowd, Day, Trouble, read
+from fennelcove.scenarios.script import Crowd, Day, FaultSpec, PlaylistChange, ServerSpec, read
 from fennelcove.settings.schema import MediaSettings, Title
 
 from benchmarks.moving import causes, seen_after
@@ -41,7 +41,7 @@
         rules=msgspec.structs.replace(day.front.rules, budget_free=None, budget_span_ms=0.0),
         limits=msgspec.structs.replace(day.front.limits, connections=4000, waiting=2000, silent_ms=12_000.0),
     )
-    lines = [BoxLine(cell=i % 6, zone="hall-a", kind="four-core", link_kb=12_000.0) for i in range(12)]
+    lines = [ServerSpec(cell=i % 6, zone="hall-a", kind="four-core", link_kb=12_000.0) for i in range(12)]
     crowd = Crowd(
         room_type="live",
         titles=["lesson"],
@@ -54,10 +54,10 @@
         top_rung=1,
     )
     changes = [
-        ChangeLine(at_s=at_s - 4, kind="insert", id=f"c{i}", title="lesson", clip="rest", wall_in_s=4.0)
+        PlaylistChange(at_s=at_s - 4, kind="insert", id=f"c{i}", title="lesson", clip="rest", wall_in_s=4.0)
         for i, at_s in enumerate(SEAMS_S)
     ]
-    dies = Trouble(at_s=SEAMS_S[1] - 0.5, what="die", box=0)
+    dies = FaultSpec(at_s=SEAMS_S[1] - 0.5, what="die", box=0)
     return msgspec.structs.replace(
         day,
         name="live-seam",
--- a/benchmarks/moving.py
+++ b/benchmarks/moving.py
@@ -20,7 +20,7 @@
 from fennelcove.emulators.recorder import Record
 from fennelcove.scenarios.checker import judge
 from fennelcove.scenarios.player import DayPlayer
-from fennelcove.scenarios.script import BoxLine, ChangeLine, Crowd, Day, Trouble, read
+from fennelcove.scenarios.script import Crowd, Day, FaultSpec, PlaylistChange, ServerSpec, read
 from fennelcove.settings.schema import MediaSettings, Title
 
 ARRIVE_S = 10.0
@@ -48,7 +48,7 @@
         rules=msgspec.structs.replace(front.rules, budget_free=None, budget_span_ms=0.0),
         limits=msgspec.structs.replace(front.limits, connections=4000, waiting=2000, silent_ms=12_000.0),
     )
-    lines = [BoxLine(cell=i % 6, zone="hall-a", kind="four-core", link_kb=12_000.0) for i in range(boxes)]
+    lines = [ServerSpec(cell=i % 6, zone="hall-a", kind="four-core", link_kb=12_000.0) for i in range(boxes)]
     crowd = Crowd(
         room_type="recorded",
         titles=["lesson"],
@@ -62,15 +62,17 @@
     )
     replaced = int((seconds - ARRIVE_S - 5) / every_s)
     troubles = [
-        Trouble(at_s=ARRIVE_S + every_s * i, what="replace", box=i, for_s=2.0) for i in range(replaced)
+        FaultSpec(at_s=ARRIVE_S + every_s * i, what="replace", box=i, for_s=2.0) for i in range(replaced)
     ]
     changes = [
-        ChangeLine(
+        PlaylistChange(
             at_s=0.2, kind="insert", id=f"c{i}", title="lesson", clip="rest", at=str((2 + 2 * i) * SEGMENT_S)
         )
         for i in range(count // 2 - 1)
     ]
-    late = ChangeLine(at_s=ARRIVE_S + 5, kind="insert", id="late", title="lesson", clip="rest", wall_in_s=0.5)
+    late = PlaylistChange(
+        at_s=ARRIVE_S + 5, kind="insert", id="late", title="lesson", clip="rest", wall_in_s=0.5
+    )
     return msgspec.structs.replace(
         day,
         name=f"moving-{boxes}",
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -19,7 +19,7 @@
 from fennelcove.emulators.recorder import Record
 from fennelcove.scenarios.checker import judge
 from fennelcove.scenarios.player import DayPlayer
-from fennelcove.scenarios.script import Day, Trouble, read
+from fennelcove.scenarios.script import Day, FaultSpec, read
 from fennelcove.store.directory import Store
 
 AFTER_US = 2_000_000
@@ -30,7 +30,7 @@
     day, chance = read("front-kill"), Random(5)
     at_s, troubles = 3.0, []
     for _ in range(kills):
-        troubles.append(Trouble(at_s=at_s, what="front-kill", for_s=0.1))
+        troubles.append(FaultSpec(at_s=at_s, what="front-kill", for_s=0.1))
         at_s += 2.2 + 0.8 * chance.random()
     crowds = [msgspec.structs.replace(crowd, to_s=min(600.0, at_s)) for crowd in day.crowds]
     front = day.front if remembers else msgspec.structs.replace(day.front, store=None)
--- a/packages/scenarios/src/fennelcove/scenarios/authors.py
+++ b/packages/scenarios/src/fennelcove/scenarios/authors.py
@@ -9,31 +9,35 @@
 from fennelcove.emulators.clients import Player, Unanswered
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.manifests.exact_time import format_wall_time
-from fennelcove.scenarios.script import ChangeLine
+from fennelcove.scenarios.script import PlaylistChange
 
-KEY = "a-key-for-scripted-days-only"
+AUTHOR_KEY = "a-key-for-scripted-days-only"
 
 
-def send(line: ChangeLine, number: int, address: Callable[[], str], clock: Clock, recorder: Recorder) -> None:
+def send_change(
+    change: PlaylistChange, number: int, address: Callable[[], str], clock: Clock, recorder: Recorder
+) -> None:
     """Submit or delete one change and record the response."""
     player = Player(address(), clock)
-    fields = [("Authorization", f"Bearer {KEY}"), ("Content-Type", "application/json")]
-    id = line.id or f"change-{number}"
+    fields = [("Authorization", f"Bearer {AUTHOR_KEY}"), ("Content-Type", "application/json")]
+    id = change.id or f"change-{number}"
     try:
-        if line.kind == "remove":
-            heard = player.ask("DELETE", f"/v1/changes/{id}", fields, b"", 5.0)
+        if change.kind == "remove":
+            response = player.ask("DELETE", f"/v1/changes/{id}", fields, b"", 5.0)
         else:
-            order = {"id": id, "kind": line.kind, "title": line.title}
-            order |= {
+            body = {"id": id, "kind": change.kind, "title": change.title}
+            body |= {
                 name: value
-                for name, value in (("clip", line.clip), ("at", line.at), ("until", line.until))
+                for name, value in (("clip", change.clip), ("at", change.at), ("until", change.until))
                 if value is not None
             }
-            if line.wall_in_s is not None:
-                order["wall"] = format_wall_time(clock.wall_us() + round(line.wall_in_s * 1e6))
-            heard = player.ask("POST", "/v1/changes", fields, msgspec.json.encode(order), 5.0)
-        recorder.note("change", id=id, kind=line.kind, status=heard.status, reason=heard.body.get("reason"))
+            if change.wall_in_s is not None:
+                body["wall"] = format_wall_time(clock.wall_us() + round(change.wall_in_s * 1e6))
+            response = player.ask("POST", "/v1/changes", fields, msgspec.json.encode(body), 5.0)
+        recorder.note(
+            "change", id=id, kind=change.kind, status=response.status, reason=response.body.get("reason")
+        )
     except Unanswered as error:
-        recorder.note("change", id=id, kind=line.kind, status=0, reason=error.how)
+        recorder.note("change", id=id, kind=change.kind, status=0, reason=error.how)
     finally:
         player.close()
--- a/packages/scenarios/src/fennelcove/scenarios/fault_injection.py
+++ b/packages/scenarios/src/fennelcove/scenarios/fault_injection.py
@@ -9,64 +9,77 @@
 from zlib import crc32
 
 from fennelcove.emulators.dishonest_front import SlotLiar
-from fennelcove.scenarios.fronts import DayFailed, FrontProcess, Fronts, side_by_side
+from fennelcove.scenarios.fronts import DayFailed, FrontProcess, Fronts, run_in_parallel
 from fennelcove.scenarios.rig import Rig
-from fennelcove.scenarios.script import Power, Trouble
+from fennelcove.scenarios.script import FaultSpec, PowerLoss
 from fennelcove.scenarios.supervisor import Supervisor
 from msgspec.structs import replace as replace_struct
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
+class ScheduledAction:
     """An action at a time of the scenario."""
 
     at_s: float
     call: Callable[[], None]
 
 
-class Troubles:
+class FaultInjector:
     """Turns a scenario's faults into scheduled actions.
 
     Long actions run on their own threads; a failure of one fails the run.
     """
 
     def __init__(
-        self, rig: Rig, fronts: Fronts, seed: int, leaving: threading.Event, supervisor: Supervisor
+        self, rig: Rig, fronts: Fronts, seed: int, stop_event: threading.Event, supervisor: Supervisor
     ) -> None:
         self.rig = rig
         self.fronts = fronts
         self.supervisor = supervisor
-        self.chance = Random(f"{seed}/troubles")
-        self.leaving = leaving
+        self.rng = Random(f"{seed}/troubles")
+        self.stop_event = stop_event
         self.threads: list[threading.Thread] = []
         self.failures: list[DayFailed] = []
 
-    def due(self, number: int, trouble: Trouble) -> Iterator[Due]:
+    def schedule(self, number: int, fault_spec: FaultSpec) -> Iterator[ScheduledAction]:
         """Return the scheduled actions of one fault."""
-        if trouble.until is not None or trouble.leader:
-            yield Due(trouble.at_s, self._apart(lambda: self._when(number, trouble)))
-        elif trouble.what == "order":
-            yield Due(trouble.at_s, self._apart(lambda: self.supervisor.order(trouble)))
-        elif trouble.what in ("front-restart", "front-kill"):
-            yield Due(trouble.at_s, self._apart(lambda: self._again(trouble)))
-        elif trouble.what == "front-stop":
-            yield Due(trouble.at_s, lambda: self._pause(trouble, True))
-            yield Due(trouble.at_s + trouble.for_s, lambda: self._pause(trouble, False))
-        elif trouble.what == "slots-lie":
-            yield Due(trouble.at_s, self._apart(lambda: self._lie(trouble)))
-        elif trouble.what == "between":
-            yield Due(trouble.at_s, lambda: self.rig.fault(number, trouble, True))
-            if trouble.for_s:
-                yield Due(trouble.at_s + trouble.for_s, lambda: self.rig.fault(number, trouble, False))
-        elif trouble.what == "power":
-            assert trouble.power is not None
-            yield from self._power(trouble.at_s, trouble.power)
+        if fault_spec.until is not None or fault_spec.leader:
+            yield ScheduledAction(
+                fault_spec.at_s, self._on_thread(lambda: self._inject_on_condition(number, fault_spec))
+            )
+        elif fault_spec.what == "order":
+            yield ScheduledAction(
+                fault_spec.at_s, self._on_thread(lambda: self.supervisor.run_command(fault_spec))
+            )
+        elif fault_spec.what in ("front-restart", "front-kill"):
+            yield ScheduledAction(fault_spec.at_s, self._on_thread(lambda: self._restart(fault_spec)))
+        elif fault_spec.what == "front-stop":
+            yield ScheduledAction(fault_spec.at_s, lambda: self._pause(fault_spec, True))
+            yield ScheduledAction(fault_spec.at_s + fault_spec.for_s, lambda: self._pause(fault_spec, False))
+        elif fault_spec.what == "slots-lie":
+            yield ScheduledAction(
+                fault_spec.at_s, self._on_thread(lambda: self._send_false_messages(fault_spec))
+            )
+        elif fault_spec.what == "between":
+            yield ScheduledAction(
+                fault_spec.at_s, lambda: self.rig.set_network_fault(number, fault_spec, True)
+            )
+            if fault_spec.for_s:
+                yield ScheduledAction(
+                    fault_spec.at_s + fault_spec.for_s,
+                    lambda: self.rig.set_network_fault(number, fault_spec, False),
+                )
+        elif fault_spec.what == "power":
+            assert fault_spec.power is not None
+            yield from self._schedule_power_loss(fault_spec.at_s, fault_spec.power)
         else:
-            yield Due(trouble.at_s, lambda: self.rig.switch(trouble, True))
-            if trouble.for_s:
-                yield Due(trouble.at_s + trouble.for_s, lambda: self.rig.switch(trouble, False))
+            yield ScheduledAction(fault_spec.at_s, lambda: self.rig.apply(fault_spec, True))
+            if fault_spec.for_s:
+                yield ScheduledAction(
+                    fault_spec.at_s + fault_spec.for_s, lambda: self.rig.apply(fault_spec, False)
+                )
 
-    def end(self) -> None:
+    def wait(self) -> None:
         """Wait for all running actions.
 
         Raises:
@@ -77,7 +90,7 @@
         if self.failures:
             raise self.failures[0]
 
-    def _apart(self, call: Callable[[], None]) -> Callable[[], None]:
+    def _on_thread(self, call: Callable[[], None]) -> Callable[[], None]:
         def run() -> None:
             try:
                 call()
@@ -88,117 +101,125 @@
         self.threads.append(thread)
         return thread.start
 
-    def _when(self, number: int, trouble: Trouble) -> None:
+    def _inject_on_condition(self, number: int, fault_spec: FaultSpec) -> None:
         """Wait for the fault's condition, resolve its target, then inject it."""
-        if not self.supervisor.wait(trouble):
+        if not self.supervisor.wait(fault_spec):
             return
-        if trouble.leader:
+        if fault_spec.leader:
             leader = self.supervisor.leader()
             if leader is None:
                 return  # the checker reports that the fault did not occur
-            trouble = replace_struct(trouble, fronts=[leader.index])
+            fault_spec = replace_struct(fault_spec, fronts=[leader.index])
         began_us = self.rig.clock.now_us()
-        for due in self.due(number, replace_struct(trouble, at_s=0.0, until=None, leader=False)):
-            gone_s = (self.rig.clock.now_us() - began_us) / 1e6
-            self.leaving.wait(max(0.0, due.at_s - gone_s))
-            due.call()
+        for action in self.schedule(number, replace_struct(fault_spec, at_s=0.0, until=None, leader=False)):
+            elapsed_s = (self.rig.clock.now_us() - began_us) / 1e6
+            self.stop_event.wait(max(0.0, action.at_s - elapsed_s))
+            action.call()
 
-    def _some(self, trouble: Trouble) -> list[FrontProcess]:
-        numbers = trouble.fronts or [(trouble.box or 0) % len(self.fronts.all)]
+    def _target_fronts(self, fault_spec: FaultSpec) -> list[FrontProcess]:
+        numbers = fault_spec.fronts or [(fault_spec.box or 0) % len(self.fronts.all)]
         return [self.fronts.all[number] for number in numbers]
 
-    def _again(self, trouble: Trouble) -> None:
-        some = self._some(trouble)
-        if trouble.what == "front-restart":
-            side_by_side([front.stop for front in some])
+    def _restart(self, fault_spec: FaultSpec) -> None:
+        targets = self._target_fronts(fault_spec)
+        if fault_spec.what == "front-restart":
+            run_in_parallel([front.stop for front in targets])
         else:
-            for front in [front for front in some if front.strike()]:
-                front.bury()
-        self.leaving.wait(trouble.for_s)
-        if not self.leaving.is_set():
-            side_by_side([front.start for front in some])
-
-    def _pause(self, trouble: Trouble, on: bool) -> None:
-        for front in self._some(trouble):
+            for front in [front for front in targets if front.send_kill()]:
+                front.reap()
+        self.stop_event.wait(fault_spec.for_s)
+        if not self.stop_event.is_set():
+            run_in_parallel([front.start for front in targets])
+
+    def _pause(self, fault_spec: FaultSpec, on: bool) -> None:
+        for front in self._target_fronts(fault_spec):
             front.pause(on)
 
-    def _lie(self, trouble: Trouble) -> None:
+    def _send_false_messages(self, fault_spec: FaultSpec) -> None:
         """Kill a front for good and send false messages from its address."""
-        for front in self._some(trouble):
-            if not front.strike():
+        for front in self._target_fronts(fault_spec):
+            if not front.send_kill():
                 continue
-            front.bury()
-            assert front.company is not None
+            front.reap()
+            assert front.peer_addresses is not None
             rig = self.rig
-            others = [address for i, address in enumerate(front.company) if i != front.index]
-            boxes = [crc32(f"{known.address} {known.kind}".encode()) for known in rig.known]
-            liar = SlotLiar(rig.clock, front.company[front.index], others, boxes, self.chance)
+            peers = [address for i, address in enumerate(front.peer_addresses) if i != front.index]
+            server_hashes = [
+                crc32(f"{endpoint.address} {endpoint.kind}".encode()) for endpoint in rig.endpoints
+            ]
+            liar = SlotLiar(rig.clock, front.peer_addresses[front.index], peers, server_hashes, self.rng)
             liar.start()
-            self.leaving.wait(trouble.for_s)
+            self.stop_event.wait(fault_spec.for_s)
             liar.stop()
             rig.recorder.note("lies", front=front.name, sent=liar.sent)
 
     # Power.
 
-    def _power(self, at_s: float, power: Power) -> Iterator[Due]:
+    def _schedule_power_loss(self, at_s: float, power: PowerLoss) -> Iterator[ScheduledAction]:
         """Stop everything at once; each component restarts at its own time, drawn from the seed."""
-        yield Due(at_s, lambda: self._dark(power))
+        yield ScheduledAction(at_s, lambda: self._cut_power(power))
         lists = at_s + power.lists_back_s
-        yield Due(lists, lambda: self._lists_back(power))
-        last = len(self.rig.boxes)
-        for number in range(power.boxes_spared, last):
-            back_s = self.chance.uniform(*power.boxes_back_s)  # drawn also for servers that never restart
-            if number < last - power.boxes_never:
-                yield Due(at_s + back_s, lambda number=number: self._box_back(number))  # type: ignore[misc]
+        yield ScheduledAction(lists, lambda: self._restore_list_service(power))
+        count = len(self.rig.servers)
+        for number in range(power.boxes_spared, count):
+            restart_s = self.rng.uniform(*power.boxes_back_s)  # drawn also for servers that never restart
+            if number < count - power.boxes_never:
+                yield ScheduledAction(at_s + restart_s, lambda number=number: self._restart_server(number))  # type: ignore[misc]
         if power.lists_before and power.lists_learn_s:
-            yield Due(lists + power.lists_learn_s, lambda: self.rig.lists.publish(*self.rig.known))
+            yield ScheduledAction(
+                lists + power.lists_learn_s, lambda: self.rig.lists.publish(*self.rig.endpoints)
+            )
         for front in self.fronts.all:
-            back_s = self.chance.uniform(*power.fronts_back_s)
+            restart_s = self.rng.uniform(*power.fronts_back_s)
             if front.index < len(self.fronts.all) - power.fronts_never:
-                back = self._apart(lambda front=front: self._front_back(front, power))  # type: ignore[misc]
-                yield Due(at_s + back_s, back)
+                restart = self._on_thread(lambda front=front: self._restart_front(front, power))  # type: ignore[misc]
+                yield ScheduledAction(at_s + restart_s, restart)
 
-    def _dark(self, power: Power) -> None:
+    def _cut_power(self, power: PowerLoss) -> None:
         recorder = self.rig.recorder
         recorder.note("power", on=False)
-        struck = [front for front in self.fronts.all if front.strike()]
+        struck = [front for front in self.fronts.all if front.send_kill()]
         self.rig.lists.server.down()
-        self.rig.shut(self.rig.lists_for_fronts)
-        for box in self.rig.boxes[power.boxes_spared :]:
-            box.die()
-            self.rig.shut(box.address)
+        self.rig.set_unreachable(self.rig.lists_for_fronts)
+        for server in self.rig.servers[power.boxes_spared :]:
+            server.die()
+            self.rig.set_unreachable(server.address)
         for front in struck:
-            front.bury()
+            front.reap()
         if power.lists_before:
             self.rig.lists.forget()
         else:
             # The list service observes that no process runs and lists no server until one does.
             number = power.boxes_spared
-            self.rig.known[number:] = [replace(known, state="left") for known in self.rig.known[number:]]
+            self.rig.endpoints[number:] = [
+                replace(endpoint, state="left") for endpoint in self.rig.endpoints[number:]
+            ]
 
-    def _lists_back(self, power: Power) -> None:
+    def _restore_list_service(self, power: PowerLoss) -> None:
         rig = self.rig
         if not power.lists_before:
-            rig.lists.publish(*rig.known)
+            rig.lists.publish(*rig.endpoints)
         rig.lists.server.up()
-        rig.shut(rig.lists_for_fronts, gone=False)
+        rig.set_unreachable(rig.lists_for_fronts, unreachable=False)
         rig.recorder.note("lists_back", before=power.lists_before)
 
-    def _box_back(self, number: int) -> None:
+    def _restart_server(self, number: int) -> None:
         rig = self.rig
-        box = rig.boxes[number]
-        box.restart()
-        rig.shut(box.address, gone=False)
-        rig.known[number] = replace(rig.known[number], state="active", started_us=rig.clock.now_us())
-        told = not any(trouble.power and trouble.power.lists_before for trouble in rig.day.troubles)
-        if told:
-            rig.lists.publish(rig.known[number])
-
-    def _front_back(self, front: FrontProcess, power: Power) -> None:
-        front.spoil(power.folders[front.index % len(power.folders)] if power.folders else "kept")
+        server = rig.servers[number]
+        server.restart()
+        rig.set_unreachable(server.address, unreachable=False)
+        rig.endpoints[number] = replace(rig.endpoints[number], state="active", started_us=rig.clock.now_us())
+        publishes = not any(
+            fault_spec.power and fault_spec.power.lists_before for fault_spec in rig.scenario.troubles
+        )
+        if publishes:
+            rig.lists.publish(rig.endpoints[number])
+
+    def _restart_front(self, front: FrontProcess, power: PowerLoss) -> None:
+        front.damage_store(power.folders[front.index % len(power.folders)] if power.folders else "kept")
         if power.clocks_s:
-            front.clock_s = power.clocks_s[front.index % len(power.clocks_s)]
+            front.clock_offset_s = power.clocks_s[front.index % len(power.clocks_s)]
         front.launch()
         while not front.up():
-            if front.struck or self.leaving.wait(0.02):
+            if front.struck or self.stop_event.wait(0.02):
                 return
--- a/packages/scenarios/src/fennelcove/scenarios/faults.py
+++ b/packages/scenarios/src/fennelcove/scenarios/faults.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class Violation:
     """One violation; `front` may also name a server."""
 
     rule: int
--- a/packages/scenarios/src/fennelcove/scenarios/fronts.py
+++ b/packages/scenarios/src/fennelcove/scenarios/fronts.py
@@ -21,7 +21,7 @@
 from fennelcove.errors import OperatorError
 from fennelcove.scenarios import authors
 from fennelcove.scenarios.rig import Rig, front_host
-from fennelcove.scenarios.script import Day, Version
+from fennelcove.scenarios.script import Day, VersionSpec
 from fennelcove.settings.schema import (
     Author,
     CompanySettings,
@@ -35,9 +35,9 @@
 from fennelcove.settings.writer import write
 from fennelcove.store.directory import verify_folder
 
-START_S = 30.0
+START_TIMEOUT_S = 30.0
 TORN_BYTES = 40  # removed from the end of a journal, as if not yet on disk at the power loss
-AT_ONCE = 6  # fronts started in parallel; with more, the import speed of the host dominates
+MAX_PARALLEL_STARTS = 6  # fronts started in parallel; with more, the import speed of the host dominates
 
 
 class DayFailed(OperatorError):
@@ -52,36 +52,36 @@
 
     def __init__(
         self,
-        day: Day,
+        scenario: Day,
         index: int,
-        lists: str,
+        list_address: str,
         seed: int,
         recorder: Recorder,
         folder: Path,
-        company: list[str] | None = None,
+        peer_addresses: list[str] | None = None,
     ) -> None:
-        self.day = day
+        self.scenario = scenario
         self.index = index
-        self.name = f"{day.front.name}-{index}" if day.fronts > 1 else day.front.name
-        self.lists = lists
+        self.name = f"{scenario.front.name}-{index}" if scenario.fronts > 1 else scenario.front.name
+        self.list_address = list_address
         self.seed = seed
         self.recorder = recorder
-        self.company = company
-        self.clock_s = 0.0  # offset of its wall clock
+        self.peer_addresses = peer_addresses
+        self.clock_offset_s = 0.0  # offset of its wall clock
         self.config = folder / f"front-{index}.sexp"
         self.log = folder / f"front-{index}.log"
         self.ledger = folder / f"ledger-{index}"
-        self.keys = folder / "places.keys"
+        self.waiting_room_keys = folder / "places.keys"
         self.store = folder / f"store-{index}"
-        self.copy = folder / f"store-{index}-before"
-        self.operator = folder / "operator.keys"
-        self.wanted = folder / f"wanted-{index}"  # file with the version that it requests from its supervisor
+        self.store_copy = folder / f"store-{index}-before"
+        self.operator_keys = folder / "operator.keys"
+        self.wanted_version_file = folder / f"wanted-{index}"  # names the version it requests
         self.version = 1
-        self.served = 1  # the last version that started serving
-        self.tended = True  # started, stopped or killed by the scenario, not ended by itself
+        self.served_version = 1  # the last version that started serving
+        self.end_expected = True  # started, stopped or killed by the scenario, not ended by itself
         self.struck = False  # killed by the script; its supervisor does not restart it
         self.lock = threading.Lock()  # guards start and kill
-        self.hangs = self.told = False
+        self.is_hung = self.has_started = False
         self.listen = "127.0.0.1:0"
         self.address = "127.0.0.1:0"  # the address for clients
         self.rig: Rig | None = None  # only with relays
@@ -95,12 +95,12 @@
             DayFailed: it ended, or was not ready in time.
         """
         self.launch()
-        waited = threading.Event()
-        for _ in range(round(START_S / 0.02)):
+        poll_timer = threading.Event()
+        for _ in range(round(START_TIMEOUT_S / 0.02)):
             if self.up() and self._has_list():
                 return
-            waited.wait(0.02)
-        raise DayFailed(f"the front was not ready within {START_S:g} s: {self.tail()}", self.name)
+            poll_timer.wait(0.02)
+        raise DayFailed(f"the front was not ready within {START_TIMEOUT_S:g} s: {self.tail()}", self.name)
 
     def launch(self) -> None:
         """Start the requested version without waiting."""
@@ -108,7 +108,7 @@
             self.struck = False
             self._launch()
 
-    def launch_again(self) -> bool:
+    def relaunch(self) -> bool:
         """Restart as its supervisor, unless the script has killed it; whether it was started."""
         with self.lock:
             if not self.struck:
@@ -116,40 +116,40 @@
             return not self.struck
 
     def _launch(self) -> None:
-        if self.wanted.exists():
-            self.version = int(self.wanted.read_text("ascii"))
+        if self.wanted_version_file.exists():
+            self.version = int(self.wanted_version_file.read_text("ascii"))
         self.config.write_text(write(self._settings()), "utf-8")
         command = [sys.executable, "-m", "fennelcove", "front", str(self.config), "--log-level", "debug"]
-        if self.clock_s:
-            command += ["--wall-offset-s", f"{self.clock_s:g}"]
-        self.already = self.log.stat().st_size if self.log.exists() else 0
-        self.told = False
+        if self.clock_offset_s:
+            command += ["--wall-offset-s", f"{self.clock_offset_s:g}"]
+        self.log_offset = self.log.stat().st_size if self.log.exists() else 0
+        self.has_started = False
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(command, stdin=subprocess.DEVNULL, stderr=log)
         self.recorder.note("front_launched", front=self.name, version=self.version)
-        if self.index in self.like().hangs:
+        if self.index in self.version_spec().hangs:
             self.recorder.note("front_hangs", front=self.name)
-            self.hangs = True
+            self.is_hung = True
             self.process.send_signal(signal.SIGSTOP)
 
-    def like(self) -> Version:
+    def version_spec(self) -> VersionSpec:
         """Return the specification of its current version."""
-        found = (version for version in self.day.versions if version.number == self.version)
-        return next(found, Version(number=self.version))
+        found = (version for version in self.scenario.versions if version.number == self.version)
+        return next(found, VersionSpec(number=self.version))
 
-    def goes_on(self) -> None:
+    def resume(self) -> None:
         """Resume a front that hung during startup."""
-        if self.hangs and self.process is not None:
-            self.hangs = False
+        if self.is_hung and self.process is not None:
+            self.is_hung = False
             self.process.send_signal(signal.SIGCONT)
 
     def serves(self) -> bool:
         """Whether this process has started serving and still runs."""
-        return self.told and self.process is not None and self.process.poll() is None
+        return self.has_started and self.process is not None and self.process.poll() is None
 
     def ended(self) -> bool:
         """Whether its process has ended by itself."""
-        return not self.tended and self.process is not None and self.process.poll() is not None
+        return not self.end_expected and self.process is not None and self.process.poll() is not None
 
     def up(self) -> bool:
         """Whether this process listens.
@@ -165,98 +165,102 @@
             raise DayFailed(
                 f"the front ended with status {self.process.returncode}: {self.tail()}", self.name
             )
-        if self.told:
+        if self.has_started:
             return True
-        for line in self.log.read_bytes()[self.already :].splitlines():
+        for line in self.log.read_bytes()[self.log_offset :].splitlines():
             if b'"front_started"' in line and line.endswith(b"}"):
                 self.listen = msgspec.json.decode(line)["address"]
                 if self.rig is None:
                     self.address = self.listen
                 elif self.address.endswith(":0"):
-                    self.address = self.rig.front_door(self.index, self.listen)
-                self.shut(gone=False)
+                    self.address = self.rig.client_address(self.index, self.listen)
+                self.set_unreachable(unreachable=False)
                 self.recorder.note("front_started", front=self.name, address=self.address)
-                self.told, self.tended, self.served = True, False, self.version
-        return self.told
+                self.has_started, self.end_expected, self.served_version = True, False, self.version
+        return self.has_started
 
     def _settings(self) -> msgspec.Struct:
-        told = self.day.front
-        store = told.store
+        template = self.scenario.front
+        store = template.store
         if store is not None:
             store = msgspec.structs.replace(store, folder=str(self.store))
         return msgspec.structs.replace(
-            told,
+            template,
             store=store,
             name=self.name,
             listen=self.listen,
             seed=self.seed + self.index,
             instance=self._instance(),
-            lists=msgspec.structs.replace(told.lists, address=self.lists),
+            lists=msgspec.structs.replace(template.lists, address=self.list_address),
             rules=self._rules(),
-            source=front_host(self.index) if self.rig is not None else told.source,
+            source=front_host(self.index) if self.rig is not None else template.source,
             company=self._company(),
             releases=self._releases(),
             control=self._control(),
             limits=self._limits(),
-            storm=msgspec.structs.replace(told.storm, key_file=str(self.keys)),
+            storm=msgspec.structs.replace(template.storm, key_file=str(self.waiting_room_keys)),
             stitch=msgspec.structs.replace(
-                told.stitch,
-                authors=[Author(name="author", key_hash=blake3.blake3(authors.KEY.encode()).hexdigest())],
+                template.stitch,
+                authors=[
+                    Author(name="author", key_hash=blake3.blake3(authors.AUTHOR_KEY.encode()).hexdigest())
+                ],
                 ledger=str(self.ledger),
             ),
         )
 
     def _rules(self) -> Rules:
         """Return the rules, with the overload limits of the rig's servers unless the script sets its own."""
-        told, rig = self.day.front.rules, self.day.rig
-        if told.tip_after_ms:
-            return told
-        return msgspec.structs.replace(told, fall_multiple=rig.fall_multiple, tip_after_ms=rig.tip_after_ms)
+        template, rig = self.scenario.front.rules, self.scenario.rig
+        if template.tip_after_ms:
+            return template
+        return msgspec.structs.replace(
+            template, fall_multiple=rig.fall_multiple, tip_after_ms=rig.tip_after_ms
+        )
 
     def _releases(self) -> ReleaseSettings | None:
-        told, halls = self.day.front.releases, self.day.halls
-        if told is None:
+        template, zone_names = self.scenario.front.releases, self.scenario.halls
+        if template is None:
             return None
-        zones = [halls[i % len(halls)] for i in range(self.day.fronts)] if halls else []
+        zones = [zone_names[i % len(zone_names)] for i in range(self.scenario.fronts)] if zone_names else []
         return msgspec.structs.replace(
-            told,
+            template,
             version=self.version,
-            wanted=str(self.wanted),
+            wanted=str(self.wanted_version_file),
             halls=zones,
             # An impossible limit makes the front reject its settings.
-            fronts_out=self.day.fronts if self.like().refused else told.fronts_out,
+            fronts_out=self.scenario.fronts if self.version_spec().refused else template.fronts_out,
         )
 
     def _control(self) -> ControlSettings:
-        if self.day.front.releases is None:
-            return self.day.front.control
-        return ControlSettings(keys=[OperatorKey(name="ops", key_file=str(self.operator))])
+        if self.scenario.front.releases is None:
+            return self.scenario.front.control
+        return ControlSettings(keys=[OperatorKey(name="ops", key_file=str(self.operator_keys))])
 
     def _limits(self) -> Limits:
-        held = self.like().held
-        told = self.day.front.limits
-        return told if held is None else msgspec.structs.replace(told, held=held)
+        session_limit = self.version_spec().held
+        template = self.scenario.front.limits
+        return template if session_limit is None else msgspec.structs.replace(template, held=session_limit)
 
     def _company(self) -> CompanySettings | None:
-        told = self.day.front.company
-        if self.company is None:
+        template = self.scenario.front.company
+        if self.peer_addresses is None:
             return None
-        if told is None:
-            return CompanySettings(addresses=self.company)
-        return msgspec.structs.replace(told, addresses=self.company)
+        if template is None:
+            return CompanySettings(addresses=self.peer_addresses)
+        return msgspec.structs.replace(template, addresses=self.peer_addresses)
 
     def _instance(self) -> Instance:
-        told, halls = self.day.front.instance, self.day.halls
-        if self.day.fronts == 1:
-            return told
-        zone = halls[self.index % len(halls)] if halls else told.zone
-        return msgspec.structs.replace(told, index=self.index, fronts=self.day.fronts, zone=zone)
+        template, zone_names = self.scenario.front.instance, self.scenario.halls
+        if self.scenario.fronts == 1:
+            return template
+        zone = zone_names[self.index % len(zone_names)] if zone_names else template.zone
+        return msgspec.structs.replace(template, index=self.index, fronts=self.scenario.fronts, zone=zone)
 
     def _has_list(self) -> bool:
         player = Player(self.listen, self.recorder.clock, None, self.context)
         try:
-            heard = player.ask("GET", "/v1/status", [], b"", 1.0)
-            return heard.body.get("list_version") is not None
+            response = player.ask("GET", "/v1/status", [], b"", 1.0)
+            return response.body.get("list_version") is not None
         except Unanswered:
             return False
         finally:
@@ -274,15 +278,15 @@
         """
         if self.process is None or self.process.poll() is not None:
             return
-        self.tended = True
+        self.end_expected = True
         self.recorder.note("front_stopping", front=self.name)
-        if self.hangs:
+        if self.is_hung:
             self.kill()
             return
         self.process.send_signal(signal.SIGTERM)
-        self.end()
+        self.wait_for_end()
 
-    def end(self) -> None:
+    def wait_for_end(self) -> None:
         """Wait for the end of a process that was sent SIGTERM.
 
         Raises:
@@ -291,43 +295,43 @@
         if self.process is None:
             return
         try:
-            self.process.wait(self.day.front.limits.stop_ms / 1000 + START_S)
+            self.process.wait(self.scenario.front.limits.stop_ms / 1000 + START_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.kill()
             raise DayFailed(f"the front did not stop and was killed: {self.tail()}", self.name) from None
-        self.shut()
+        self.set_unreachable()
         self.recorder.note("front_stopped", front=self.name, status=self.process.returncode)
 
     def kill(self) -> None:
         """Kill the process, wait for it and verify its store."""
-        if self.strike():
-            self.bury()
+        if self.send_kill():
+            self.reap()
 
-    def bury(self) -> None:
+    def reap(self) -> None:
         """Wait for the end of a killed process and verify its store."""
         assert self.process is not None
         self.process.wait()
         self.check_store()
 
-    def strike(self) -> bool:
+    def send_kill(self) -> bool:
         """Kill the process without waiting and prevent restarts by the supervisor; whether it ran."""
         with self.lock:
             self.struck = True
-            return self._strike()
+            return self._send_kill()
 
-    def _strike(self) -> bool:
+    def _send_kill(self) -> bool:
         if self.process is None or self.process.poll() is not None:
             return False
-        self.tended = True
+        self.end_expected = True
         self.recorder.note("front_killed", front=self.name)
         self.process.kill()
-        self.shut()
+        self.set_unreachable()
         return True
 
-    def shut(self, gone: bool = True) -> None:
+    def set_unreachable(self, unreachable: bool = True) -> None:
         """Make the relay to this front refuse connections, or accept them again."""
         if self.rig is not None:
-            self.rig.shut(self.address, gone)
+            self.rig.set_unreachable(self.address, unreachable)
 
     def pause(self, on: bool) -> None:
         """Send SIGSTOP or SIGCONT to the process."""
@@ -341,7 +345,7 @@
             for fault in verify_folder(str(self.store)):
                 self.recorder.note("store_fault", front=self.name, fault=fault)
 
-    def spoil(self, how: str) -> None:
+    def damage_store(self, how: str) -> None:
         """Change its store as after a power loss; only while no process has it open."""
         if how == "kept" or not self.store.exists():
             return
@@ -352,58 +356,60 @@
                 journal.write_bytes(raw[: max(0, len(raw) - TORN_BYTES)])
         else:
             shutil.rmtree(self.store)
-            if how == "old" and self.copy.exists():
-                shutil.copytree(self.copy, self.store)
+            if how == "old" and self.store_copy.exists():
+                shutil.copytree(self.store_copy, self.store)
 
-    def keep_copy(self) -> None:
+    def copy_store(self) -> None:
         """Copy its store, for scenarios that restore an old one."""
         if self.store.exists():
-            shutil.copytree(self.store, self.copy, dirs_exist_ok=True)
+            shutil.copytree(self.store, self.store_copy, dirs_exist_ok=True)
 
 
 class Fronts:
     """All fronts of a scenario, each in its own process."""
 
-    def __init__(self, day: Day, rig: Rig, seed: int, recorder: Recorder, folder: Path) -> None:
+    def __init__(self, scenario: Day, rig: Rig, seed: int, recorder: Recorder, folder: Path) -> None:
         # All fronts share the keys: with separate ones a waiting-room token was valid only at the front that
         # issued it, and clients, who use any front, were rejected as forgers (only 142 of 200 were served).
         for name in ("places.keys", "operator.keys"):
             rotate(str(folder / name), recorder.clock.wall_us() // 1000)
-        company: list[list[str] | None] = [None] * day.fronts
-        if day.company:
-            company = list(rig.company([_free_port(i) for i in range(day.fronts)]))
+        peer_addresses: list[list[str] | None] = [None] * scenario.fronts
+        if scenario.company:
+            peer_addresses = list(rig.peer_addresses([_free_port(i) for i in range(scenario.fronts)]))
         self.all = [
-            FrontProcess(day, i, rig.lists_for_fronts, seed, recorder, folder, company[i])
-            for i in range(day.fronts)
+            FrontProcess(scenario, i, rig.lists_for_fronts, seed, recorder, folder, peer_addresses[i])
+            for i in range(scenario.fronts)
         ]
-        if day.relays:
+        if scenario.relays:
             for front in self.all:
                 front.rig = rig
 
     def start(self) -> None:
         """Start all fronts and wait for them, a few at a time."""
-        for at in range(0, len(self.all), AT_ONCE):
-            side_by_side([front.start for front in self.all[at : at + AT_ONCE]])
+        for start_index in range(0, len(self.all), MAX_PARALLEL_STARTS):
+            run_in_parallel(
+                [front.start for front in self.all[start_index : start_index + MAX_PARALLEL_STARTS]]
+            )
 
     def stop(self) -> None:
         """Stop all fronts and wait for them."""
-        side_by_side([front.stop for front in self.all])
+        run_in_parallel([front.stop for front in self.all])
 
     def kill(self) -> None:
         """Kill all fronts that still run."""
         for front in self.all:
             front.kill()
 
-    def chooser(self, name: str, some: Sequence[int] = ()) -> Callable[[], str]:
+    def chooser(self, name: str, numbers: Sequence[int] = ()) -> Callable[[], str]:
         """Return a function that chooses a front for each try of a client, from all or some fronts.
 
         The choices are drawn from the client's name and are the same in each run.
         """
-        chance, among = random.Random(name), [self.all[number] for number in some] or self.all
-        return lambda: chance.choice(among).address
+        rng, candidates = random.Random(name), [self.all[number] for number in numbers] or self.all
+        return lambda: rng.choice(candidates).address
 
 
-def side_by_side(calls: list[Callable[[], None]]) -> None:
+def run_in_parallel(calls: list[Callable[[], None]]) -> None:
     """Run all calls in parallel; the first failure is raised when all have ended."""
     failures: list[DayFailed] = []
 
--- a/packages/scenarios/src/fennelcove/scenarios/outages.py
+++ b/packages/scenarios/src/fennelcove/scenarios/outages.py
@@ -13,12 +13,12 @@
 import msgspec
 from fennelcove.emulators.recorder import Record
 from fennelcove.scenarios.exemptions import SLACK_US
-from fennelcove.scenarios.faults import OUT, STRUCK, Fault
-from fennelcove.scenarios.server_outages import boxed
+from fennelcove.scenarios.faults import OUT, STRUCK, Violation
+from fennelcove.scenarios.server_outages import check_server_outages
 
-PLAYS = 201
+STATUS_SERVED = 201
 NEVER = 1 << 62
-GOES = {"front_killed": "killed", "front_paused": "paused", "front_stopping": "stopped"}
+OUTAGE_CAUSES = {"front_killed": "killed", "front_paused": "paused", "front_stopping": "stopped"}
 
 
 class Outs(msgspec.Struct, frozen=True):
@@ -34,221 +34,237 @@
 
 
 @dataclass(slots=True)
-class Away:
+class Outage:
     """An interval in which one front was out of service."""
 
     front: str
-    since: int
-    why: str
-    until: int = NEVER
-    off: int = NEVER  # when an operator wrote it off, which frees its permit
+    since_us: int
+    cause: str
+    until_us: int = NEVER
+    written_off_us: int = NEVER  # when an operator wrote it off, which frees its permit
 
     @property
-    def taken(self) -> bool:
+    def by_rollout(self) -> bool:
         """Whether a rollout took it out."""
-        return self.why == "taken"
+        return self.cause == "taken"
 
-    def covers(self, t_us: int) -> bool:
+    def is_out_at(self, t_us: int) -> bool:
         """Whether it counts as out of service at that time."""
-        return self.since <= t_us < min(self.until, self.off)
+        return self.since_us <= t_us < min(self.until_us, self.written_off_us)
 
 
 @dataclass(slots=True)
-class Strike:
+class InjectedFault:
     """A fault of the script, from its start until its end."""
 
     what: str
-    since: int
-    mark: object = None  # identifies the record of its end
-    until: int = NEVER
+    since_us: int
+    key: object = None  # identifies the record of its end
+    until_us: int = NEVER
 
 
 @dataclass(slots=True)
-class Seen:
+class Recording:
     """The outages, versions, faults and orders of a recording."""
 
     release: Record
-    aways: list[Away] = field(default_factory=list)
-    ports: dict[str, str] = field(default_factory=dict)  # name of a front by its address
-    let_in: dict[str, int] = field(default_factory=dict)  # when each last accepted a session
-    turned: dict[str, int] = field(default_factory=dict)  # the first rejection since then
-    launched: dict[str, int] = field(default_factory=dict)  # the version last started
-    runs: dict[str, int] = field(default_factory=dict)  # the version last serving
-    ran: set[tuple[str, int]] = field(default_factory=set)
+    outages: list[Outage] = field(default_factory=list)
+    front_by_address: dict[str, str] = field(default_factory=dict)  # name of a front by its address
+    last_accepted_us: dict[str, int] = field(default_factory=dict)  # when each last accepted a session
+    first_rejected_us: dict[str, int] = field(default_factory=dict)  # the first rejection since then
+    launched_version: dict[str, int] = field(default_factory=dict)  # the version last started
+    serving_version: dict[str, int] = field(default_factory=dict)  # the version last serving
+    started_versions: set[tuple[str, int]] = field(default_factory=set)
     orders: dict[tuple[str, ...], int] = field(default_factory=dict)
-    strikes: list[Strike] = field(default_factory=list)
+    injected_faults: list[InjectedFault] = field(default_factory=list)
 
 
-def _read(records: list[Record], release: Record) -> Seen:
-    seen = Seen(release)
+def _index_records(records: list[Record], release: Record) -> Recording:
+    recording = Recording(release)
     for record in records:
         what, t_us = record["what"], record["t_us"]
         front = str(record.get("front"))
         if what == "answered":
-            _answered(seen, record)
+            _on_response(recording, record)
         elif what == "front_launched":
-            seen.launched[front] = record["version"]
-            seen.ran.add((front, record["version"]))
+            recording.launched_version[front] = record["version"]
+            recording.started_versions.add((front, record["version"]))
         elif what in ("front_started", "front_continued"):
             if "address" in record:
-                seen.ports[record["address"]] = front
-                seen.runs[front] = seen.launched[front]
-                seen.let_in[front] = t_us
-                seen.turned.pop(front, None)
-            _back(seen, front, t_us)
+                recording.front_by_address[record["address"]] = front
+                recording.serving_version[front] = recording.launched_version[front]
+                recording.last_accepted_us[front] = t_us
+                recording.first_rejected_us.pop(front, None)
+            _end_outage(recording, front, t_us)
         elif what == "front_ended":
-            seen.aways.append(Away(front, seen.turned.get(front, t_us), "taken"))
-        elif what in GOES:
-            seen.aways.append(Away(front, t_us, GOES[what]))
+            recording.outages.append(Outage(front, recording.first_rejected_us.get(front, t_us), "taken"))
+        elif what in OUTAGE_CAUSES:
+            recording.outages.append(Outage(front, t_us, OUTAGE_CAUSES[what]))
         elif what == "order":
-            seen.orders[tuple(record["words"])] = record["status"]
-            _ordered(seen, record)
+            recording.orders[tuple(record["words"])] = record["status"]
+            _on_operator_command(recording, record)
         struck = what in ("front_killed", "front_paused", "front_hangs", "front_refused")
         if struck:
-            seen.strikes.append(Strike(what, t_us, until=t_us))
+            recording.injected_faults.append(InjectedFault(what, t_us, until_us=t_us))
         elif what in ("fault", "trouble"):
-            _strike(seen, record)
-    return seen
+            _on_fault(recording, record)
+    return recording
 
 
-def _strike(seen: Seen, record: Record) -> None:
+def _on_fault(recording: Recording, record: Record) -> None:
     # A fault in both directions is recorded twice but counts once.
-    mark = (record["what"], record.get("number"), record.get("kind"), record.get("box"))
-    here = [strike for strike in seen.strikes if strike.mark == mark and strike.until == NEVER]
+    key = (record["what"], record.get("number"), record.get("kind"), record.get("box"))
+    here = [fault for fault in recording.injected_faults if fault.key == key and fault.until_us == NEVER]
     if record["on"] and not here:
-        seen.strikes.append(Strike(record["what"], record["t_us"], mark))
+        recording.injected_faults.append(InjectedFault(record["what"], record["t_us"], key))
     elif not record["on"]:
-        for strike in here:
-            strike.until = record["t_us"]
+        for fault in here:
+            fault.until_us = record["t_us"]
 
 
-def _answered(seen: Seen, record: Record) -> None:
-    front = seen.ports.get(record["front"], "")
-    if record["status"] == PLAYS:
-        seen.let_in[front] = record["t_us"]
-        seen.turned.pop(front, None)
+def _on_response(recording: Recording, record: Record) -> None:
+    front = recording.front_by_address.get(record["front"], "")
+    if record["status"] == STATUS_SERVED:
+        recording.last_accepted_us[front] = record["t_us"]
+        recording.first_rejected_us.pop(front, None)
     else:
-        seen.turned.setdefault(front, record["t_us"])
+        recording.first_rejected_us.setdefault(front, record["t_us"])
 
 
-def _ordered(seen: Seen, record: Record) -> None:
+def _on_operator_command(recording: Recording, record: Record) -> None:
     if record["words"][:2] == ["write-off", "front"] and record["status"] == 0:
-        name = list(seen.release["halls"])[int(record["words"][2])]
-        for away in seen.aways:
-            if away.front == name and away.until == NEVER:
-                away.off = record["t_us"]
+        name = list(recording.release["halls"])[int(record["words"][2])]
+        for outage in recording.outages:
+            if outage.front == name and outage.until_us == NEVER:
+                outage.written_off_us = record["t_us"]
 
 
-def _back(seen: Seen, front: str, t_us: int) -> None:
-    for away in seen.aways:
-        if away.front == front and away.until == NEVER:
-            away.until = t_us
+def _end_outage(recording: Recording, front: str, t_us: int) -> None:
+    for outage in recording.outages:
+        if outage.front == front and outage.until_us == NEVER:
+            outage.until_us = t_us
 
 
-def outs(records: list[Record]) -> Found:
+def outs(records: list[Record]) -> OutageResult:
     """Derive the outages and check them against the rollout's limits."""
     release = next(record["release"] for record in records if record["what"] == "terms")
     began_us = next((r["t_us"] for r in records if r["what"] == "day_began"), 0)
     over_us = next((r["t_us"] for r in records if r["what"] == "carried"), records[-1]["t_us"])
-    seen = _read([record for record in records if record["t_us"] <= over_us], release)
+    recording = _index_records([record for record in records if record["t_us"] <= over_us], release)
     # The fronts start before the scenario begins and are stopped after its end.
-    seen.aways = [away for away in seen.aways if away.since >= began_us]
-    boxes = boxed(records, release, over_us)
-    faults = [*_limits(seen), *_ends(seen, over_us), *_struck(seen, over_us), *boxes.faults]
-    taken = [away for away in seen.aways if away.taken]
+    recording.outages = [outage for outage in recording.outages if outage.since_us >= began_us]
+    servers = check_server_outages(records, release, over_us)
+    faults = [
+        *_check_limits(recording),
+        *_check_final_versions(recording, over_us),
+        *_check_faults_occurred(recording, over_us),
+        *servers.violations,
+    ]
+    taken = [outage for outage in recording.outages if outage.by_rollout]
     shown = Outs(
         len(taken),
-        max((_at_once(taken, away.since) for away in taken), default=0),
-        max((_at_once(seen.aways, away.since) for away in seen.aways), default=0),
-        round(max((min(a.until, over_us) - a.since for a in seen.aways), default=0) / 1e6, 2),
-        dict(sorted(seen.runs.items())),
-        boxes.taken,
-        boxes.most_out,
+        max((_count_out_at(taken, outage.since_us) for outage in taken), default=0),
+        max((_count_out_at(recording.outages, outage.since_us) for outage in recording.outages), default=0),
+        round(max((min(a.until_us, over_us) - a.since_us for a in recording.outages), default=0) / 1e6, 2),
+        dict(sorted(recording.serving_version.items())),
+        servers.taken,
+        servers.most_out,
     )
-    return Found(faults, shown)
+    return OutageResult(faults, shown)
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class OutageResult:
     """The violations and the figures of a run with rollouts."""
 
-    faults: list[Fault]
+    faults: list[Violation]
     shown: Outs
 
 
-def _at_once(aways: list[Away], t_us: int) -> int:
-    return len({away.front for away in aways if away.covers(t_us)})
+def _count_out_at(outages: list[Outage], t_us: int) -> int:
+    return len({outage.front for outage in outages if outage.is_out_at(t_us)})
 
 
-def _limits(seen: Seen) -> Iterator[Fault]:
+def _check_limits(recording: Recording) -> Iterator[Violation]:
     """Check the limits of rollouts; a crashed front counts once the other fronts can have detected it."""
-    release, halls = seen.release, seen.release["halls"]
-    know_us = round(release["know_ms"] * 1000)
-    for one in (away for away in seen.aways if away.taken):
+    release, zone_by_front = recording.release, recording.release["halls"]
+    detection_us = round(release["know_ms"] * 1000)
+    for started in (outage for outage in recording.outages if outage.by_rollout):
         known = [
-            away
-            for away in seen.aways
-            if away.covers(one.since) and (away.taken or away.since <= one.since - know_us)
+            outage
+            for outage in recording.outages
+            if outage.is_out_at(started.since_us)
+            and (outage.by_rollout or outage.since_us <= started.since_us - detection_us)
         ]
-        names = {away.front for away in known}
-        hall = {name for name in names if halls[name] == halls[one.front]}
+        names = {outage.front for outage in known}
+        zone = {name for name in names if zone_by_front[name] == zone_by_front[started.front]}
         for found, limit, where in (
             (names, release["fronts_out"], "in all"),
-            (hall, release["fronts_out_hall"], f"in {halls[one.front]}"),
+            (zone, release["fronts_out_hall"], f"in {zone_by_front[started.front]}"),
         ):
             if len(found) > limit:
                 reason = f"taken out as one of {len(found)} {where}, but {limit} are allowed: {sorted(found)}"
-                yield Fault(OUT, one.since, one.front, reason)
+                yield Violation(OUT, started.since_us, started.front, reason)
 
 
-def _ends(seen: Seen, over_us: int) -> Iterator[Fault]:
+def _check_final_versions(recording: Recording, over_us: int) -> Iterator[Violation]:
     """Check which version fronts run at the end, and how many ever ran the wanted one."""
-    release = seen.release
-    lost = {name for i, name in enumerate(release["halls"]) if i in release["lost"]}
-    gone = {away.front for away in seen.aways if away.until > over_us}
-    for name in sorted(gone - lost):
-        yield Fault(STRUCK, over_us, name, "it is out of service when the scenario ends")
-    asked = {name: version for name, version in seen.runs.items() if name not in lost}
-    have = [name for name, version in asked.items() if version == release["wanted"]]
-    came = {"all": len(have) == len(asked), "none": not have, "some": bool(have)}
-    if not came[release["ends"]]:
-        reason = f"expected {release['ends']} to run version {release['wanted']} at the end, found: {asked}"
-        yield Fault(STRUCK, over_us, "", reason)
-    ever = {name for name, version in seen.ran if version == release["wanted"]}
-    if release["most"] is not None and len(ever) > release["most"]:
-        reason = f"{len(ever)} fronts ran version {release['wanted']}, at most {release['most']} may"
-        yield Fault(OUT, over_us, "", reason)
-
-
-def _struck(seen: Seen, over_us: int) -> Iterator[Fault]:
+    release = recording.release
+    excluded = {name for i, name in enumerate(release["halls"]) if i in release["lost"]}
+    still_out = {outage.front for outage in recording.outages if outage.until_us > over_us}
+    for name in sorted(still_out - excluded):
+        yield Violation(STRUCK, over_us, name, "it is out of service when the scenario ends")
+    versions = {name: version for name, version in recording.serving_version.items() if name not in excluded}
+    wanted_fronts = [name for name, version in versions.items() if version == release["wanted"]]
+    outcomes = {
+        "all": len(wanted_fronts) == len(versions),
+        "none": not wanted_fronts,
+        "some": bool(wanted_fronts),
+    }
+    if not outcomes[release["ends"]]:
+        reason = (
+            f"expected {release['ends']} to run version {release['wanted']} at the end, found: {versions}"
+        )
+        yield Violation(STRUCK, over_us, "", reason)
+    ever_wanted = {name for name, version in recording.started_versions if version == release["wanted"]}
+    if release["most"] is not None and len(ever_wanted) > release["most"]:
+        reason = f"{len(ever_wanted)} fronts ran version {release['wanted']}, at most {release['most']} may"
+        yield Violation(OUT, over_us, "", reason)
+
+
+def _check_faults_occurred(recording: Recording, over_us: int) -> Iterator[Violation]:
     """Check that each fault occurred while the rollout took fronts out and that each order succeeded."""
-    release = seen.release
-    taken = [away for away in seen.aways if away.taken]
+    release = recording.release
+    taken = [outage for outage in recording.outages if outage.by_rollout]
     if not taken and not release["boxes"]:
-        yield Fault(STRUCK, over_us, "", "no rollout took a front out")
+        yield Violation(STRUCK, over_us, "", "no rollout took a front out")
     if not taken:
         return
-    first, last = min(a.since for a in taken), max(min(a.until, over_us) for a in taken)
+    first, last = min(a.since_us for a in taken), max(min(a.until_us, over_us) for a in taken)
     kinds = {"front-kill": "front_killed", "front-stop": "front_paused", "between": "fault"}
     wanted = [kinds.get(what, "trouble") for what in release["strikes"]]
-    during = [one.what for one in seen.strikes if one.since <= last and first - SLACK_US <= one.until]
+    during = [
+        fault.what
+        for fault in recording.injected_faults
+        if fault.since_us <= last and first - SLACK_US <= fault.until_us
+    ]
     for kind in sorted(set(wanted)):
         if during.count(kind) < wanted.count(kind):
-            found, many = during.count(kind), wanted.count(kind)
-            reason = f"expected {many} faults `{kind}` while fronts were taken out, found {found}"
-            yield Fault(STRUCK, over_us, "", reason)
-    if release["hangs"] and not any(one.what == "front_hangs" for one in seen.strikes):
-        yield Fault(STRUCK, over_us, "", "no front hung during startup")
+            found, expected = during.count(kind), wanted.count(kind)
+            reason = f"expected {expected} faults `{kind}` while fronts were taken out, found {found}"
+            yield Violation(STRUCK, over_us, "", reason)
+    if release["hangs"] and not any(fault.what == "front_hangs" for fault in recording.injected_faults):
+        yield Violation(STRUCK, over_us, "", "no front hung during startup")
     for number in release["bad"]:
-        if not any(version == number for _, version in seen.ran):
-            yield Fault(STRUCK, over_us, "", f"no front was started with version {number}")
-    if len(seen.orders) < release["orders"]:
-        yield Fault(
-            STRUCK, over_us, "", f"{len(seen.orders)} of {release['orders']} operator commands were run"
+        if not any(version == number for _, version in recording.started_versions):
+            yield Violation(STRUCK, over_us, "", f"no front was started with version {number}")
+    if len(recording.orders) < release["orders"]:
+        yield Violation(
+            STRUCK, over_us, "", f"{len(recording.orders)} of {release['orders']} operator commands were run"
         )
-    for words, status in seen.orders.items():
+    for words, status in recording.orders.items():
         if status:
-            yield Fault(
+            yield Violation(
                 STRUCK, over_us, "", f"the operator command `{' '.join(words)}` ended with status {status}"
             )
 
--- a/packages/scenarios/src/fennelcove/scenarios/player.py
+++ b/packages/scenarios/src/fennelcove/scenarios/player.py
@@ -16,48 +16,48 @@
 from fennelcove.emulators.stall_monitor import StallMonitor
 from fennelcove.emulators.websocket_clients import StandInSocketViewer
 from fennelcove.scenarios import authors
-from fennelcove.scenarios.fault_injection import Due, Troubles
+from fennelcove.scenarios.fault_injection import FaultInjector, ScheduledAction
 from fennelcove.scenarios.fronts import DayFailed, FrontProcess, Fronts
 from fennelcove.scenarios.rig import Rig
-from fennelcove.scenarios.schema_conformance import DescribedWitness
-from fennelcove.scenarios.script import ChangeLine, Crowd, Day
+from fennelcove.scenarios.schema_conformance import ConformanceWitness
+from fennelcove.scenarios.script import Crowd, Day, PlaylistChange
 from fennelcove.scenarios.supervisor import Supervisor
 
 __all__ = ["DayFailed", "DayPlayer", "arrivals", "terms"]
 
-MOST_VIEWERS = 5000
-MOST_MORE_US = 60_000_000  # how far a run with rollouts may exceed its stated duration
+MAX_CLIENTS = 5000
+MAX_OVERRUN_US = 60_000_000  # how far a run with rollouts may exceed its stated duration
 
 
 def arrivals(crowd: Crowd, number: int, seed: int) -> Iterator[tuple[float, Habits]]:
     """Draw the arrival times and habits of a crowd's clients from a seed of its own."""
-    chance = random.Random(f"{seed}/{number}")
+    rng = random.Random(f"{seed}/{number}")
     at_s = crowd.from_s
-    while (at_s := at_s + chance.expovariate(crowd.per_s)) < crowd.to_s:
-        hang_up = chance.random() < crowd.hang_up
+    while (at_s := at_s + rng.expovariate(crowd.per_s)) < crowd.to_s:
+        hang_up = rng.random() < crowd.hang_up
         yield (
             at_s,
             Habits(
                 room_type=crowd.room_type,
-                title=chance.choice(crowd.titles),
+                title=rng.choice(crowd.titles),
                 timeout_s=crowd.timeout_s,
-                watch_s=crowd.watch_s * (0.5 + chance.random()),
+                watch_s=crowd.watch_s * (0.5 + rng.random()),
                 top_rung=crowd.top_rung,
                 retries=crowd.retries,
-                honours=chance.random() < crowd.honour,
-                hangs_up_after_s=chance.uniform(0.0, 0.05) if hang_up else None,
-                vanishes=chance.random() < crowd.vanish,
+                honours=rng.random() < crowd.honour,
+                hangs_up_after_s=rng.uniform(0.0, 0.05) if hang_up else None,
+                vanishes=rng.random() < crowd.vanish,
                 top_kbit=crowd.top_kbit,
-                temper=chance.choice(crowd.tempers) if crowd.tempers else "obeys",
-                socket=bool(crowd.sockets) and chance.random() < crowd.sockets,
-                apart=bool(crowd.apart) and chance.random() < crowd.apart,
+                temper=rng.choice(crowd.tempers) if crowd.tempers else "obeys",
+                socket=bool(crowd.sockets) and rng.random() < crowd.sockets,
+                apart=bool(crowd.apart) and rng.random() < crowd.apart,
                 tenant=crowd.tenant,
                 fronts=tuple(crowd.fronts),
             ),
         )
 
 
-def _player() -> type[StandInViewer]:
+def _player_type() -> type[StandInViewer]:
     """Import the emulated player, which needs a manifest parser of the development tools.
 
     Raises:
@@ -78,18 +78,18 @@
 
     def __init__(
         self,
-        day: Day,
+        scenario: Day,
         seed: int,
         clock: Clock | None = None,
         arrivals: list[tuple[float, str, Habits]] | None = None,
     ) -> None:
-        self.day = day
+        self.scenario = scenario
         self.arrivals = arrivals
         self.seed = seed
         self.clock = clock or SystemClock()
         self.recorder = Recorder(self.clock)
-        self.leaving = threading.Event()
-        self.viewers: list[StandInViewer] = []
+        self.stop_event = threading.Event()
+        self.clients: list[StandInViewer] = []
 
     def play(self) -> list[Record]:
         """Run the scenario and return its records.
@@ -98,31 +98,31 @@
             DayFailed: a front did not start or end.
         """
         with tempfile.TemporaryDirectory(prefix="fennelcove-day-") as folder:
-            self.recorder.note("terms", **terms(self.day))
-            rig = Rig(self.day, self.clock, self.recorder, self.seed)
-            fronts = Fronts(self.day, rig, self.seed, self.recorder, Path(folder))
-            supervisor = Supervisor(rig, fronts, Path(folder), self.leaving)
-            troubles = Troubles(rig, fronts, self.seed, self.leaving, supervisor)
+            self.recorder.note("terms", **terms(self.scenario))
+            rig = Rig(self.scenario, self.clock, self.recorder, self.seed)
+            fronts = Fronts(self.scenario, rig, self.seed, self.recorder, Path(folder))
+            supervisor = Supervisor(rig, fronts, Path(folder), self.stop_event)
+            fault_injector = FaultInjector(rig, fronts, self.seed, self.stop_event, supervisor)
             stall_monitor = StallMonitor(self.recorder)
             try:
                 stall_monitor.start()
                 rig.start()
                 fronts.start()
                 for front in fronts.all:
-                    front.keep_copy()
+                    front.copy_store()
                 supervisor.start()
                 self.recorder.note("day_began")
-                self._run(self._plan(rig, fronts, troubles))
-                for viewer in self.viewers:
-                    viewer.thread.join()
-                self._left(supervisor)
-                supervisor.over = True
-                troubles.end()
+                self._run(self._schedule(rig, fronts, fault_injector))
+                for client in self.clients:
+                    client.thread.join()
+                self._wait_for_rollout(supervisor)
+                supervisor.scenario_ended = True
+                fault_injector.wait()
                 supervisor.stop()
-                rig.carried()
+                rig.record_traffic()
                 fronts.stop()
             finally:
-                self.leaving.set()
+                self.stop_event.set()
                 supervisor.stopped = True
                 fronts.kill()
                 rig.stop()
@@ -130,78 +130,80 @@
         return self.recorder.records
 
     def _arrivals(self) -> list[tuple[float, str, Habits, bool]]:
-        """The given arrivals or else those of the script's crowds, up to `MOST_VIEWERS`."""
+        """The given arrivals or else those of the script's crowds, up to `MAX_CLIENTS`."""
         found: list[tuple[float, str, Habits, bool]] = []
         if self.arrivals is not None:
             found = [(at_s, name, habits, False) for at_s, name, habits in self.arrivals]
-        for number, crowd in enumerate(self.day.crowds if self.arrivals is None else ()):
+        for number, crowd in enumerate(self.scenario.crowds if self.arrivals is None else ()):
             for at_s, habits in arrivals(crowd, number, self.seed):
                 found.append((at_s, f"v{number}-{len(found)}", habits, crowd.plays))
-        return found[:MOST_VIEWERS]
+        return found[:MAX_CLIENTS]
 
-    def _plan(self, rig: Rig, fronts: Fronts, troubles: Troubles) -> list[Due]:
-        due: list[Due] = []
-        witness = DescribedWitness(self.recorder)
+    def _schedule(self, rig: Rig, fronts: Fronts, fault_injector: FaultInjector) -> list[ScheduledAction]:
+        actions: list[ScheduledAction] = []
+        witness = ConformanceWitness(self.recorder)
         for at_s, name, habits, plays in self._arrivals():
-            kind = _player() if plays else StandInSocketViewer if habits.socket else StandInViewer
-            way = fronts.chooser(name, habits.fronts)
-            viewer = kind(name, habits, way, self.clock, self.recorder, rig.share_of, self.leaving)
-            viewer.witness = witness
-            self.viewers.append(viewer)
-            due.append(Due(at_s, viewer.thread.start))
-        for number, line in enumerate(self.day.changes):
-            due.append(Due(line.at_s, partial(self._change, line, number, fronts.all[0])))
-        for number, trouble in enumerate(self.day.troubles):
-            due += troubles.due(number, trouble)
-        return sorted(due, key=lambda item: item.at_s)
-
-    def _change(self, line: ChangeLine, number: int, front: FrontProcess) -> None:
-        authors.send(line, number, lambda: front.address, self.clock, self.recorder)
-
-    def _left(self, supervisor: Supervisor) -> None:
+            client_type = _player_type() if plays else StandInSocketViewer if habits.socket else StandInViewer
+            choose_front = fronts.chooser(name, habits.fronts)
+            client = client_type(
+                name, habits, choose_front, self.clock, self.recorder, rig.delivered_share, self.stop_event
+            )
+            client.witness = witness
+            self.clients.append(client)
+            actions.append(ScheduledAction(at_s, client.thread.start))
+        for number, change in enumerate(self.scenario.changes):
+            actions.append(ScheduledAction(change.at_s, partial(self._change, change, number, fronts.all[0])))
+        for number, fault_spec in enumerate(self.scenario.troubles):
+            actions += fault_injector.schedule(number, fault_spec)
+        return sorted(actions, key=lambda action: action.at_s)
+
+    def _change(self, change: PlaylistChange, number: int, front: FrontProcess) -> None:
+        authors.send_change(change, number, lambda: front.address, self.clock, self.recorder)
+
+    def _wait_for_rollout(self, supervisor: Supervisor) -> None:
         """Wait until a scenario with rollouts has reached its stated duration and its plan has ended.
 
         How long a plan takes depends on how fast the host starts processes; the verdict must not.
         """
         began_us = next(r["t_us"] for r in self.recorder.records if r["what"] == "day_began")
-        until_us = self.recorder.began_us + began_us + round(self.day.seconds * 1e6)
-        if self.day.release is not None:
-            self.leaving.wait(max(0.0, (until_us - self.clock.now_us()) / 1e6))
-            until_us += MOST_MORE_US
-            while not supervisor.settled(self.day.release) and self.clock.now_us() < until_us:
-                self.leaving.wait(0.1)
-
-    def _run(self, due: list[Due]) -> None:
+        until_us = self.recorder.began_us + began_us + round(self.scenario.seconds * 1e6)
+        if self.scenario.release is not None:
+            self.stop_event.wait(max(0.0, (until_us - self.clock.now_us()) / 1e6))
+            until_us += MAX_OVERRUN_US
+            while not supervisor.settled(self.scenario.release) and self.clock.now_us() < until_us:
+                self.stop_event.wait(0.1)
+
+    def _run(self, actions: list[ScheduledAction]) -> None:
         began_us = self.clock.now_us()
-        for item in due:
-            left_s = item.at_s - (self.clock.now_us() - began_us) / 1e6
+        for action in actions:
+            left_s = action.at_s - (self.clock.now_us() - began_us) / 1e6
             if left_s > 0:
-                self.leaving.wait(left_s)
-            item.call()
+                self.stop_event.wait(left_s)
+            action.call()
 
 
-def terms(day: Day) -> Record:
+def terms(scenario: Day) -> Record:
     """The `terms` record: the parameters that the checker needs."""
-    front = day.front
+    front = scenario.front
     return {
-        "day": day.name,
-        "service_floor": day.service_floor,
-        "stall_limit_ms": day.stall_limit_ms,
-        "company": day.company,
-        "fronts": day.fronts if day.fronts > 1 else front.instance.fronts,
-        "settle_within_s": day.settle_within_s,
-        "release": _release(day),
+        "day": scenario.name,
+        "service_floor": scenario.service_floor,
+        "stall_limit_ms": scenario.stall_limit_ms,
+        "company": scenario.company,
+        "fronts": scenario.fronts if scenario.fronts > 1 else front.instance.fronts,
+        "settle_within_s": scenario.settle_within_s,
+        "release": _rollout_terms(scenario),
         "slot_wait_ms": front.fair.wait_ms if front.fair is not None else 0.0,
-        "tenants": _tenants(day),
-        "slots": msgspec.to_builtins(day.slots) if day.slots is not None else None,
-        "troubles": [trouble.what for trouble in day.troubles],
-        "last_crowd_s": max(crowd.to_s for crowd in day.crowds),
+        "tenants": _tenant_terms(scenario),
+        "slots": msgspec.to_builtins(scenario.slots) if scenario.slots is not None else None,
+        "troubles": [fault_spec.what for fault_spec in scenario.troubles],
+        "last_crowd_s": max(crowd.to_s for crowd in scenario.crowds),
         "stop_ms": front.limits.stop_ms,
         "drain_grace_ms": front.rules.drain_grace_ms,
         "ramp_ms": front.rules.ramp_ms,
         "start_capacity": front.rules.start_capacity,
-        "fall_multiple": day.rig.fall_multiple,
-        "tip_after_ms": day.rig.tip_after_ms,
+        "fall_multiple": scenario.rig.fall_multiple,
+        "tip_after_ms": scenario.rig.tip_after_ms,
         "budget_free": front.rules.budget_free,
         "budget_ratio": front.rules.budget_ratio,
         "budget_span_ms": front.rules.budget_span_ms,
@@ -209,40 +211,40 @@
     }
 
 
-def _tenants(day: Day) -> Record | None:
+def _tenant_terms(scenario: Day) -> Record | None:
     """The requirements for tenants, if any."""
-    told, fair = day.tenants, day.front.fair
-    if told is None:
+    requirements, fair = scenario.tenants, scenario.front.fair
+    if requirements is None:
         return None
     return {
-        **msgspec.to_builtins(told),
-        "slots": fair.slots if fair is not None else day.front.limits.box_connections * day.fronts,
-        "cut": any(trouble.what == "between" for trouble in day.troubles),
-        "stopped": any(trouble.what == "front-stop" for trouble in day.troubles),
-        "hops": any(crowd.tenant == told.hog and crowd.fronts for crowd in day.crowds),
+        **msgspec.to_builtins(requirements),
+        "slots": fair.slots if fair is not None else scenario.front.limits.box_connections * scenario.fronts,
+        "cut": any(fault_spec.what == "between" for fault_spec in scenario.troubles),
+        "stopped": any(fault_spec.what == "front-stop" for fault_spec in scenario.troubles),
+        "hops": any(crowd.tenant == requirements.hog and crowd.fronts for crowd in scenario.crowds),
     }
 
 
-def _release(day: Day) -> Record | None:
+def _rollout_terms(scenario: Day) -> Record | None:
     """The limits and expected outcome of rollouts, if any."""
-    told, limits = day.release, day.front.releases
-    if told is None or limits is None:
+    requirements, limits = scenario.release, scenario.front.releases
+    if requirements is None or limits is None:
         return None
-    halls = day.halls or [day.front.instance.zone]
+    zones = scenario.halls or [scenario.front.instance.zone]
     return {
-        **msgspec.to_builtins(told),
+        **msgspec.to_builtins(requirements),
         "fronts_out": limits.fronts_out,
         "fronts_out_hall": limits.fronts_out_hall,
         "boxes_out": limits.boxes_out,
         "boxes_out_hall": limits.boxes_out_hall,
         "boxes_out_title": limits.boxes_out_title,
         "titles": {
-            title.name: [(title.first_cell + i) % day.front.fleet.cells for i in range(title.cells)]
-            for title in day.front.titles
+            title.name: [(title.first_cell + i) % scenario.front.fleet.cells for i in range(title.cells)]
+            for title in scenario.front.titles
         },
-        "halls": {f"{day.front.name}-{i}": halls[i % len(halls)] for i in range(day.fronts)},
-        "strikes": [trouble.what for trouble in day.troubles if trouble.what != "order"],
-        "orders": sum(trouble.what == "order" for trouble in day.troubles),
-        "hangs": any(version.hangs for version in day.versions),
-        "bad": [version.number for version in day.versions],
+        "halls": {f"{scenario.front.name}-{i}": zones[i % len(zones)] for i in range(scenario.fronts)},
+        "strikes": [fault_spec.what for fault_spec in scenario.troubles if fault_spec.what != "order"],
+        "orders": sum(fault_spec.what == "order" for fault_spec in scenario.troubles),
+        "hangs": any(version.hangs for version in scenario.versions),
+        "bad": [version.number for version in scenario.versions],
     }
--- a/packages/scenarios/src/fennelcove/scenarios/plots.py
+++ b/packages/scenarios/src/fennelcove/scenarios/plots.py
@@ -35,9 +35,9 @@
         panel.legend(loc="upper right")
         panel.grid(alpha=0.3)
     lower.set_xlabel("second of the run")
-    here = Path(folder)
-    here.mkdir(parents=True, exist_ok=True)
-    files = [str(here / f"storm.{kind}") for kind in ("png", "svg")]
+    folder_path = Path(folder)
+    folder_path.mkdir(parents=True, exist_ok=True)
+    files = [str(folder_path / f"storm.{kind}") for kind in ("png", "svg")]
     for file in files:
         figure.savefig(file, dpi=110, bbox_inches="tight")
     pyplot.close(figure)
--- a/packages/scenarios/src/fennelcove/scenarios/recovery.py
+++ b/packages/scenarios/src/fennelcove/scenarios/recovery.py
@@ -7,10 +7,10 @@
 import msgspec
 from fennelcove.emulators.recorder import Record
 
-PLAYS, THROTTLED = 201, 503
+STATUS_SERVED, THROTTLED = 201, 503
 BEFORE_S = 6  # window for the service before a fault
-BACK = 0.9  # share of the service before the fault that counts as recovered
-FOR_S = 3  # window for the service after it, since single seconds vary by chance
+RECOVERED_SHARE = 0.9  # share of the service before the fault that counts as recovered
+AFTER_S = 3  # window for the service after it, since single seconds vary by chance
 FIRST_S = 30
 
 
@@ -33,7 +33,7 @@
     trouble: str
     at_s: float
     before: float  # set-ups served per second before it
-    back_after_s: float | None  # until `BACK` of that was reached again; None: never in this run
+    back_after_s: float | None  # until `RECOVERED_SHARE` of that was reached again; None: never in this run
     bound_s: float  # lower bound of that, from the warm-up of the servers alone
     first_share: float  # set-ups served in the first 30 s, over those in the same time before the fault
 
@@ -61,10 +61,13 @@
 def seconds(records: list[Record]) -> list[Second]:
     """Requests and outcomes in each second of the run."""
     since_us = began_us(records)
-    worth = {
-        room["name"]: room["benefit"] for r in records if r["what"] == "terms" for room in r["room_types"]
+    benefits = {
+        room_type["name"]: room_type["benefit"]
+        for r in records
+        if r["what"] == "terms"
+        for room_type in r["room_types"]
     }
-    rooms = {(r["viewer"], r["number"]): r["room_type"] for r in records if r["what"] == "asked"}
+    room_types = {(r["viewer"], r["number"]): r["room_type"] for r in records if r["what"] == "asked"}
     counts: dict[int, list[float]] = {}
     for record in records:
         what, at = record["what"], (record["t_us"] - since_us) // 1_000_000
@@ -75,12 +78,12 @@
             row[0] += 1
         elif what == "unanswered":
             row[3] += record["how"] != "hung_up"
-        elif record["status"] == PLAYS:
+        elif record["status"] == STATUS_SERVED:
             row[1] += 1
-            row[4] += worth.get(rooms.get((record["viewer"], record["number"]), ""), 0.0)
+            row[4] += benefits.get(room_types.get((record["viewer"], record["number"]), ""), 0.0)
         else:
             row[2] += 1
-    room = held(records, since_us)
+    usage = session_usage(records, since_us)
     rows = [(at, counts.get(at, [0] * 5)) for at in range(max(counts, default=-1) + 1)]
     return [
         Second(
@@ -90,31 +93,34 @@
             int(refused),
             int(unanswered),
             round(benefit, 3),
-            *room.get(at, (0, 0)),
+            *usage.get(at, (0, 0)),
         )
         for at, (asked, played, refused, unanswered, benefit) in rows
     ]
 
 
-def held(records: list[Record], since_us: int) -> dict[int, tuple[int, int]]:
+def session_usage(records: list[Record], since_us: int) -> dict[int, tuple[int, int]]:
     """For each second, the sessions playing at its end and the capacity of the running servers."""
     streams = {r["box"]: r["streams"] for r in records if r["what"] == "box"}
     up = dict.fromkeys(streams, True)
-    playing: dict[str, set[tuple[str, int]]] = {box: set() for box in streams}
+    playing: dict[str, set[tuple[str, int]]] = {server: set() for server in streams}
     found: dict[int, tuple[int, int]] = {}
     at = 0
     for record in records:
         while (record["t_us"] - since_us) // 1_000_000 > at:
-            found[at] = (sum(map(len, playing.values())), sum(n for box, n in streams.items() if up[box]))
+            found[at] = (
+                sum(map(len, playing.values())),
+                sum(n for server, n in streams.items() if up[server]),
+            )
             at += 1
-        what, box = record["what"], str(record.get("box"))
+        what, server = record["what"], str(record.get("box"))
         if what == "set_up_over" and record["how"] == "started":
-            playing[box].add((record["subscription"], record["join"]))
+            playing[server].add((record["subscription"], record["join"]))
         elif what in ("released", "ended"):
-            playing[box].discard((record["subscription"], record["join"]))
+            playing[server].discard((record["subscription"], record["join"]))
         elif what in ("box_died", "box_started"):
-            playing[box].clear()
-            up[box] = what == "box_started"
+            playing[server].clear()
+            up[server] = what == "box_started"
     return found
 
 
@@ -129,25 +135,26 @@
         mean = sum(before) / max(1, len(before))
         until = int(times[i + 1]) if i + 1 < len(times) else len(played)
         back = None
-        for at in range(first, until - FOR_S + 1):
-            if mean and sum(played[at : at + FOR_S]) / FOR_S >= BACK * mean:
+        for at in range(first, until - AFTER_S + 1):
+            if mean and sum(played[at : at + AFTER_S]) / AFTER_S >= RECOVERED_SHARE * mean:
                 back = float(at - at_s)
                 break
         share = sum(played[first : min(until, first + FIRST_S)]) / max(1e-9, mean * FIRST_S)
-        bound = warm_bound_s(records, at_s, mean)
+        bound = warm_up_bound_s(records, at_s, mean)
         yield Return("power", round(at_s, 2), round(mean, 2), back, round(bound, 2), round(share, 3))
 
 
-def warm_bound_s(records: list[Record], at_s: float, mean: float) -> float:
-    """The earliest time after a fault at which restarted servers could accept `BACK` of the former set-ups.
+def warm_up_bound_s(records: list[Record], at_s: float, mean: float) -> float:
+    """The earliest time after a fault at which restarted servers could accept enough set-ups.
 
-    Each server accepts set-ups at the pace to which it has warmed up.
+    That is `RECOVERED_SHARE` of the former rate; each server accepts set-ups at the pace to which it has
+    warmed up.
     """
     since_us = began_us(records)
     terms = next(r for r in records if r["what"] == "terms")
     ramp_s, cold = terms["ramp_ms"] / 1000, terms["start_capacity"]
     streams = {r["box"]: r["streams"] for r in records if r["what"] == "box"}
-    dead = {
+    down = {
         r["box"] for r in records if r["what"] == "box_died" and (r["t_us"] - since_us) / 1e6 >= at_s - 0.5
     }
     starts = {
@@ -160,23 +167,23 @@
 
     def pace(at: float) -> float:
         total = 0.0
-        for box, most in streams.items():
-            if box not in dead:
+        for server, capacity in streams.items():
+            if server not in down:
                 return float("inf")
-            if box in starts and at >= starts[box]:
-                warmth = min(1.0, cold + (1 - cold) * (at - starts[box]) / ramp_s)
-                total += most / ramp_s * warmth if warmth < 1 else float("inf")
+            if server in starts and at >= starts[server]:
+                warmth = min(1.0, cold + (1 - cold) * (at - starts[server]) / ramp_s)
+                total += capacity / ramp_s * warmth if warmth < 1 else float("inf")
         return total
 
     step = at_s
     while step < at_s + 600:
-        if pace(step) >= BACK * mean:
+        if pace(step) >= RECOVERED_SHARE * mean:
             return step - at_s
         step += 0.05
     return 600.0
 
 
-def fleet(records: list[Record]) -> Fleet:
+def fleet_figures(records: list[Record]) -> Fleet:
     """Compute the figures of the fleet."""
     found = seconds(records)
     asked = max(1, sum(second.asked for second in found))
@@ -201,9 +208,9 @@
     for back in figures.returns:
         when = "not in this run" if back.back_after_s is None else f"after {back.back_after_s:.1f} s"
         yield (
-            f"power loss at {back.at_s:.1f} s, at {back.before:.1f} set-ups per second; {BACK:.0%} of that "
-            f"reached {when} (bound by the servers' warm-up: {back.bound_s:.1f} s); share served in the "
-            f"first 30 s {back.first_share:.2f}"
+            f"power loss at {back.at_s:.1f} s, at {back.before:.1f} set-ups per second; "
+            f"{RECOVERED_SHARE:.0%} of that reached {when} (bound by the servers' warm-up: "
+            f"{back.bound_s:.1f} s); share served in the first 30 s {back.first_share:.2f}"
         )
     if figures.connections:
         yield (
--- a/packages/scenarios/src/fennelcove/scenarios/replays.py
+++ b/packages/scenarios/src/fennelcove/scenarios/replays.py
@@ -9,7 +9,7 @@
 from fennelcove.emulators.clients import Habits
 from fennelcove.emulators.recorder import Record
 
-WORDS = {
+EXPLANATIONS = {
     "first": "a first try beyond the admission rate",
     "again": "a retry without a place in the waiting room",
     "early": "it came before its place was due, and keeps it",
@@ -42,7 +42,7 @@
 
 def explained(lines: Iterable[dict[str, Any]]) -> Iterator[str]:
     """Explain a front's log: a line for each phase change of a storm and each client rejected by it."""
-    turned: Counter[str] = Counter()
+    rejections: Counter[str] = Counter()
     for line in lines:
         event, at = line.get("event"), str(line.get("timestamp", ""))[11:23]
         if event == "storm_phase":
@@ -53,13 +53,15 @@
             )
         elif event == "subscription_turned_away" and line.get("standing"):
             standing = str(line["standing"])
-            turned[standing] += 1
+            rejections[standing] += 1
             wait_s = float(line.get("wait_ms", 0)) / 1000
             client = line.get("client") or "a client without a name"
-            yield f"{at} {client}: {WORDS.get(standing, standing)}; retry after {wait_s:.1f} s"
-    total = sum(turned.values())
+            yield f"{at} {client}: {EXPLANATIONS.get(standing, standing)}; retry after {wait_s:.1f} s"
+    total = sum(rejections.values())
     if total:
-        parts = ", ".join(f"{count} {WORDS.get(name, name)}" for name, count in turned.most_common())
+        parts = ", ".join(
+            f"{count} {EXPLANATIONS.get(name, name)}" for name, count in rejections.most_common()
+        )
         yield f"turned away at the door with a place: {total} ({parts})"
 
 
--- a/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
+++ b/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
@@ -10,7 +10,7 @@
 from fennelcove.ingress.routes import LINES
 
 
-class DescribedWitness:
+class ConformanceWitness:
     """Records whatever the descriptions do not cover; the checker reports each as a violation."""
 
     def __init__(self, recorder: Recorder) -> None:
@@ -22,10 +22,10 @@
         """Check a response of the HTTP interface."""
         self._note(self.http.answer(method, path, status, media, body))
 
-    def message(self, told: dict[str, Any]) -> None:
+    def message(self, fields: dict[str, Any]) -> None:
         """Check a message of the WebSocket interface."""
-        self._note(self.socket.message(told))
+        self._note(self.socket.message(fields))
 
-    def _note(self, amiss: list[str]) -> None:
-        for fault in amiss:
+    def _note(self, faults: list[str]) -> None:
+        for fault in faults:
             self.recorder.note("undescribed", fault=fault)
--- a/packages/scenarios/src/fennelcove/scenarios/script.py
+++ b/packages/scenarios/src/fennelcove/scenarios/script.py
@@ -25,7 +25,7 @@
 from msgspec import Meta, field
 
 Seconds = Annotated[float, Meta(ge=0, le=600)]
-What = Literal[
+FaultKind = Literal[
     "hang",
     "slow",
     "errors",
@@ -52,16 +52,18 @@
 ]
 # What a fault waits for after its time: the plan's halt or end as fronts report it to operators, a number of
 # fronts that have ended by themselves, or a front that is written off.
-Until = Literal["halted", "over", "out-1", "out-2", "out-3", "out-4", "off"]
-Ways = Literal["silent", "reset", "refuse", "delay", "throttle", "cut", "lose", "double", "reorder"]
+Condition = Literal["halted", "over", "out-1", "out-2", "out-3", "out-4", "off"]
+NetworkFaultKind = Literal[
+    "silent", "reset", "refuse", "delay", "throttle", "cut", "lose", "double", "reorder"
+]
 Parties = Annotated[str, Meta(min_length=1, max_length=400, pattern=r"^[A-Za-z0-9._|-]+$")]
-Span = Annotated[list[Seconds], Meta(min_length=2, max_length=2)]
+TimeRange = Annotated[list[Seconds], Meta(min_length=2, max_length=2)]
 
 
-LIKE = re.compile(r'^\s*\(like "([a-z0-9-]+)"\)', re.MULTILINE)
+BASE_SCENARIO = re.compile(r'^\s*\(like "([a-z0-9-]+)"\)', re.MULTILINE)
 
 
-class BoxLine(Strict, frozen=True, kw_only=True):
+class ServerSpec(Strict, frozen=True, kw_only=True):
     """One emulated server; its rack is its cell modulo the number of racks."""
 
     cell: Count
@@ -95,7 +97,7 @@
     fronts: list[Count] = field(default_factory=list)  # the fronts that they use; empty: all
 
 
-class TenantBar(Strict, frozen=True, kw_only=True):
+class TenantRequirements(Strict, frozen=True, kw_only=True):
     """What the other tenants must be served from when the overloading tenant (the hog) arrives."""
 
     hog: Name
@@ -105,7 +107,7 @@
     fills: SomeCount = 1  # attempts in flight at one server that show the hog's overload
 
 
-class ChangeLine(Strict, frozen=True, kw_only=True):
+class PlaylistChange(Strict, frozen=True, kw_only=True):
     """A playlist change that the scenario's author submits or deletes."""
 
     at_s: Seconds
@@ -118,7 +120,7 @@
     wall_in_s: Seconds | None = None  # instead of `at`: the time from when it is sent
 
 
-class Between(Strict, frozen=True, kw_only=True):
+class NetworkFault(Strict, frozen=True, kw_only=True):
     """A network fault that relays apply to what `sender` sends to `taker`.
 
     Parties are `all`, `fronts`, `boxes`, `lists`, `viewers`, a zone, `front-3`, `box-2`, or several separated
@@ -127,16 +129,16 @@
 
     sender: Parties
     taker: Parties
-    how: Ways
+    how: NetworkFaultKind
     share: Share = 1.0
     both: bool = True  # the other direction as well
 
 
-class Power(Strict, frozen=True, kw_only=True):
+class PowerLoss(Strict, frozen=True, kw_only=True):
     """A loss of power for all fronts, servers and the list service; restarts are in seconds after it."""
 
-    boxes_back_s: Span
-    fronts_back_s: Span
+    boxes_back_s: TimeRange
+    fronts_back_s: TimeRange
     lists_back_s: Seconds = 0.0
     boxes_never: Count = 0  # servers that never restart, from the end of the script's list
     fronts_never: Count = 0
@@ -149,7 +151,7 @@
     lists_learn_s: Seconds = 0.0  # and publishes the current one this long after its restart
 
 
-class Version(Strict, frozen=True, kw_only=True):
+class VersionSpec(Strict, frozen=True, kw_only=True):
     """The behaviour of fronts that run a version; what is left out is as in the scenario's settings."""
 
     number: SomeCount
@@ -160,7 +162,7 @@
     refused: bool = False  # its settings are invalid, so the front exits with an error
 
 
-class Release(Strict, frozen=True, kw_only=True):
+class RolloutRequirements(Strict, frozen=True, kw_only=True):
     """The outcome that the checker expects of a scenario's rollouts."""
 
     wanted: SomeCount = 2
@@ -173,7 +175,7 @@
     boxes: Count = 0  # servers that have to be taken out
 
 
-class SlotDay(Strict, frozen=True, kw_only=True):
+class SlotRequirements(Strict, frozen=True, kw_only=True):
     """The limits for attempts in flight at servers."""
 
     over: SomeFigure = 2.5  # limit in flight at a server, as a multiple of its knee
@@ -181,23 +183,23 @@
     late: Share = 0.02  # limit for the share of attempts that fronts cancel
 
 
-class Trouble(Strict, frozen=True, kw_only=True):
+class FaultSpec(Strict, frozen=True, kw_only=True):
     """A scheduled fault; `box` is the index of a server in the script, or of the front that it concerns."""
 
     at_s: Seconds
-    what: What
+    what: FaultKind
     box: Count | None = None
     for_s: Seconds = 0.0
     value: Figure = 0.0
     fronts: list[Count] = field(default_factory=list)  # several fronts at once, instead of `box`
-    between: Between | None = None
-    power: Power | None = None
-    until: Until | None = None  # a condition it waits for after its time
+    between: NetworkFault | None = None
+    power: PowerLoss | None = None
+    until: Condition | None = None  # a condition it waits for after its time
     leader: bool = False  # the target is the front that leads a plan, as fronts report it to operators
     order: list[str] = field(default_factory=list)  # an operator's arguments to `fennelcove fleet`
 
 
-class Rig(Strict, frozen=True, kw_only=True):
+class RigSpec(Strict, frozen=True, kw_only=True):
     """The behaviour of the emulated peers, beside what the front's settings define."""
 
     fall_multiple: SomeFigure = 2.0
@@ -220,21 +222,21 @@
     seconds: SomeFigure
     service_floor: Share
     front: FrontSettings
-    rig: Rig
-    boxes: Annotated[list[BoxLine], Meta(min_length=1, max_length=200)]
+    rig: RigSpec
+    boxes: Annotated[list[ServerSpec], Meta(min_length=1, max_length=200)]
     crowds: Annotated[list[Crowd], Meta(min_length=1, max_length=50)]
-    troubles: list[Trouble] = field(default_factory=list)
-    changes: list[ChangeLine] = field(default_factory=list)
+    troubles: list[FaultSpec] = field(default_factory=list)
+    changes: list[PlaylistChange] = field(default_factory=list)
     fronts: Annotated[int, Meta(ge=1, le=32)] = 1
     halls: list[Name] = field(default_factory=list)  # zones of the fronts, assigned in turn
     relays: bool = False  # all traffic passes through relays that can inject faults
     company: bool = False  # every front knows its peers' addresses
     settle_within_s: Figure | None = None  # limit for refusals after the last crowd
     stall_limit_ms: Figure | None = None
-    tenants: TenantBar | None = None
-    release: Release | None = None
-    slots: SlotDay | None = None
-    versions: list[Version] = field(default_factory=list)
+    tenants: TenantRequirements | None = None
+    release: RolloutRequirements | None = None
+    slots: SlotRequirements | None = None
+    versions: list[VersionSpec] = field(default_factory=list)
 
 
 def names() -> list[str]:
@@ -261,48 +263,51 @@
     else:
         source = f"{name}.sexp"
         text = (resources.files("fennelcove.scenarios") / "scripts" / source).read_text("utf-8")
-    base = LIKE.search(text)
-    under = msgspec.to_builtins(read(base.group(1))) if base is not None else None
-    day = parse(text, Day, source, under)
-    for fault in day_amiss(day):
+    base_name = BASE_SCENARIO.search(text)
+    base = msgspec.to_builtins(read(base_name.group(1))) if base_name is not None else None
+    scenario = parse(text, Day, source, base)
+    for fault in invalid_settings(scenario):
         raise SettingsError.amiss(source, fault)
-    for fault in amiss(_as_told(day)):
+    for fault in amiss(_first_front_settings(scenario)):
         raise SettingsError.amiss(source, f"front.{fault}")
-    return day
+    return scenario
 
 
-def _as_told(day: Day) -> FrontSettings:
+def _first_front_settings(scenario: Day) -> FrontSettings:
     """The settings of the first front, with the peers that the scenario adds."""
-    front = day.front
-    if day.fronts == 1 or front.releases is None:
+    front = scenario.front
+    if scenario.fronts == 1 or front.releases is None:
         return front
     replace = msgspec.structs.replace
-    some = [f"127.0.0.1:{i + 1}" for i in range(day.fronts)]
-    company = replace(front.company, addresses=some) if front.company is not None else None
-    if company is None and day.company:
-        company = CompanySettings(addresses=some)
-    return replace(front, instance=replace(front.instance, fronts=day.fronts), company=company)
+    addresses = [f"127.0.0.1:{i + 1}" for i in range(scenario.fronts)]
+    company = replace(front.company, addresses=addresses) if front.company is not None else None
+    if company is None and scenario.company:
+        company = CompanySettings(addresses=addresses)
+    return replace(front, instance=replace(front.instance, fronts=scenario.fronts), company=company)
 
 
-def day_amiss(day: Day) -> Iterator[str]:
+def invalid_settings(scenario: Day) -> Iterator[str]:
     """Yield the faults of a scenario that its types can't reject."""
-    for i, trouble in enumerate(day.troubles):
-        at, concerns_front = f"troubles[{i}]", trouble.what.startswith("front-")
-        if trouble.box is not None and not concerns_front and trouble.box >= len(day.boxes):
-            yield f"{at}.box: found index {trouble.box}, but there are {len(day.boxes)} servers; count from 0"
-        if any(number >= day.fronts for number in trouble.fronts):
+    for i, fault_spec in enumerate(scenario.troubles):
+        at, concerns_front = f"troubles[{i}]", fault_spec.what.startswith("front-")
+        if fault_spec.box is not None and not concerns_front and fault_spec.box >= len(scenario.boxes):
+            yield (
+                f"{at}.box: found index {fault_spec.box}, but there are {len(scenario.boxes)} servers; "
+                "count from 0"
+            )
+        if any(number >= scenario.fronts for number in fault_spec.fronts):
             yield (
-                f"{at}.fronts: found index {max(trouble.fronts)}, but there are {day.fronts} fronts; "
+                f"{at}.fronts: found index {max(fault_spec.fronts)}, but there are {scenario.fronts} fronts; "
                 "count from 0"
             )
-        if trouble.what == "between" and (trouble.between is None or not day.relays):
+        if fault_spec.what == "between" and (fault_spec.between is None or not scenario.relays):
             yield f"{at}.between: found none or no relays; state sender, taker and how, and set (relays true)"
-        if trouble.what == "order" and not trouble.order:
+        if fault_spec.what == "order" and not fault_spec.order:
             yield f"{at}.order: found no arguments; state the arguments to `fennelcove fleet`"
-        if trouble.what == "power":
-            if trouble.power is None:
+        if fault_spec.what == "power":
+            if fault_spec.power is None:
                 yield f"{at}.power: found none; state when servers and fronts restart"
-            elif trouble.power.boxes_never + trouble.power.boxes_spared >= len(day.boxes):
-                yield f"{at}.power: found no server that restarts; there are {len(day.boxes)}"
-            elif trouble.power.fronts_never >= day.fronts:
-                yield f"{at}.power: found no front that restarts; there are {day.fronts}"
+            elif fault_spec.power.boxes_never + fault_spec.power.boxes_spared >= len(scenario.boxes):
+                yield f"{at}.power: found no server that restarts; there are {len(scenario.boxes)}"
+            elif fault_spec.power.fronts_never >= scenario.fronts:
+                yield f"{at}.power: found no front that restarts; there are {scenario.fronts}"
--- a/packages/scenarios/src/fennelcove/scenarios/server_outages.py
+++ b/packages/scenarios/src/fennelcove/scenarios/server_outages.py
@@ -6,77 +6,88 @@
 from dataclasses import dataclass
 
 from fennelcove.emulators.recorder import Record
-from fennelcove.scenarios.faults import OUT, STRUCK, Fault
+from fennelcove.scenarios.faults import OUT, STRUCK, Violation
 
 NEVER = 1 << 62
 
 
 @dataclass(slots=True)
-class Away:
+class Outage:
     """An interval in which a server was out."""
 
-    box: str
-    since: int
-    taken: bool
-    until: int = NEVER
+    server: str
+    since_us: int
+    by_permit: bool
+    until_us: int = NEVER
 
 
 @dataclass(frozen=True, slots=True)
-class Boxed:
+class ServerOutages:
     """The outages of servers and the violations."""
 
     taken: int
     most_out: int
-    faults: list[Fault]
+    violations: list[Violation]
 
 
-def _aways(records: list[Record], ramp_us: int) -> list[Away]:
-    aways: list[Away] = []
+def _find_outages(records: list[Record], ramp_us: int) -> list[Outage]:
+    outages: list[Outage] = []
     for record in records:
-        what, t_us, box = record["what"], record["t_us"], str(record.get("box"))
-        mine = [away for away in aways if away.box == box and t_us < away.until]
-        if what in ("box_taken", "box_died") and not mine:
-            aways.append(Away(box, t_us, what == "box_taken"))
+        what, t_us, server = record["what"], record["t_us"], str(record.get("box"))
+        open_outages = [outage for outage in outages if outage.server == server and t_us < outage.until_us]
+        if what in ("box_taken", "box_died") and not open_outages:
+            outages.append(Outage(server, t_us, what == "box_taken"))
         elif what == "box_died":
-            for away in mine:
-                away.until = NEVER  # it goes down while cold or draining
+            for outage in open_outages:
+                outage.until_us = NEVER  # it goes down while cold or draining
         elif what == "box_started":
-            for away in mine:
-                away.until = t_us + ramp_us
-    return aways
+            for outage in open_outages:
+                outage.until_us = t_us + ramp_us
+    return outages
 
 
-def boxed(records: list[Record], release: Record, over_us: int) -> Boxed:
+def check_server_outages(records: list[Record], release: Record, over_us: int) -> ServerOutages:
     """Check all outages against the rollout's limits."""
     terms = next(record for record in records if record["what"] == "terms")
-    aways = _aways(records, round(terms.get("ramp_ms", 0.0) * 1000))
-    boxes = {record["box"]: record for record in records if record["what"] == "box"}
-    taken = [away for away in aways if away.taken]
-    faults = [fault for away in taken for fault in _limits(away, aways, boxes, release)]
+    outages = _find_outages(records, round(terms.get("ramp_ms", 0.0) * 1000))
+    servers = {record["box"]: record for record in records if record["what"] == "box"}
+    taken = [outage for outage in outages if outage.by_permit]
+    violations = [
+        violation for outage in taken for violation in _check_limits(outage, outages, servers, release)
+    ]
     if len(taken) < release["boxes"]:
         reason = f"{len(taken)} servers were taken out, expected {release['boxes']}"
-        faults.append(Fault(STRUCK, over_us, "", reason))
-    most = max((len(_out(aways, away.since)) for away in taken), default=0)
-    return Boxed(len(taken), most, faults)
-
-
-def _out(aways: list[Away], t_us: int, know_us: int = 0) -> set[str]:
-    """The servers that were out at that time, by permit or detectable for at least `know_us`."""
-    return {a.box for a in aways if a.since <= t_us < a.until and (a.taken or a.since <= t_us - know_us)}
-
-
-def _limits(one: Away, aways: list[Away], boxes: dict[str, Record], release: Record) -> Iterator[Fault]:
-    out = _out(aways, one.since, round(release["know_box_ms"] * 1000))
-    here = boxes[one.box]
-    hall = {box for box in out if boxes[box]["zone"] == here["zone"]}
-    counts = [(out, release["boxes_out"], "in all"), (hall, release["boxes_out_hall"], "in its zone")]
+        violations.append(Violation(STRUCK, over_us, "", reason))
+    most = max((len(_out_at(outages, outage.since_us)) for outage in taken), default=0)
+    return ServerOutages(len(taken), most, violations)
+
+
+def _out_at(outages: list[Outage], t_us: int, detection_us: int = 0) -> set[str]:
+    """The servers that were out at that time, by permit or detectable for at least `detection_us`."""
+    return {
+        outage.server
+        for outage in outages
+        if outage.since_us <= t_us < outage.until_us
+        and (outage.by_permit or outage.since_us <= t_us - detection_us)
+    }
+
+
+def _check_limits(
+    one: Outage, outages: list[Outage], servers: dict[str, Record], release: Record
+) -> Iterator[Violation]:
+    out = _out_at(outages, one.since_us, round(release["know_box_ms"] * 1000))
+    server_record = servers[one.server]
+    zone_servers = {server for server in out if servers[server]["zone"] == server_record["zone"]}
+    counts = [(out, release["boxes_out"], "in all"), (zone_servers, release["boxes_out_hall"], "in its zone")]
     for title, cells in release["titles"].items():
-        if here["cell"] in cells:
-            holders = {box for box, told in boxes.items() if told["cell"] in cells}
-            counts.append((out & holders, release["boxes_out_title"], f"of those with {title}"))
-            if holders <= out:
-                yield Fault(OUT, one.since, one.box, f"the last warm box with {title} was taken out")
+        if server_record["cell"] in cells:
+            replicas = {server for server, record in servers.items() if record["cell"] in cells}
+            counts.append((out & replicas, release["boxes_out_title"], f"of those with {title}"))
+            if replicas <= out:
+                yield Violation(
+                    OUT, one.since_us, one.server, f"the last warm box with {title} was taken out"
+                )
     for found, limit, where in counts:
         if len(found) > limit:
             reason = f"taken out as one of {len(found)} servers {where}, but {limit} are allowed"
-            yield Fault(OUT, one.since, one.box, reason)
+            yield Violation(OUT, one.since_us, one.server, reason)
--- a/packages/scenarios/src/fennelcove/scenarios/slots.py
+++ b/packages/scenarios/src/fennelcove/scenarios/slots.py
@@ -1,7 +1,8 @@
 """Attempts in flight at each server over all fronts, from the servers' records alone.
 
 An attempt is in flight from when a server has read it until the server has finished it. The cancellation of
-one may be noticed after the next one arrives, so a cancelled attempt counts as finished `NOTICE_US` earlier.
+one may be noticed after the next one arrives, so a cancelled attempt counts as finished `CANCEL_NOTICE_US`
+earlier.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 OVER = 12
 STRUCK = 11
 LATE = 13
-NOTICE_US = 100_000
-GIVEN_UP = ("front_closed", "silent")
+CANCEL_NOTICE_US = 100_000
+CANCELLED_OUTCOMES = ("front_closed", "silent")
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class Violation:
     """One violation."""
 
     rule: int
     t_us: int
-    box: str
+    server: str
     reason: str
 
 
@@ -40,57 +41,59 @@
     over: float  # the largest ratio of these to the server's knee at the time
 
 
-def _moments(records: list[Record]) -> Iterator[tuple[int, int, str, int]]:
+def _changes(records: list[Record]) -> Iterator[tuple[int, int, str, int]]:
     """Yield time, order within one moment, server, and the change of attempts in flight or the new knee."""
     for record in records:
         if record["what"] == "set_up":
             yield record["t_us"], 1, record["box"], 1
         elif record["what"] == "set_up_over":
-            early_us = NOTICE_US if record["how"] in GIVEN_UP else 0
-            yield record["t_us"] - early_us, 0, record["box"], -1
+            notice_us = CANCEL_NOTICE_US if record["how"] in CANCELLED_OUTCOMES else 0
+            yield record["t_us"] - notice_us, 0, record["box"], -1
         elif record["what"] == "knee":
             yield record["t_us"], 2, record["box"], record["knee"]
 
 
-def slots(records: list[Record]) -> tuple[Slots, list[Fault]]:
+def slots(records: list[Record]) -> tuple[Slots, list[Violation]]:
     """Count the attempts in flight at each server and check them against its knee."""
     terms = next(record for record in records if record["what"] == "terms")
-    told, names = terms["slots"], terms["troubles"]
-    learn_us = round(told["learn_s"] * 1e6)
-    out: dict[str, int] = {}
+    limits, names = terms["slots"], terms["troubles"]
+    learn_us = round(limits["learn_s"] * 1e6)
+    in_flight: dict[str, int] = {}
     knee: dict[str, int] = {}
-    since: dict[str, int] = {}
+    knee_set_us: dict[str, int] = {}
     most: dict[str, int] = {}
-    faults: list[Fault] = []
-    worst = 0.0
+    violations: list[Violation] = []
+    worst_ratio = 0.0
     began_us = next((record["t_us"] for record in records if record["what"] == "day_began"), 0)
-    for t_us, what, box, number in sorted(_moments(records)):
+    for t_us, what, server, number in sorted(_changes(records)):
         if what == 2:
-            knee[box], since[box] = number, t_us
+            knee[server], knee_set_us[server] = number, t_us
             continue
-        out[box] = max(0, out.get(box, 0) + number)
-        if box not in knee or t_us < max(began_us, since[box]) + learn_us:
+        in_flight[server] = max(0, in_flight.get(server, 0) + number)
+        if server not in knee or t_us < max(began_us, knee_set_us[server]) + learn_us:
             continue
-        most[box] = max(most.get(box, 0), out[box])
-        over = out[box] / knee[box]
-        if number > 0 and over > told["over"] and over > worst:
+        most[server] = max(most.get(server, 0), in_flight[server])
+        over = in_flight[server] / knee[server]
+        if number > 0 and over > limits["over"] and over > worst_ratio:
             reason = (
-                f"{out[box]} attempts in flight at a server with a knee of {knee[box]}, "
-                f"at most {told['over']:g} times that are allowed"
+                f"{in_flight[server]} attempts in flight at a server with a knee of {knee[server]}, "
+                f"at most {limits['over']:g} times that are allowed"
+            )
+            violations.append(Violation(OVER, t_us, server, reason))
+        worst_ratio = max(worst_ratio, over)
+    outcomes = [record["how"] for record in records if record["what"] == "set_up_over"]
+    late = sum(how in CANCELLED_OUTCOMES for how in outcomes) / max(1, len(outcomes))
+    if late > limits["late"]:
+        violations.append(
+            Violation(
+                LATE, 0, "", f"{late:.3f} of the attempts were cancelled, at most {limits['late']:g} may be"
             )
-            faults.append(Fault(OVER, t_us, box, reason))
-        worst = max(worst, over)
-    ends = [record["how"] for record in records if record["what"] == "set_up_over"]
-    late = sum(how in GIVEN_UP for how in ends) / max(1, len(ends))
-    if late > told["late"]:
-        faults.append(
-            Fault(LATE, 0, "", f"{late:.3f} of the attempts were cancelled, at most {told['late']:g} may be")
         )
-    faults += _struck(records, names)
-    return Slots(len(ends), round(late, 4), most, round(worst, 2)), faults
+    violations += _check_faults_occurred(records, names)
+    return Slots(len(outcomes), round(late, 4), most, round(worst_ratio, 2)), violations
 
 
-def _struck(records: list[Record], names: list[str]) -> Iterator[Fault]:
+def _check_faults_occurred(records: list[Record], names: list[str]) -> Iterator[Violation]:
     """Check that each fault of the script occurred."""
     if "knee" in names:
         shifts = [record for record in records if record["what"] == "trouble" and record["kind"] == "knee"]
@@ -101,7 +104,7 @@
             if record["what"] == "set_up" and record["t_us"] > shift["t_us"]
         ]
         if not shifts or not after:
-            yield Fault(STRUCK, 0, "", "no knee changed while attempts arrived")
+            yield Violation(STRUCK, 0, "", "no knee changed while attempts arrived")
     if "between" in names:
         lost = sum(
             number
@@ -111,9 +114,9 @@
             if key.startswith("lost fronts fronts") or key.startswith("lost datagrams")
         )
         if not any(record["what"] == "fault" and record["on"] for record in records) or not lost:
-            yield Fault(STRUCK, 0, "", "no message between fronts was lost")
+            yield Violation(STRUCK, 0, "", "no message between fronts was lost")
     if "slots-lie" in names and not any(r["what"] == "lies" and r["sent"] > 0 for r in records):
-        yield Fault(STRUCK, 0, "", "no false message was sent")
+        yield Violation(STRUCK, 0, "", "no false message was sent")
 
 
 def told(found: Slots) -> str:
--- a/packages/scenarios/src/fennelcove/scenarios/tenants.py
+++ b/packages/scenarios/src/fennelcove/scenarios/tenants.py
@@ -16,12 +16,12 @@
 
 # Beside the six rules: attempts in flight at a server over all fronts; waits of other tenants; the share of
 # their clients that is served; a fault that the scenario requires did not occur.
-SLOTS = 10
-WAITS = 11
-PARTS = 12
+SLOTS_RULE = 10
+WAITS_RULE = 11
+SERVED_SHARE_RULE = 12
 STRUCK = 13
-PLAYS = 201
-TIMES = 3  # the hog must send at least this multiple of another tenant's requests
+STATUS_SERVED = 201
+MIN_HOG_MULTIPLE = 3  # the hog must send at least this multiple of another tenant's requests
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Fault:
+class Violation:
     """One violation; `name` is a session or a tenant."""
 
     rule: int
@@ -54,56 +54,56 @@
 
 
 @dataclass(slots=True)
-class Found:
+class TenantResult:
     """The figures and the violations."""
 
     shown: Tenants
-    faults: list[Fault] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class _Join:
-    box: str
+class _Attempt:
+    server: str
     front: str
-    began: int
-    over: int | None = None
-    how: str = ""
+    started_us: int
+    completed_us: int | None = None
+    outcome: str = ""
 
 
-def tenants(records: list[Record]) -> Found:
+def check_tenants(records: list[Record]) -> TenantResult:
     """Compute and check the figures of all tenants."""
     terms = next(record for record in records if record["what"] == "terms")["tenants"]
     began_us = next(record["t_us"] for record in records if record["what"] == "day_began")
     from_us = began_us + round(terms["from_s"] * 1e6)
     asked = {(r["viewer"], r["number"]): r for r in records if r["what"] == "asked"}
-    whose, joins = _joins(records, asked)
-    rows = _rows(records, asked, whose, joins, from_us)
-    most, crowded = _out(joins, terms["slots"])
-    found = Found(Tenants(tenants=rows, most_out=most, slots=terms["slots"]), crowded)
-    _bounds(found, terms, from_us)
-    _struck(found, terms, records, joins, asked)
+    request_by_session, attempts = _index_attempts(records, asked)
+    rows = _rows(records, asked, request_by_session, attempts, from_us)
+    most, excess = _max_in_flight(attempts, terms["slots"])
+    found = TenantResult(Tenants(tenants=rows, most_out=most, slots=terms["slots"]), excess)
+    _check_bounds(found, terms, from_us)
+    _check_faults_occurred(found, terms, records, attempts, asked)
     return found
 
 
-def _joins(
+def _index_attempts(
     records: list[Record], asked: dict[tuple[str, int], Record]
-) -> tuple[dict[str, Record], dict[str, list[_Join]]]:
-    whose: dict[str, Record] = {}
-    joins: dict[str, list[_Join]] = defaultdict(list)
+) -> tuple[dict[str, Record], dict[str, list[_Attempt]]]:
+    request_by_session: dict[str, Record] = {}
+    attempts: dict[str, list[_Attempt]] = defaultdict(list)
     for record in records:
         if record["what"] == "answered" and record.get("subscription"):
-            whose[record["subscription"]] = asked[record["viewer"], record["number"]]
+            request_by_session[record["subscription"]] = asked[record["viewer"], record["number"]]
         elif record["what"] == "set_up":
-            joins[record["subscription"]].append(_Join(record["box"], record["front"], record["t_us"]))
+            attempts[record["subscription"]].append(_Attempt(record["box"], record["front"], record["t_us"]))
         elif record["what"] == "set_up_over":
-            for join in reversed(joins[record["subscription"]]):
-                if join.box == record["box"] and join.over is None:
-                    join.over, join.how = record["t_us"], record["how"]
+            for attempt in reversed(attempts[record["subscription"]]):
+                if attempt.server == record["box"] and attempt.completed_us is None:
+                    attempt.completed_us, attempt.outcome = record["t_us"], record["how"]
                     break
-    return whose, joins
+    return request_by_session, attempts
 
 
-def _stopped(records: list[Record]) -> dict[str, list[tuple[int, int]]]:
+def _pauses(records: list[Record]) -> dict[str, list[tuple[int, int]]]:
     """When each front was paused, by its address for clients; requests to it then wait for no slot."""
     addresses = {r["front"]: r["address"] for r in records if r["what"] == "front_started"}
     found: dict[str, list[tuple[int, int]]] = defaultdict(list)
@@ -119,43 +119,46 @@
 def _rows(
     records: list[Record],
     asked: dict[tuple[str, int], Record],
-    whose: dict[str, Record],
-    joins: dict[str, list[_Join]],
+    request_by_session: dict[str, Record],
+    attempts: dict[str, list[_Attempt]],
     from_us: int,
 ) -> list[Tenant]:
-    stopped = _stopped(records)
+    pauses = _pauses(records)
     waits, slot_us = defaultdict[str, list[int]](list), defaultdict[str, int](int)
-    for id, found in joins.items():
-        ask = whose.get(id)
+    for id, found in attempts.items():
+        ask = request_by_session.get(id)
         if ask is None:
             continue  # its client received no response, so its tenant is unknown
         tenant = ask["tenant"]
-        still = any(
-            since < found[0].began and ask["t_us"] < until for since, until in stopped.get(ask["front"], ())
+        was_paused = any(
+            since < found[0].started_us and ask["t_us"] < until
+            for since, until in pauses.get(ask["front"], ())
         )
-        if ask["t_us"] >= from_us and not still:
-            waits[tenant].append(found[0].began - ask["t_us"])
+        if ask["t_us"] >= from_us and not was_paused:
+            waits[tenant].append(found[0].started_us - ask["t_us"])
         slot_us[tenant] += sum(
-            max(0, join.over - max(join.began, from_us)) for join in found if join.over is not None
+            max(0, attempt.completed_us - max(attempt.started_us, from_us))
+            for attempt in found
+            if attempt.completed_us is not None
         )
-    viewers, played = defaultdict[str, set[str]](set), defaultdict[str, set[str]](set)
-    hung = {r["viewer"] for r in records if r["what"] == "unanswered" and r["how"] == "hung_up"}
-    for (viewer, number), ask in asked.items():
-        if number == 0 and ask["t_us"] >= from_us and viewer not in hung:
-            viewers[ask["tenant"]].add(viewer)
+    clients, played = defaultdict[str, set[str]](set), defaultdict[str, set[str]](set)
+    hung_up_clients = {r["viewer"] for r in records if r["what"] == "unanswered" and r["how"] == "hung_up"}
+    for (client, number), ask in asked.items():
+        if number == 0 and ask["t_us"] >= from_us and client not in hung_up_clients:
+            clients[ask["tenant"]].add(client)
     for record in records:
-        if record["what"] == "answered" and record["status"] == PLAYS:
+        if record["what"] == "answered" and record["status"] == STATUS_SERVED:
             tenant = asked[record["viewer"], record["number"]]["tenant"]
-            if record["viewer"] in viewers[tenant]:
+            if record["viewer"] in clients[tenant]:
                 played[tenant].add(record["viewer"])
     rows = []
-    for tenant in sorted(viewers):
+    for tenant in sorted(clients):
         times = sorted(waits[tenant]) or [0]
         rows.append(
             Tenant(
                 name=tenant,
                 asked=sum(1 for ask in asked.values() if ask["tenant"] == tenant and ask["t_us"] >= from_us),
-                served=round(len(played[tenant]) / len(viewers[tenant]), 4),
+                served=round(len(played[tenant]) / len(clients[tenant]), 4),
                 wait_p50_ms=times[len(times) // 2] / 1000,
                 wait_p99_ms=times[min(len(times) - 1, len(times) * 99 // 100)] / 1000,
                 slot_s=round(slot_us[tenant] / 1e6, 3),
@@ -164,43 +167,51 @@
     return rows
 
 
-def _out(joins: dict[str, list[_Join]], slots: int) -> tuple[int, list[Fault]]:
+def _max_in_flight(attempts: dict[str, list[_Attempt]], slots: int) -> tuple[int, list[Violation]]:
     """The most attempts in flight at one server, and a violation for each moment with more than its slots."""
-    moves: dict[str, list[tuple[int, int, str]]] = defaultdict(list)
-    for id, found in joins.items():
-        for join in found:
-            over = join.over if join.over is not None else join.began
-            if join.how == "front_closed":
-                over -= SLACK_US  # the server notices the cancellation late
-            moves[join.box].append((join.began, 1, id))
-            moves[join.box].append((max(join.began, over), -1, id))
-    most, faults = 0, []
-    for box, changes in moves.items():
-        out = 0
+    changes_by_server: dict[str, list[tuple[int, int, str]]] = defaultdict(list)
+    for id, found in attempts.items():
+        for attempt in found:
+            completed_us = attempt.completed_us if attempt.completed_us is not None else attempt.started_us
+            if attempt.outcome == "front_closed":
+                completed_us -= SLACK_US  # the server notices the cancellation late
+            changes_by_server[attempt.server].append((attempt.started_us, 1, id))
+            changes_by_server[attempt.server].append((max(attempt.started_us, completed_us), -1, id))
+    most, violations = 0, []
+    for server, changes in changes_by_server.items():
+        in_flight = 0
         for t_us, change, id in sorted(changes):
-            out += change
-            most = max(most, out)
-            if change > 0 and out > slots:
-                faults.append(
-                    Fault(SLOTS, t_us, id, f"{out} attempts in flight at {box}, which has {slots} slots")
+            in_flight += change
+            most = max(most, in_flight)
+            if change > 0 and in_flight > slots:
+                violations.append(
+                    Violation(
+                        SLOTS_RULE,
+                        t_us,
+                        id,
+                        f"{in_flight} attempts in flight at {server}, which has {slots} slots",
+                    )
                 )
-    return most, faults
+    return most, violations
 
 
-def _bounds(found: Found, terms: dict[str, Any], from_us: int) -> None:
+def _check_bounds(found: TenantResult, terms: dict[str, Any], from_us: int) -> None:
     for row in found.shown.tenants:
         if row.name == terms["hog"]:
             continue
         if row.served < terms["served"]:
-            found.faults.append(
-                Fault(
-                    PARTS, from_us, row.name, f"served {row.served}, at least {terms['served']} is required"
+            found.violations.append(
+                Violation(
+                    SERVED_SHARE_RULE,
+                    from_us,
+                    row.name,
+                    f"served {row.served}, at least {terms['served']} is required",
                 )
             )
         if row.wait_p99_ms > terms["wait_ms"]:
-            found.faults.append(
-                Fault(
-                    WAITS,
+            found.violations.append(
+                Violation(
+                    WAITS_RULE,
                     from_us,
                     row.name,
                     f"waits of {row.wait_p99_ms} ms (p99), at most {terms['wait_ms']} are allowed",
@@ -208,43 +219,44 @@
             )
 
 
-def _struck(
-    found: Found,
+def _check_faults_occurred(
+    found: TenantResult,
     terms: dict[str, Any],
     records: list[Record],
-    joins: dict[str, list[_Join]],
+    attempts: dict[str, list[_Attempt]],
     asked: dict[tuple[str, int], Record],
 ) -> None:
     """Check that the overload and the faults of the scenario occurred."""
     end_us = records[-1]["t_us"]
 
     def missing(reason: str) -> None:
-        found.faults.append(Fault(STRUCK, end_us, terms["hog"], reason))
+        found.violations.append(Violation(STRUCK, end_us, terms["hog"], reason))
 
     hog = next((row.asked for row in found.shown.tenants if row.name == terms["hog"]), 0)
     others = [row.asked for row in found.shown.tenants if row.name != terms["hog"]]
-    if not others or hog < TIMES * median(others):
+    if not others or hog < MIN_HOG_MULTIPLE * median(others):
         missing(f"the hog sent {hog} requests, the other tenants {others}")
     if found.shown.most_out < min(terms["slots"], terms["fills"]):
         missing(
             f"never more than {found.shown.most_out} of {found.shown.slots} slots of a server were in use"
         )
     if terms["cut"]:
-        carried = [record for record in records if record["what"] == "fault" and record["on"]]
-        if not carried:
+        injected = [record for record in records if record["what"] == "fault" and record["on"]]
+        if not injected:
             missing("no network fault was injected")
     if terms["hops"]:
         fronts = {ask["front"] for ask in asked.values() if ask["tenant"] == terms["hog"]}
         if len(fronts) < 2:
             missing("the hog used one front only")
     if terms["stopped"]:
-        stops = [record for record in records if record["what"] == "front_paused"]
-        held = [
-            join
-            for all_ in joins.values()
-            for join in all_
-            for stop in stops
-            if join.front == stop["front"] and join.began <= stop["t_us"] <= (join.over or end_us)
+        pauses = [record for record in records if record["what"] == "front_paused"]
+        slots_in_use = [
+            attempt
+            for session_attempts in attempts.values()
+            for attempt in session_attempts
+            for stop in pauses
+            if attempt.front == stop["front"]
+            and attempt.started_us <= stop["t_us"] <= (attempt.completed_us or end_us)
         ]
-        if not held:
+        if not slots_in_use:
             missing("no front was paused while it used slots")
--- a/tests/test_fair_days.py
+++ b/tests/test_fair_days.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import msgspec
-from fennelcove.scenarios.script import Crowd, Day, Trouble, read
+from fennelcove.scenarios.script import Crowd, Day, FaultSpec, read
 
 from tests.fleetdays import played
 
@@ -18,7 +18,7 @@
 def short(day: Day) -> Day:
     """The same in half the time, and three quarters of the hog, for every change."""
     crowds = [_sooner(crowd) for crowd in day.crowds]
-    troubles: list[Trouble] = [
+    troubles: list[FaultSpec] = [
         msgspec.structs.replace(trouble, at_s=4.0, for_s=3.0) for trouble in day.troubles
     ]
     assert day.tenants is not None
--- a/tests/test_fair_judge.py
+++ b/tests/test_fair_judge.py
@@ -7,7 +7,7 @@
 
 from fennelcove.emulators.recorder import Record
 from fennelcove.scenarios import tenants
-from fennelcove.scenarios.tenants import Found
+from fennelcove.scenarios.tenants import TenantResult
 
 MS = 1000
 BAR = {
@@ -54,8 +54,8 @@
         self.add(at_ms, "asked", viewer=f"v{self.count}", number=0, front="f0", tenant=tenant)
         self.add(at_ms + 1, "answered", viewer=f"v{self.count}", number=0, status=503, subscription=None)
 
-    def judged(self) -> Found:
-        return tenants.tenants(sorted(self.records, key=lambda record: record["t_us"]))
+    def judged(self) -> TenantResult:
+        return tenants.check_tenants(sorted(self.records, key=lambda record: record["t_us"]))
 
 
 def evening(**bar: Any) -> Made:
@@ -70,13 +70,13 @@
 
 class TenantsTest(unittest.TestCase):
     def assert_breaks(self, made: Made, rule: int, part: str) -> None:
-        faults = made.judged().faults
+        faults = made.judged().violations
         assert {fault.rule for fault in faults} == {rule}, faults
         assert part in faults[0].reason
 
     def test_an_evening_as_it_should_be_breaks_nothing(self) -> None:
         found = evening().judged()
-        assert found.faults == []
+        assert found.violations == []
         rows = {row.name: row for row in found.shown.tenants}
         assert (found.shown.most_out, rows["hog"].asked, rows["near"].served) == (2, 32, 1.0)
         self.assertAlmostEqual(rows["hog"].slot_s, 1.6)
@@ -84,18 +84,18 @@
     def test_more_out_than_slots_over_all_fronts(self) -> None:
         made = evening()
         made.play("hog", 20)
-        self.assert_breaks(made, tenants.SLOTS, "3 attempts in flight at b")
+        self.assert_breaks(made, tenants.SLOTS_RULE, "3 attempts in flight at b")
 
     def test_a_neighbour_that_waits_too_long(self) -> None:
         made = evening()
         made.play("near", 20_000, wait_ms=400)
-        self.assert_breaks(made, tenants.WAITS, "waits of 400")
+        self.assert_breaks(made, tenants.WAITS_RULE, "waits of 400")
 
     def test_a_neighbour_that_is_refused(self) -> None:
         made = evening()
         for i in range(2):
             made.turn_away("near", 20_000 + i)
-        self.assert_breaks(made, tenants.PARTS, "served 0.8")
+        self.assert_breaks(made, tenants.SERVED_SHARE_RULE, "served 0.8")
 
     def test_a_day_without_a_hog_shows_nothing(self) -> None:
         made = Made()
--- a/tests/test_power_days.py
+++ b/tests/test_power_days.py
@@ -8,22 +8,22 @@
 from typing import Any
 
 import msgspec
-from fennelcove.scenarios.script import Between, Day, Power, Trouble, read
+from fennelcove.scenarios.script import Day, FaultSpec, NetworkFault, PowerLoss, read
 
 from tests.fleetdays import played
 
 replace = msgspec.structs.replace
-POWER = Power(boxes_back_s=[0.5, 2.0], fronts_back_s=[0.5, 2.0], lists_back_s=0.5)
+POWER = PowerLoss(boxes_back_s=[0.5, 2.0], fronts_back_s=[0.5, 2.0], lists_back_s=0.5)
 
 
 def split(day: Day) -> Day:
     """One hall is cut off from the other from before the return until long after it."""
-    cut = Between(sender="hall-a", taker="hall-b", how="silent")
-    lose = Between(sender="fronts", taker="fronts", how="reorder", share=0.5)
+    cut = NetworkFault(sender="hall-a", taker="hall-b", how="silent")
+    lose = NetworkFault(sender="fronts", taker="fronts", how="reorder", share=0.5)
     troubles = [
-        Trouble(at_s=5, what="power", power=POWER),
-        Trouble(at_s=5.5, what="between", for_s=8, between=cut),
-        Trouble(at_s=5.5, what="between", for_s=12, value=300, between=lose),
+        FaultSpec(at_s=5, what="power", power=POWER),
+        FaultSpec(at_s=5.5, what="between", for_s=8, between=cut),
+        FaultSpec(at_s=5.5, what="between", for_s=12, value=300, between=lose),
     ]
     return replace(day, troubles=troubles)
 
@@ -31,15 +31,15 @@
 def lists(day: Day) -> Day:
     """The list service is last, and knows only what was before."""
     power = replace(POWER, lists_back_s=6.0, lists_before=True, lists_learn_s=4.0, folders=["kept", "gone"])
-    return replace(day, troubles=[Trouble(at_s=5, what="power", power=power)])
+    return replace(day, troubles=[FaultSpec(at_s=5, what="power", power=power)])
 
 
 def twice(day: Day) -> Day:
     """The power goes again while boxes are cold; then a front stands still."""
     troubles = [
-        Trouble(at_s=4, what="power", power=POWER),
-        Trouble(at_s=7.5, what="power", power=replace(POWER, folders=["torn", "kept"])),
-        Trouble(at_s=11, what="front-stop", for_s=3, fronts=[1]),
+        FaultSpec(at_s=4, what="power", power=POWER),
+        FaultSpec(at_s=7.5, what="power", power=replace(POWER, folders=["torn", "kept"])),
+        FaultSpec(at_s=11, what="front-stop", for_s=3, fronts=[1]),
     ]
     return replace(day, troubles=troubles)
 
--- a/tests/test_release_days.py
+++ b/tests/test_release_days.py
@@ -8,19 +8,21 @@
 from typing import Any
 
 import msgspec
-from fennelcove.scenarios.script import Crowd, Day, Release, Trouble, Version, read
+from fennelcove.scenarios.script import Crowd, Day, FaultSpec, RolloutRequirements, VersionSpec, read
 
 from tests.fleetdays import played
 
 replace = msgspec.structs.replace
 
 
-def start(*words: str) -> Trouble:
+def start(*words: str) -> FaultSpec:
     plan = ("--wanted", "2", "--before", "1", "--soak-s", "0.5")
-    return Trouble(at_s=1.5, what="order", for_s=6, order=["release", "start", *plan, *words])
+    return FaultSpec(at_s=1.5, what="order", for_s=6, order=["release", "start", *plan, *words])
 
 
-def short(day: Day, seconds: float, release: Release, *troubles: Trouble, version: Version | None) -> Day:
+def short(
+    day: Day, seconds: float, release: RolloutRequirements, *troubles: FaultSpec, version: VersionSpec | None
+) -> Day:
     """Three fronts in place of five, and viewers for that."""
     crowds: list[Crowd] = [replace(crowd, to_s=seconds - 3, per_s=0.6 * crowd.per_s) for crowd in day.crowds]
     return replace(
@@ -37,34 +39,34 @@
 
 def days() -> dict[str, Day]:
     day = read("release")
-    back = Trouble(at_s=3, until="off", what="order", for_s=5, order=["release", "back"])
+    back = FaultSpec(at_s=3, until="off", what="order", for_s=5, order=["release", "back"])
     off = ["write-off", "front", "2", "front-0", "front-1"]
     return {
         "leader": short(
             day,
             20,
-            Release(wanted=2, ends="all"),
+            RolloutRequirements(wanted=2, ends="all"),
             start("--out-s", "20"),
-            Trouble(at_s=2, until="out-1", what="front-kill", leader=True, for_s=1.5),
+            FaultSpec(at_s=2, until="out-1", what="front-kill", leader=True, for_s=1.5),
             version=None,
         ),
         "hung": short(
             day,
             16,
             # The canary hangs: were it the next one, a slow machine could halt the plan before.
-            Release(wanted=2, ends="none", lost=[2], most=1),
+            RolloutRequirements(wanted=2, ends="none", lost=[2], most=1),
             start("--out-s", "4"),
-            Trouble(at_s=2, until="halted", what="order", for_s=4, order=off),
+            FaultSpec(at_s=2, until="halted", what="order", for_s=4, order=off),
             back,
-            version=Version(number=2, hangs=[2]),
+            version=VersionSpec(number=2, hangs=[2]),
         ),
         "refused": short(
             day,
             14,
-            Release(wanted=2, ends="none", most=1),
+            RolloutRequirements(wanted=2, ends="none", most=1),
             start("--out-s", "15"),
-            Trouble(at_s=2, until="halted", what="order", for_s=5, order=["release", "back"]),
-            version=Version(number=2, refused=True),
+            FaultSpec(at_s=2, until="halted", what="order", for_s=5, order=["release", "back"]),
+            version=VersionSpec(number=2, refused=True),
         ),
     }
 
