--- a/tests/fleetdays.py
+++ b/tests/fleetdays.py
@@ -1,5 +1,8 @@
-"""Plays days of whole fleets, each in a process of its own: two in one were bound by its one interpreter, and
-viewers heard answers late that had come in time."""
+"""Runs scenarios of whole fleets, each in its own process.
+
+Two scenarios in one process share its interpreter lock: clients then process responses late that arrived in
+time.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +24,11 @@
 
 
 def played(days: dict[str, Day], folder: str, seed: int, beside: int = 2) -> dict[str, dict[str, Any]]:
-    """The verdicts of these days, so many played beside each other; each was given twice, the second time by
-    its recording alone. A day that was inconclusive alone is played again; it must not stay so."""
+    """Run the scenarios, `parallel` at a time, and return their verdicts.
+
+    Each verdict is checked against that from the recording alone. An inconclusive scenario is run again and
+    must not stay inconclusive.
+    """
     found: dict[str, dict[str, Any]] = {}
     names = list(days)
     for at in range(0, len(names), beside):
@@ -35,7 +41,7 @@
 
 
 def begin(name: str, day: Day, folder: str, seed: int) -> subprocess.Popen[bytes]:
-    """Start a process that plays the day and records it."""
+    """Start a process that runs the scenario and records it."""
     script, record = Path(folder) / f"{name}.sexp", Path(folder) / f"{name}.jsonl"
     script.write_text(write(day), "utf-8")
     words = command("play", str(script), "--seed", str(seed), "--record", str(record))
@@ -43,7 +49,7 @@
 
 
 def finish(name: str, process: subprocess.Popen[bytes], folder: str) -> dict[str, Any]:
-    """The verdict, which its recording alone must give as well."""
+    """Wait for the verdict and check that the recording alone gives the same one."""
     output, _ = process.communicate(timeout=LONGEST_S)
     lines = output.decode().splitlines()
     assert lines and lines[-1].startswith("{"), f"{name}: {output.decode()[-2000:]}"
@@ -55,11 +61,11 @@
 
 
 def replayed(name: str, day: Day, folder: str, seed: int, verdict: dict[str, Any]) -> dict[str, Any]:
-    """The verdict, after playing the day again where the machine itself stood still while it ran."""
+    """Run the scenario again while its verdict is inconclusive because the host stalled; the last verdict."""
     for replay in range(1, MAX_REPLAYS + 1):
         if verdict["broken"] or not verdict["inconclusive"]:
             break
-        print(f"{name}: the machine stood still, played again ({replay} of {MAX_REPLAYS})")
+        print(f"{name}: the host stalled, running again ({replay} of {MAX_REPLAYS})")
         verdict = finish(name, begin(name, day, folder, seed), folder)
     assert verdict["broken"] or not verdict["inconclusive"], f"{name}: inconclusive {MAX_REPLAYS + 1} times"
     return verdict
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Whole days against a front of its own process: judged by the recording, the same verdict every time."""
+"""Scenarios against one front in its own process; a recording always gives the verdict of its run."""
 
 from __future__ import annotations
 
@@ -10,11 +10,9 @@
 from pathlib import Path
 
 LONGEST_S = 120
-# Few at a time, of one front each: more would measure the machine's load and not the front.
+# Few at a time, with one front each: with more, the load of the host would dominate the results.
 DAYS = (("evening",), ("drain", "stitch-drain"), ("front-restart", "stitch"))
-
-
-# Where the machine itself stood still, as measured beside the day, nothing is shown: it is played again.
+# A run that is inconclusive because of a measured stall of the host is repeated.
 MOST_REPLAYS = 2
 
 
@@ -31,12 +29,12 @@
                         self.check(text, status, record)
 
     def replayed(self, day: str, text: str, status: int, record: str) -> tuple[str, int]:
-        """What the day printed and its status, after playing it again where it was inconclusive alone."""
+        """Run the scenario again while it is inconclusive; its last output and exit status."""
         for replay in range(1, MOST_REPLAYS + 1):
             verdict = json.loads(text.splitlines()[-1])
             if verdict["broken"] or not verdict["inconclusive"]:
                 break
-            print(f"{day}: the machine stood still, played again ({replay} of {MOST_REPLAYS})")
+            print(f"{day}: the host stalled, running again ({replay} of {MOST_REPLAYS})")
             process = self.begin(day, record)
             output, _ = process.communicate(timeout=LONGEST_S)
             text, status = output.decode(), process.returncode
--- a/tests/test_fair_days.py
+++ b/tests/test_fair_days.py
@@ -1,5 +1,4 @@
-"""A tenant ten times over against a fleet of processes: what its neighbours get, by what boxes and viewers
-saw."""
+"""One tenant sends ten times its load to a fleet: the others' service, as servers and clients observe it."""
 
 from __future__ import annotations
 
@@ -16,7 +15,7 @@
 
 
 def short(day: Day) -> Day:
-    """The same in half the time, and three quarters of the hog, for every change."""
+    """Shorten a scenario to half of its time and 3/4 of the hog's load, to run it on every change."""
     crowds = [_sooner(crowd) for crowd in day.crowds]
     troubles: list[FaultSpec] = [
         msgspec.structs.replace(trouble, at_s=4.0, for_s=3.0) for trouble in day.troubles
@@ -37,7 +36,8 @@
 
 class FairDaysTest(unittest.TestCase):
     def test_neighbours_of_a_hog_keep_their_part(self) -> None:
-        # Fails where slots go to whoever comes first: neighbours then play a fifth of what they ask.
+        # Guards against slots granted first come, first served: other tenants are then served a fifth of
+        # their requests.
         names = ("tenant-hog", "tenant-hog-split", "tenant-hop")
         with tempfile.TemporaryDirectory() as folder:
             found = played({name: short(read(name)) for name in names}, folder, 3, beside=1)
@@ -47,7 +47,7 @@
                 self.assert_shared(verdict["tenants"])
 
     def assert_shared(self, seen: dict[str, Any]) -> None:
-        """No more out than slots, and the hog has what the others leave."""
+        """Check that no server has more attempts in flight than slots, and that the hog is served least."""
         assert seen["most_out"] <= seen["slots"]
         rows = {row["name"]: row for row in seen["tenants"]}
         hog = rows.pop("hog")
--- a/tests/test_fair_judge.py
+++ b/tests/test_fair_judge.py
@@ -1,4 +1,4 @@
-"""The judge of tenants, on recordings made by hand: each break is found, and a fault that did not strike."""
+"""The checks of tenants, on built recordings: each violation is found, and each fault that did not occur."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Made:
-    """A day of one box: viewers that ask, and are set up after so many milliseconds."""
+    """Builds a recording with one server and clients whose attempts start after a given wait."""
 
     def __init__(self, **bar: Any) -> None:
         self.records: list[Record] = [
@@ -38,7 +38,7 @@
         self.records.append({"t_us": round(at_ms * MS), "what": what, **fields})
 
     def play(self, tenant: str, at_ms: float, wait_ms: float = 5, hold_ms: float = 50) -> None:
-        """One viewer, served."""
+        """Add a client that is served."""
         self.count += 1
         name, id = f"v{self.count}", f"s{self.count}"
         join = {"box": "b", "front": "front-0", "subscription": id, "join": 0}
@@ -49,7 +49,7 @@
         self.add(over_ms + 1, "answered", viewer=name, number=0, status=201, subscription=id)
 
     def turn_away(self, tenant: str, at_ms: float) -> None:
-        """One viewer, refused."""
+        """Add a client that is rejected."""
         self.count += 1
         self.add(at_ms, "asked", viewer=f"v{self.count}", number=0, front="f0", tenant=tenant)
         self.add(at_ms + 1, "answered", viewer=f"v{self.count}", number=0, status=503, subscription=None)
@@ -59,7 +59,7 @@
 
 
 def evening(**bar: Any) -> Made:
-    """A hog that asks four times as often, two slots in use, nobody harmed."""
+    """A hog that sends four times the requests, two slots in use, and no violation."""
     made = Made(**bar)
     for i in range(8):
         made.play("near", i * 1000)
--- a/tests/test_fleet_size_days.py
+++ b/tests/test_fleet_size_days.py
@@ -1,4 +1,4 @@
-"""Front nodes among thousands of servers: processes on loopback, judged by recordings of the stand-ins."""
+"""Front nodes with thousands of servers: processes on loopback, checked by recordings of emulated peers."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tests.soak.plan import release
 
 USUAL, MANY = 200, 3_200
-# How much more processor time a node may need with `MANY` servers than with `USUAL`: the operators' figures.
+# The operators' limits for the processor time of a node with `MANY` servers, against that with `USUAL`.
 CPU_FACTOR, CPU_BASE_S, CPU_PER_SERVER_S = 1.4, 0.02, 0.12 / 1_000
 
 
 @pytest.fixture(scope="module")
 def verdicts(tmp_path_factory: pytest.TempPathFactory) -> dict[int, Verdict]:
-    """The same release of servers in a fleet of the usual size and in a large one, side by side."""
+    """The same replacement of servers in a fleet of the usual size and in a large one, run in parallel."""
     folder: Path = tmp_path_factory.mktemp("fleets")
     plans = [
         release(servers, FIRST_OCTET + OCTETS_PER_JOB * number, free_port())
--- a/tests/test_flood_days.py
+++ b/tests/test_flood_days.py
@@ -1,4 +1,4 @@
-"""Floods against fleets of processes with faults between them: rules, budgets and an end of the collapse."""
+"""Overload of fleets with network faults: rules and budgets hold, and service recovers afterwards."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def short(day: Day) -> Day:
-    """The same in half the time and at half the load, for every change."""
+    """Shorten a scenario to half of its time and half of its load, to run it on every change."""
     crowds = [
         msgspec.structs.replace(crowd, per_s=crowd.per_s / 2, to_s=14.0) if not crowd.from_s else _peak(crowd)
         for crowd in day.crowds
@@ -33,20 +33,20 @@
 
 
 def further(records: list[dict[str, Any]]) -> list[int]:
-    """When joins beyond a set-up's first reached their boxes, in microseconds."""
+    """Times in microseconds at which attempts after a session's first reached their servers."""
     return [record["t_us"] for record in records if record["what"] == "set_up" and record["join"] > 0]
 
 
 class FloodTest(unittest.TestCase):
     def assert_within_budgets(self, day: Day, records: list[dict[str, Any]]) -> None:
-        """Further joins and list calls of all fronts together, counted where they arrive."""
+        """Check the further attempts and list requests of all fronts, counted where they arrive."""
         told = day.front.overload
         assert told is not None
         times = further(records)
         saved = max(day.fronts, BURST_S * told.further_joins_s)
         for from_us in times:
             within = [time for time in times if from_us <= time < from_us + 4_000_000]
-            # Each front's first is on top, and what a box sees is later than what was sent, by its slowness.
+            # Each front may send one more, and slow servers receive attempts later than they were sent.
             assert len(within) <= 5 * told.further_joins_s + saved + day.fronts
         calls = next(r for r in records if r["what"] == "carried").get("connections fronts lists", 0)
         assert calls > day.fronts
@@ -63,7 +63,7 @@
             with self.subTest(day=name):
                 assert verdict["broken"] == []
                 assert verdict["fleet"]["pushed_over"] == 0
-                # With the crowd gone what is asked is served again, but for those who still come back.
+                # After the crowd has left, requests are served again, though some clients still retry.
                 last = verdict["fleet"]["seconds"][12:14]
                 assert sum(second["played"] for second in last) > 0
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge, on a clean recording and on one that breaks each rule in turn."""
+"""The checker, on a recording without violations and on recordings that break each rule in turn."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class Made:
-    """A recording made by hand; times in milliseconds."""
+    """Builds a recording; times in milliseconds."""
 
     def __init__(self, **terms: Any) -> None:
         self.records: list[Record] = [{**TERMS, **terms}]
@@ -191,7 +191,7 @@
         assert Made().add(5, "fell", box="b0", front="f").broken() == [4]
 
     def test_rules_4_5_and_6_are_kept_by_each_front_alone(self) -> None:
-        # Counted together, the shares of four fronts looked like one front's breach.
+        # Guards against counting the shares of several fronts together, which looks like a violation by one.
         made = Made().add(100, "box_started", box="b0")
         for i, front in enumerate(("f", "g", "h")):
             made.join(110 + i, f"s{i}", front=front)
--- a/tests/test_power_days.py
+++ b/tests/test_power_days.py
@@ -1,4 +1,4 @@
-"""Whole fleets of processes with faults between them: the rules hold, service returns, the verdict stands."""
+"""Power losses of whole fleets with network faults: the rules hold and service recovers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def split(day: Day) -> Day:
-    """One hall is cut off from the other from before the return until long after it."""
+    """One zone is partitioned from the other from before the restart until long after it."""
     cut = NetworkFault(sender="hall-a", taker="hall-b", how="silent")
     lose = NetworkFault(sender="fronts", taker="fronts", how="reorder", share=0.5)
     troubles = [
@@ -29,13 +29,13 @@
 
 
 def lists(day: Day) -> Day:
-    """The list service is last, and knows only what was before."""
+    """The list service restarts last and knows only the list from before."""
     power = replace(POWER, lists_back_s=6.0, lists_before=True, lists_learn_s=4.0, folders=["kept", "gone"])
     return replace(day, troubles=[FaultSpec(at_s=5, what="power", power=power)])
 
 
 def twice(day: Day) -> Day:
-    """The power goes again while boxes are cold; then a front stands still."""
+    """The power is lost again while servers are cold; then a front is paused."""
     troubles = [
         FaultSpec(at_s=4, what="power", power=POWER),
         FaultSpec(at_s=7.5, what="power", power=replace(POWER, folders=["torn", "kept"])),
--- a/tests/test_release_days.py
+++ b/tests/test_release_days.py
@@ -1,5 +1,8 @@
-"""Releases over fleets of processes: never more out than may be, whoever hangs, is worse or is killed. Guards
-against a permit that two fronts take, a halted plan that goes on, and a leader whose plan dies with it."""
+"""Rollouts over fleets: no more fronts are out than allowed, though a front hangs, fails or is killed.
+
+Guards against a permit that two fronts use, a halted plan that continues, and a plan that ends with its
+leader.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 def short(
     day: Day, seconds: float, release: RolloutRequirements, *troubles: FaultSpec, version: VersionSpec | None
 ) -> Day:
-    """Three fronts in place of five, and viewers for that."""
+    """Reduce a scenario to three fronts instead of five, with fewer clients."""
     crowds: list[Crowd] = [replace(crowd, to_s=seconds - 3, per_s=0.6 * crowd.per_s) for crowd in day.crowds]
     return replace(
         day,
@@ -53,7 +56,7 @@
         "hung": short(
             day,
             16,
-            # The canary hangs: were it the next one, a slow machine could halt the plan before.
+            # The canary hangs: if it were a later front, a slow host could halt the plan before that.
             RolloutRequirements(wanted=2, ends="none", lost=[2], most=1),
             start("--out-s", "4"),
             FaultSpec(at_s=2, until="halted", what="order", for_s=4, order=off),
--- a/tests/test_soak_days.py
+++ b/tests/test_soak_days.py
@@ -1,4 +1,4 @@
-"""A short soak with fixed seeds; many more are played by hand: `python -m tests.soak --seeds 1..50`."""
+"""A short soak test with fixed seeds; run more by hand with `python -m tests.soak --seeds 1..50`."""
 
 from __future__ import annotations
 
