--- a/tests/fleetdays.py
+++ b/tests/fleetdays.py
@@ -15,57 +15,63 @@
 from fennelcove.scenarios.script import Day
 from fennelcove.settings.writer import write
 
-LONGEST_S = 150
-MAX_REPLAYS = 2
+RUN_TIMEOUT_S = 150
+MAX_REPEATS = 2
 
 
-def command(*words: str) -> list[str]:
-    return [sys.executable, "-m", "fennelcove", "day", *words, "--json"]
+def command(*arguments: str) -> list[str]:
+    return [sys.executable, "-m", "fennelcove", "day", *arguments, "--json"]
 
 
-def played(days: dict[str, Day], folder: str, seed: int, beside: int = 2) -> dict[str, dict[str, Any]]:
+def run_scenarios(
+    scenarios: dict[str, Day], folder: str, seed: int, parallel: int = 2
+) -> dict[str, dict[str, Any]]:
     """Run the scenarios, `parallel` at a time, and return their verdicts.
 
     Each verdict is checked against that from the recording alone. An inconclusive scenario is run again and
     must not stay inconclusive.
     """
-    found: dict[str, dict[str, Any]] = {}
-    names = list(days)
-    for at in range(0, len(names), beside):
-        runs = {name: begin(name, days[name], folder, seed) for name in names[at : at + beside]}
+    verdicts: dict[str, dict[str, Any]] = {}
+    names = list(scenarios)
+    for start in range(0, len(names), parallel):
+        runs = {
+            name: start_run(name, scenarios[name], folder, seed) for name in names[start : start + parallel]
+        }
         for name, process in runs.items():
-            found[name] = finish(name, process, folder)
+            verdicts[name] = finish_run(name, process, folder)
         for name in runs:
-            found[name] = replayed(name, days[name], folder, seed, found[name])
-    return found
+            verdicts[name] = repeat_while_inconclusive(name, scenarios[name], folder, seed, verdicts[name])
+    return verdicts
 
 
-def begin(name: str, day: Day, folder: str, seed: int) -> subprocess.Popen[bytes]:
+def start_run(name: str, scenario: Day, folder: str, seed: int) -> subprocess.Popen[bytes]:
     """Start a process that runs the scenario and records it."""
     script, record = Path(folder) / f"{name}.sexp", Path(folder) / f"{name}.jsonl"
-    script.write_text(write(day), "utf-8")
-    words = command("play", str(script), "--seed", str(seed), "--record", str(record))
-    return subprocess.Popen(words, stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+    script.write_text(write(scenario), "utf-8")
+    arguments = command("play", str(script), "--seed", str(seed), "--record", str(record))
+    return subprocess.Popen(arguments, stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
 
 
-def finish(name: str, process: subprocess.Popen[bytes], folder: str) -> dict[str, Any]:
+def finish_run(name: str, process: subprocess.Popen[bytes], folder: str) -> dict[str, Any]:
     """Wait for the verdict and check that the recording alone gives the same one."""
-    output, _ = process.communicate(timeout=LONGEST_S)
+    output, _ = process.communicate(timeout=RUN_TIMEOUT_S)
     lines = output.decode().splitlines()
     assert lines and lines[-1].startswith("{"), f"{name}: {output.decode()[-2000:]}"
     verdict: dict[str, Any] = json.loads(lines[-1])
-    words = command("judge", str(Path(folder) / f"{name}.jsonl"))
-    again = subprocess.run(words, capture_output=True, timeout=LONGEST_S, check=False)
-    assert json.loads(again.stdout.splitlines()[-1]) == verdict, name
+    arguments = command("judge", str(Path(folder) / f"{name}.jsonl"))
+    checked = subprocess.run(arguments, capture_output=True, timeout=RUN_TIMEOUT_S, check=False)
+    assert json.loads(checked.stdout.splitlines()[-1]) == verdict, name
     return verdict
 
 
-def replayed(name: str, day: Day, folder: str, seed: int, verdict: dict[str, Any]) -> dict[str, Any]:
+def repeat_while_inconclusive(
+    name: str, scenario: Day, folder: str, seed: int, verdict: dict[str, Any]
+) -> dict[str, Any]:
     """Run the scenario again while its verdict is inconclusive because the host stalled; the last verdict."""
-    for replay in range(1, MAX_REPLAYS + 1):
+    for attempt in range(1, MAX_REPEATS + 1):
         if verdict["broken"] or not verdict["inconclusive"]:
             break
-        print(f"{name}: the host stalled, running again ({replay} of {MAX_REPLAYS})")
-        verdict = finish(name, begin(name, day, folder, seed), folder)
-    assert verdict["broken"] or not verdict["inconclusive"], f"{name}: inconclusive {MAX_REPLAYS + 1} times"
+        print(f"{name}: the host stalled, running again ({attempt} of {MAX_REPEATS})")
+        verdict = finish_run(name, start_run(name, scenario, folder, seed), folder)
+    assert verdict["broken"] or not verdict["inconclusive"], f"{name}: inconclusive {MAX_REPEATS + 1} times"
     return verdict
--- a/tests/test_fair_days.py
+++ b/tests/test_fair_days.py
@@ -9,23 +9,25 @@
 import msgspec
 from fennelcove.scenarios.script import Crowd, Day, FaultSpec, read
 
-from tests.fleetdays import played
+from tests.fleetdays import run_scenarios
 
 HOG_FROM_S, END_S = 3.0, 9.0
 
 
-def short(day: Day) -> Day:
+def shortened(scenario: Day) -> Day:
     """Shorten a scenario to half of its time and 3/4 of the hog's load, to run it on every change."""
-    crowds = [_sooner(crowd) for crowd in day.crowds]
-    troubles: list[FaultSpec] = [
-        msgspec.structs.replace(trouble, at_s=4.0, for_s=3.0) for trouble in day.troubles
+    crowds = [_shortened_crowd(crowd) for crowd in scenario.crowds]
+    fault_specs: list[FaultSpec] = [
+        msgspec.structs.replace(fault_spec, at_s=4.0, for_s=3.0) for fault_spec in scenario.troubles
     ]
-    assert day.tenants is not None
-    tenants = msgspec.structs.replace(day.tenants, from_s=HOG_FROM_S)
-    return msgspec.structs.replace(day, crowds=crowds, troubles=troubles, tenants=tenants, seconds=12.0)
+    assert scenario.tenants is not None
+    requirements = msgspec.structs.replace(scenario.tenants, from_s=HOG_FROM_S)
+    return msgspec.structs.replace(
+        scenario, crowds=crowds, troubles=fault_specs, tenants=requirements, seconds=12.0
+    )
 
 
-def _sooner(crowd: Crowd) -> Crowd:
+def _shortened_crowd(crowd: Crowd) -> Crowd:
     if not crowd.from_s:
         return msgspec.structs.replace(crowd, to_s=END_S)
     half = (END_S - HOG_FROM_S) / 12
@@ -34,22 +36,22 @@
     return msgspec.structs.replace(crowd, from_s=from_s, to_s=to_s, per_s=0.75 * crowd.per_s)
 
 
-class FairDaysTest(unittest.TestCase):
-    def test_neighbours_of_a_hog_keep_their_part(self) -> None:
+class FairQueueingScenarioTest(unittest.TestCase):
+    def test_other_tenants_keep_their_share_beside_a_hog(self) -> None:
         # Guards against slots granted first come, first served: other tenants are then served a fifth of
         # their requests.
         names = ("tenant-hog", "tenant-hog-split", "tenant-hop")
         with tempfile.TemporaryDirectory() as folder:
-            found = played({name: short(read(name)) for name in names}, folder, 3, beside=1)
-        for name, verdict in found.items():
+            verdicts = run_scenarios({name: shortened(read(name)) for name in names}, folder, 3, parallel=1)
+        for name, verdict in verdicts.items():
             with self.subTest(day=name):
                 assert verdict["broken"] == []
-                self.assert_shared(verdict["tenants"])
+                self.assert_fair_shares(verdict["tenants"])
 
-    def assert_shared(self, seen: dict[str, Any]) -> None:
+    def assert_fair_shares(self, tenant_figures: dict[str, Any]) -> None:
         """Check that no server has more attempts in flight than slots, and that the hog is served least."""
-        assert seen["most_out"] <= seen["slots"]
-        rows = {row["name"]: row for row in seen["tenants"]}
+        assert tenant_figures["most_out"] <= tenant_figures["slots"]
+        rows = {row["name"]: row for row in tenant_figures["tenants"]}
         hog = rows.pop("hog")
         for row in rows.values():
             assert row["served"] > hog["served"]
--- a/tests/test_power_days.py
+++ b/tests/test_power_days.py
@@ -10,55 +10,57 @@
 import msgspec
 from fennelcove.scenarios.script import Day, FaultSpec, NetworkFault, PowerLoss, read
 
-from tests.fleetdays import played
+from tests.fleetdays import run_scenarios
 
 replace = msgspec.structs.replace
-POWER = PowerLoss(boxes_back_s=[0.5, 2.0], fronts_back_s=[0.5, 2.0], lists_back_s=0.5)
+POWER_LOSS = PowerLoss(boxes_back_s=[0.5, 2.0], fronts_back_s=[0.5, 2.0], lists_back_s=0.5)
 
 
-def split(day: Day) -> Day:
+def partition_zones(scenario: Day) -> Day:
     """One zone is partitioned from the other from before the restart until long after it."""
-    cut = NetworkFault(sender="hall-a", taker="hall-b", how="silent")
-    lose = NetworkFault(sender="fronts", taker="fronts", how="reorder", share=0.5)
-    troubles = [
-        FaultSpec(at_s=5, what="power", power=POWER),
-        FaultSpec(at_s=5.5, what="between", for_s=8, between=cut),
-        FaultSpec(at_s=5.5, what="between", for_s=12, value=300, between=lose),
+    partition = NetworkFault(sender="hall-a", taker="hall-b", how="silent")
+    reordering = NetworkFault(sender="fronts", taker="fronts", how="reorder", share=0.5)
+    fault_specs = [
+        FaultSpec(at_s=5, what="power", power=POWER_LOSS),
+        FaultSpec(at_s=5.5, what="between", for_s=8, between=partition),
+        FaultSpec(at_s=5.5, what="between", for_s=12, value=300, between=reordering),
     ]
-    return replace(day, troubles=troubles)
+    return replace(scenario, troubles=fault_specs)
 
 
-def lists(day: Day) -> Day:
+def restart_lists_last(scenario: Day) -> Day:
     """The list service restarts last and knows only the list from before."""
-    power = replace(POWER, lists_back_s=6.0, lists_before=True, lists_learn_s=4.0, folders=["kept", "gone"])
-    return replace(day, troubles=[FaultSpec(at_s=5, what="power", power=power)])
+    power = replace(
+        POWER_LOSS, lists_back_s=6.0, lists_before=True, lists_learn_s=4.0, folders=["kept", "gone"]
+    )
+    return replace(scenario, troubles=[FaultSpec(at_s=5, what="power", power=power)])
 
 
-def twice(day: Day) -> Day:
+def lose_power_twice(scenario: Day) -> Day:
     """The power is lost again while servers are cold; then a front is paused."""
-    troubles = [
-        FaultSpec(at_s=4, what="power", power=POWER),
-        FaultSpec(at_s=7.5, what="power", power=replace(POWER, folders=["torn", "kept"])),
+    fault_specs = [
+        FaultSpec(at_s=4, what="power", power=POWER_LOSS),
+        FaultSpec(at_s=7.5, what="power", power=replace(POWER_LOSS, folders=["torn", "kept"])),
         FaultSpec(at_s=11, what="front-stop", for_s=3, fronts=[1]),
     ]
-    return replace(day, troubles=troubles)
+    return replace(scenario, troubles=fault_specs)
 
 
-DAYS: dict[str, Callable[[Day], Day]] = {
-    "loss": lambda day: day,
-    "split": split,
-    "lists": lists,
-    "twice": twice,
+CHANGES: dict[str, Callable[[Day], Day]] = {
+    "loss": lambda scenario: scenario,
+    "split": partition_zones,
+    "lists": restart_lists_last,
+    "twice": lose_power_twice,
 }
 
 
-class PowerTest(unittest.TestCase):
-    def test_a_fleet_comes_back_from_each_loss_with_every_rule_kept(self) -> None:
-        days = {name: change(read("power-short")) for name, change in DAYS.items()}
+class PowerLossScenarioTest(unittest.TestCase):
+    def test_a_fleet_recovers_from_each_power_loss_and_breaks_no_rule(self) -> None:
+        scenarios = {name: change(read("power-short")) for name, change in CHANGES.items()}
         with tempfile.TemporaryDirectory() as folder:
-            found = played(days, folder, 3)
-        for name, verdict in found.items():
-            with self.subTest(day=name):
+            verdicts = run_scenarios(scenarios, folder, 3)
+        for name, verdict in verdicts.items():
+            with self.subTest(scenario=name):
                 self.check(verdict)
 
     def check(self, verdict: dict[str, Any]) -> None:
--- a/tests/test_release_days.py
+++ b/tests/test_release_days.py
@@ -13,72 +13,78 @@
 import msgspec
 from fennelcove.scenarios.script import Crowd, Day, FaultSpec, RolloutRequirements, VersionSpec, read
 
-from tests.fleetdays import played
+from tests.fleetdays import run_scenarios
 
 replace = msgspec.structs.replace
 
 
-def start(*words: str) -> FaultSpec:
-    plan = ("--wanted", "2", "--before", "1", "--soak-s", "0.5")
-    return FaultSpec(at_s=1.5, what="order", for_s=6, order=["release", "start", *plan, *words])
+def start_command(*arguments: str) -> FaultSpec:
+    options = ("--wanted", "2", "--before", "1", "--soak-s", "0.5")
+    return FaultSpec(at_s=1.5, what="order", for_s=6, order=["release", "start", *options, *arguments])
 
 
-def short(
-    day: Day, seconds: float, release: RolloutRequirements, *troubles: FaultSpec, version: VersionSpec | None
+def shortened(
+    scenario: Day,
+    seconds: float,
+    release: RolloutRequirements,
+    *fault_specs: FaultSpec,
+    version: VersionSpec | None,
 ) -> Day:
     """Reduce a scenario to three fronts instead of five, with fewer clients."""
-    crowds: list[Crowd] = [replace(crowd, to_s=seconds - 3, per_s=0.6 * crowd.per_s) for crowd in day.crowds]
+    crowds: list[Crowd] = [
+        replace(crowd, to_s=seconds - 3, per_s=0.6 * crowd.per_s) for crowd in scenario.crowds
+    ]
     return replace(
-        day,
+        scenario,
         seconds=seconds,
         fronts=3,
         service_floor=0.5,
         crowds=crowds,
         release=release,
         versions=[version] if version is not None else [],
-        troubles=list(troubles),
+        troubles=list(fault_specs),
     )
 
 
-def days() -> dict[str, Day]:
-    day = read("release")
-    back = FaultSpec(at_s=3, until="off", what="order", for_s=5, order=["release", "back"])
-    off = ["write-off", "front", "2", "front-0", "front-1"]
+def scenarios() -> dict[str, Day]:
+    scenario = read("release")
+    rollback_command = FaultSpec(at_s=3, until="off", what="order", for_s=5, order=["release", "back"])
+    write_off_arguments = ["write-off", "front", "2", "front-0", "front-1"]
     return {
-        "leader": short(
-            day,
+        "leader": shortened(
+            scenario,
             20,
             RolloutRequirements(wanted=2, ends="all"),
-            start("--out-s", "20"),
+            start_command("--out-s", "20"),
             FaultSpec(at_s=2, until="out-1", what="front-kill", leader=True, for_s=1.5),
             version=None,
         ),
-        "hung": short(
-            day,
+        "hung": shortened(
+            scenario,
             16,
             # The canary hangs: if it were a later front, a slow host could halt the plan before that.
             RolloutRequirements(wanted=2, ends="none", lost=[2], most=1),
-            start("--out-s", "4"),
-            FaultSpec(at_s=2, until="halted", what="order", for_s=4, order=off),
-            back,
+            start_command("--out-s", "4"),
+            FaultSpec(at_s=2, until="halted", what="order", for_s=4, order=write_off_arguments),
+            rollback_command,
             version=VersionSpec(number=2, hangs=[2]),
         ),
-        "refused": short(
-            day,
+        "refused": shortened(
+            scenario,
             14,
             RolloutRequirements(wanted=2, ends="none", most=1),
-            start("--out-s", "15"),
+            start_command("--out-s", "15"),
             FaultSpec(at_s=2, until="halted", what="order", for_s=5, order=["release", "back"]),
             version=VersionSpec(number=2, refused=True),
         ),
     }
 
 
-class ReleaseDaysTest(unittest.TestCase):
-    def test_each_ends_as_it_has_to_with_no_more_out_than_may_be(self) -> None:
+class RolloutScenarioTest(unittest.TestCase):
+    def test_each_rollout_ends_as_expected_within_its_limits(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            found = played(days(), folder, 3, beside=3)
-        for name, verdict in found.items():
+            verdicts = run_scenarios(scenarios(), folder, 3, parallel=3)
+        for name, verdict in verdicts.items():
             with self.subTest(day=name):
                 self.check(verdict)
 
--- a/tests/test_soak_days.py
+++ b/tests/test_soak_days.py
@@ -22,5 +22,5 @@
         return verdict.violations[:5]
 
     with ThreadPoolExecutor(len(SEEDS)) as pool:
-        found = dict(zip(SEEDS, pool.map(violations, range(len(SEEDS))), strict=True))
-    assert found == {seed: [] for seed in SEEDS}
+        violations_by_seed = dict(zip(SEEDS, pool.map(violations, range(len(SEEDS))), strict=True))
+    assert violations_by_seed == {seed: [] for seed in SEEDS}
