--- a/tests/test_fair_days.py
+++ b/tests/test_fair_days.py
@@ -9,7 +9,7 @@
 import msgspec
 from fennelcove.scenarios.script import Crowd, Day, FaultSpec, read
 
-from tests.fleetdays import run_scenarios
+from tests.fleet_scenarios import run_scenarios
 
 HOG_FROM_S, END_S = 3.0, 9.0
 
--- a/tests/test_flood_days.py
+++ b/tests/test_flood_days.py
@@ -12,7 +12,7 @@
 from fennelcove.decisions.fleet.shared_quotas import BURST_S
 from fennelcove.scenarios.script import Crowd, Day, read
 
-from tests.fleetdays import run_scenarios
+from tests.fleet_scenarios import run_scenarios
 
 PEAK_TIMES = {"from_s": 5.0, "to_s": 9.0}
 
--- a/tests/test_power_days.py
+++ b/tests/test_power_days.py
@@ -10,7 +10,7 @@
 import msgspec
 from fennelcove.scenarios.script import Day, FaultSpec, NetworkFault, PowerLoss, read
 
-from tests.fleetdays import run_scenarios
+from tests.fleet_scenarios import run_scenarios
 
 replace = msgspec.structs.replace
 POWER_LOSS = PowerLoss(boxes_back_s=[0.5, 2.0], fronts_back_s=[0.5, 2.0], lists_back_s=0.5)
--- a/tests/test_release_days.py
+++ b/tests/test_release_days.py
@@ -13,7 +13,7 @@
 import msgspec
 from fennelcove.scenarios.script import Crowd, Day, FaultSpec, RolloutRequirements, VersionSpec, read
 
-from tests.fleetdays import run_scenarios
+from tests.fleet_scenarios import run_scenarios
 
 replace = msgspec.structs.replace
 
