--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -1,10 +1,11 @@
-"""How a fleet stands a flood: shedding as one, each front damping alone, and nothing; same days and seeds.
+"""A fleet under overload with fleet-wide shedding, with damping by each front alone, and with neither.
 
     python -m benchmarks.floods [--days flood,flood-kill] [--seeds 1,2] [--beside 2]
 
-A process for each day. Prints a row a variant and day, median and range over the seeds: benefit played a
-second while the crowd comes and in the worst 10 s, requests, joins and datagrams for each, seconds until no
-second has more than a twentieth refused, and rules broken.
+Runs each scenario in its own process, with the same seeds for all variants. Prints a row per variant and
+scenario with median and range over the seeds: benefit served per second during the crowd and in the worst 10
+s, requests, attempts and datagrams per request, seconds until no second has more than a twentieth refused,
+and rules broken.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 from benchmarks.power import played, spread
 
 replace = msgspec.structs.replace
-CROWD = (8, 16)  # seconds of the day in which it comes
+CROWD = (8, 16)  # seconds of the scenario in which the crowd arrives
 
 
 def bare(day: Day, damping: bool = False) -> Day:
-    """Without shedding as one."""
+    """The scenario without fleet-wide shedding."""
     storm = StormSettings(damping=damping)
     return replace(day, front=replace(day.front, overload=None, storm=storm))
 
 
 def sees_all(day: Day) -> Day:
-    """One front for everybody: what all could do if each saw all at once. Nothing goes wrong with it."""
+    """The scenario with one front and no front faults: the bound for fronts that share all their state."""
     troubles = [
         t for t in day.troubles if t.what not in ("front-kill", "front-restart", "front-stop", "between")
     ]
@@ -42,25 +43,25 @@
     "damping": lambda day: bare(day, True),
     "nothing": bare,
     "sees-all": sees_all,
-    "alone": lambda day: replace(day, company=False),  # the same ladder, each front by its own figures
+    "alone": lambda day: replace(day, company=False),  # the same shedding steps, by each front's own figures
 }
 
 
 def play(job: tuple[str, str, int]) -> Verdict | None:
-    """A day by its name, in one of the variants."""
+    """Run a scenario, given by its name, in one of the variants."""
     day, variant, seed = job
     return played(VARIANTS[variant](read(day)), seed)
 
 
 def worst(verdict: Verdict) -> float:
-    """The least benefit a second in any 10 s until the crowd has been gone as long."""
+    """The least benefit per second in any 10 s, from before the crowd until about 10 s after it."""
     assert verdict.fleet is not None
     benefit = [second.benefit for second in verdict.fleet.seconds[4:28]]
     return min(sum(benefit[at : at + 10]) / 10 for at in range(len(benefit) - 9))
 
 
 def main() -> None:
-    """All of it."""
+    """Run all scenarios and print the table."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--days", default="flood,flood-kill")
     parser.add_argument("--seeds", default="1,2")
@@ -79,12 +80,12 @@
             least = [worst(row) for row in rows]
             print(
                 f"{day:11} {variant:8} crowd {spread(crowds)}, worst 10 s {spread(least)} "
-                f"benefit a s; service {spread([row.service for row in rows])}; requests "
+                f"benefit per s; service {spread([row.service for row in rows])}; requests "
                 f"{spread([float(row.requests) for row in rows])}, "
-                f"joins {spread([f.joins for f in fleets])}, "
-                f"datagrams {spread([f.datagrams for f in fleets])} a request; settled "
-                f"{spread([row.settled_s or 0.0 for row in rows])} s; rules "
-                f"{sorted({b.rule for row in rows for b in row.broken}) or 'kept'}",
+                f"attempts {spread([f.joins for f in fleets])}, "
+                f"datagrams {spread([f.datagrams for f in fleets])} per request; settled "
+                f"{spread([row.settled_s or 0.0 for row in rows])} s; rules broken "
+                f"{sorted({b.rule for row in rows for b in row.broken}) or 'none'}",
                 flush=True,
             )
 
--- a/benchmarks/live_seam.py
+++ b/benchmarks/live_seam.py
@@ -1,10 +1,10 @@
-"""Many players on one live title that all cross a seam at once: are renewed fetches a storm?
+"""Many players of one live title cross a splice at the same time: do their fetches cause a retry storm?
 
     python benchmarks/live_seam.py [--players 200] [--seconds 40]
 
-Three clips are put into a live lesson, each for a moment that all its players meet together; one clip's only
-fast holder dies just before the second seam. Prints each front request a player and second before, at and
-after the seams, stalls by cause, and when the last player saw the change.
+Inserts three clips into a live title, each at a moment that all its players reach together; the only fast
+server with one of the clips goes down just before the second splice. Prints segments, retried fetches and
+splices in each second, stalls by cause, and when the last player received the change.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def generated(players: int, seconds: float) -> Day:
-    """The day."""
+    """Build the scenario."""
     day = read("stitch-drain")
     front = msgspec.structs.replace(
         day.front,
@@ -74,7 +74,7 @@
 
 
 def main() -> None:
-    """One run."""
+    """Run the scenario and print its figures."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--players", type=int, default=200)
     parser.add_argument("--seconds", type=float, default=40.0)
@@ -84,20 +84,20 @@
     verdict = judge(records)
     print(f"{os.cpu_count()} cores, Python {sys.version.split()[0]}; {options.players} players")
     began_us = min(r["t_us"] for r in records if r["what"] == "asked")
-    # What boxes served and players sent again, by second; each segment is one request at the front before it.
+    # Segments served and fetches retried in each second; each segment follows one request to a front.
     served = Counter((r["t_us"] - began_us) // 1_000_000 for r in records if r["what"] == "media")
     tries = Counter((r["t_us"] - began_us) // 1_000_000 for r in records if r["what"] == "tried_again")
     seams = Counter((r["t_us"] - began_us) // 1_000_000 for r in records if r["what"] == "seam")
-    print("second: segments served / fetches sent again / seams crossed")
+    print("second: segments served / fetches retried / splices crossed")
     for second in range(int(options.seconds)):
         print(f"{second:3}: {served[second]:4} / {tries[second]:4} / {seams[second]:4}")
     for i in range(len(SEAMS_S)):
         count, median_s, longest_s = seen_after(records, f"c{i}")
-        print(f"c{i}: seen by {count}, median after {median_s:.2f} s, the last after {longest_s:.2f} s")
+        print(f"c{i}: received by {count}, median after {median_s:.2f} s, the last after {longest_s:.2f} s")
     print(
-        f"{verdict.requests} requests, {verdict.seams} seams, changes of box {verdict.moves}, lost "
+        f"{verdict.requests} requests, {verdict.seams} splices, migrations {verdict.moves}, lost "
         f"{verdict.lost}, stalls {dict(causes(records))}, longest {verdict.longest_stall_ms:.0f} ms, "
-        f"rules broken {len([b for b in verdict.broken if b.rule < 7])}, listed and not had "
+        f"rules broken {len([b for b in verdict.broken if b.rule < 7])}, listed and not served "
         f"{len([b for b in verdict.broken if b.rule == 7])}"
     )
 
--- a/benchmarks/moving.py
+++ b/benchmarks/moving.py
@@ -1,11 +1,11 @@
-"""Rolling replacement of boxes with moves beside the earlier version, which lets drained subscriptions break.
+"""Rolling replacement of servers, with session migration and without, which breaks sessions when drained.
 
     python benchmarks/moving.py [--boxes 12] [--players 200] [--seconds 60] [--replace-every 1.0]
 
-Plays one generated day twice, with moves and without, with the same seed: lessons stitched every second
-segment; one box after another drains, is off the list and dead two seconds later, and a cold one stands in
-its place. Prints seams, moves, stalls by cause, what was lost, and what was delivered: the worth of the
-segments that boxes served over the worth of whole lessons at the top rung.
+Runs one generated scenario twice with the same seed, with migrations and without: titles with a splice every
+second segment; one server after another drains, is unlisted and down two seconds later, and a cold one
+replaces it. Prints splices, migrations, stalls by cause, lost sessions, and the delivered share: the utility
+of the segments served over the utility of complete titles at the top rung.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def generated(boxes: int, players: int, seconds: float, every_s: float, moves: int) -> Day:
-    """The day: lessons that last to its end, replacements from when all have come."""
+    """Build the scenario: titles that last to its end, replacements once all clients have arrived."""
     day = read("stitch-drain")
     front = day.front
     count = int((seconds - ARRIVE_S) / (SEGMENT_S + CLIP_S / 2))
@@ -44,7 +44,7 @@
         ],
         fleet=msgspec.structs.replace(front.fleet, all_links_kb=12_000.0 * boxes, uplink_kb=8000.0 * boxes),
         stitch=msgspec.structs.replace(front.stitch, moves_at_once=moves),
-        # The join budget would bind before anything else: it is measured by the days.
+        # The attempt budget would be the first limit; the built-in scenarios measure it.
         rules=msgspec.structs.replace(front.rules, budget_free=None, budget_span_ms=0.0),
         limits=msgspec.structs.replace(front.limits, connections=4000, waiting=2000, silent_ms=12_000.0),
     )
@@ -89,17 +89,17 @@
 
 
 def causes(records: list[Record]) -> Counter[str]:
-    """Stalls by what they fell on; a frame interval is 40 ms."""
+    """Count stalls by their cause, and apart those over a frame interval of 40 ms."""
     found: Counter[str] = Counter()
     for record in records:
         if record["what"] == "stall":
-            cause = "seam" if record["seam"] else "move" if record["moved"] else "between"
+            cause = "splice" if record["seam"] else "migration" if record["moved"] else "between splices"
             found[cause + (" over a frame" if record["ms"] > 40 else "")] += 1
     return found
 
 
 def delivered(records: list[Record], day: Day) -> float:
-    """The worth of what was served over that of whole lessons at the top rung asked for."""
+    """The utility of the segments served over that of complete titles at the top rung requested."""
     worth = [rung.worth for rung in day.front.ladder]
     lengths = {"lesson": SEGMENT_S, "rest": CLIP_S, "slate": CLIP_S}
     had = sum(worth[r["rung"]] * lengths[r["media"]] for r in records if r["what"] == "media" and r["held"])
@@ -111,7 +111,7 @@
 
 
 def seen_after(records: list[Record], change: str) -> tuple[int, float, float]:
-    """How many players saw a change, and the median and longest time from when it was made, in seconds."""
+    """How many players received a change; median and longest latency from its submission, in seconds."""
     made = next((r["t_us"] for r in records if r["what"] == "change" and r["id"] == change), None)
     times = sorted(r["t_us"] for r in records if r["what"] == "sees" and r["change"] == change)
     if made is None or not times:
@@ -120,14 +120,14 @@
 
 
 def main() -> None:
-    """Both runs."""
+    """Run the scenario with and without migrations."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--boxes", type=int, default=12)
     parser.add_argument("--players", type=int, default=200)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--replace-every", type=float, default=1.0)
     options = parser.parse_args()
-    print(f"{os.cpu_count()} cores, Python {sys.version.split()[0]}; {options.boxes} boxes")
+    print(f"{os.cpu_count()} cores, Python {sys.version.split()[0]}; {options.boxes} servers")
     for moves in (8, 0):
         day = generated(options.boxes, options.players, options.seconds, options.replace_every, moves)
         records: list[dict[str, Any]] = DayPlayer(day, 1).play()
@@ -136,12 +136,12 @@
         ended = sum(r["ended"] for r in records if r["what"] == "played")
         seen, median_s, longest_s = seen_after(records, "late")
         print(
-            f"{'moves' if moves else 'none ':5}: {verdict.requests} requests, service {verdict.service:.3f}, "
-            f"delivered {delivered(records, day):.3f}, lost {verdict.lost}, lessons ended {ended}, "
-            f"seams {verdict.seams}, second set-ups {len(again)}, changes of box {verdict.moves}, "
+            f"{'migrations' if moves else 'none':10}: {verdict.requests} requests, service "
+            f"{verdict.service:.3f}, delivered {delivered(records, day):.3f}, lost {verdict.lost}, "
+            f"titles played to the end {ended}, splices {verdict.seams}, second set-ups {len(again)}, migrations {verdict.moves}, "
             f"stalls {dict(causes(records))}, longest {verdict.longest_stall_ms:.0f} ms, "
-            f"rules broken {len([b for b in verdict.broken if b.rule < 7])}, listed and not had "
-            f"{len([b for b in verdict.broken if b.rule == 7])}; a change for this moment was seen by {seen} "
+            f"rules broken {len([b for b in verdict.broken if b.rule < 7])}, listed and not served "
+            f"{len([b for b in verdict.broken if b.rule == 7])}; an immediate change was received by {seen} "
             f"players, median after {median_s:.2f} s, the last after {longest_s:.2f} s",
             flush=True,
         )
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,9 +1,9 @@
-"""A front killed again and again under traffic, with its memory and without; what a store costs.
+"""A front killed repeatedly under load, with a store and without; the costs of the store.
 
     python -m benchmarks.restarts [--kills 100] [--without 40]
 
-Kills are at random moments, some 2.6 s apart. Prints records found altered, subscriptions set up twice or
-lost, and service in the two seconds after each restart; before that writes a second and recovery times.
+Kills are at random moments about 2.6 s apart. Prints the store's writes per second and recovery times; then
+altered records, sessions set up twice or lost, and service in the two seconds after each restart.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def generated(kills: int, remembers: bool) -> Day:
-    """The day front-kill, as long as it takes."""
+    """Extend the scenario front-kill to the given number of kills."""
     day, chance = read("front-kill"), Random(5)
     at_s, troubles = 3.0, []
     for _ in range(kills):
@@ -38,7 +38,7 @@
 
 
 def after_restarts(records: list[Record]) -> tuple[int, float, int]:
-    """Requests within two seconds of a restart, the share of them that played, and set-ups at boxes then."""
+    """Responses within two seconds of a restart, the share of them served, and set-ups at servers then."""
     starts = [r["t_us"] for r in records if r["what"] == "front_started"][1:]
 
     def near(t_us: int) -> bool:
@@ -51,7 +51,7 @@
 
 
 def killed(kills: int, remembers: bool) -> None:
-    """One run."""
+    """Run the scenario and print its figures."""
     records = DayPlayer(generated(kills, remembers), 1).play()
     verdict = judge(records)
     faults = [r["fault"] for r in records if r["what"] == "store_fault"]
@@ -61,15 +61,15 @@
     done = sum(r["what"] == "front_killed" for r in records)
     print(
         f"{'with' if remembers else 'without'} a store: {done} kills, "
-        f"records altered {altered}, cut short {len(faults) - altered}, requests {verdict.requests}, lost "
+        f"records altered {altered}, truncated {len(faults) - altered}, requests {verdict.requests}, lost "
         f"{verdict.lost}, rules broken {len(verdict.broken)} {rules or ''}, service {verdict.service:.3f}; "
-        f"within two seconds of a restart {count} answers, {share:.3f} of them play, {joins} set-ups",
+        f"within two seconds of a restart {count} responses, {share:.3f} of them served, {joins} set-ups",
         flush=True,
     )
 
 
 def parts() -> None:
-    """The store alone."""
+    """Measure the store alone."""
     with tempfile.TemporaryDirectory() as folder:
         store = Store(folder, 256, "benchmark")
         value, count = os.urandom(100), 0
@@ -77,12 +77,12 @@
         while time.perf_counter() - began < 2:
             store.commit([(b"key%d" % (count % 1000), value)])
             count += 1
-        print(f"{count / 2:.0f} synced batches of one a second", flush=True)
+        print(f"{count / 2:.0f} synced batches of 1 record per second", flush=True)
         began, count = time.perf_counter(), 0
         while time.perf_counter() - began < 2:
             store.commit([(b"key%d" % i, value) for i in range(140)])
             count += 1
-        print(f"{count / 2:.0f} synced batches of 140 a second", flush=True)
+        print(f"{count / 2:.0f} synced batches of 140 records per second", flush=True)
         store.close()
     for size in (1000, 10_000, 100_000):
         with tempfile.TemporaryDirectory() as folder:
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """All of it."""
+    """Run all measurements."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--kills", type=int, default=100)
     parser.add_argument("--without", type=int, default=40)
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -1,10 +1,10 @@
-"""Storms on real fronts with each defence switched off in turn, one after another in one run.
+"""Retry storms on real fronts with each protection switched off in turn, one after another in one run.
 
     python -m benchmarks.storms [--seed 1] [storm-hall storm-titles storm-cold storm-restart]
 
-Prints, for each variant: service, who watched by temper, the wait from the first try to the play, requests
-(the crowd's own making), how long refusals went on after the last crowd, boxes fallen, and what broke. "none"
-is the first running version.
+Prints for each variant: service, clients served by retry behaviour, the wait from the first try until
+served, requests including retries, how long refusals continued after the last crowd, servers crashed from
+overload, and rules broken. "none" is the first running version.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from fennelcove.scenarios.player import DayPlayer
 from fennelcove.scenarios.script import Day, read
 
-VARIANTS = {  # damping, box limits
+VARIANTS = {  # damping, server limits
     "all": (True, True),
     "no damping": (False, True),
     "no box limits": (True, False),
@@ -29,14 +29,14 @@
 
 
 def varied(day: Day, damping: bool, box_limits: bool) -> Day:
-    """The day with these defences."""
+    """The scenario with these protections."""
     storm = msgspec.structs.replace(day.front.storm, damping=damping, box_limits=box_limits)
     front = msgspec.structs.replace(day.front, storm=storm)
     return msgspec.structs.replace(day, front=front, settle_within_s=None)
 
 
 def told(records: list[dict[str, Any]]) -> str:
-    """One variant's figures."""
+    """Format the figures of one variant."""
     verdict = judge(records)
     fell = sum(1 for record in records if record["what"] == "fell")
     tempers = {r["viewer"]: r["temper"] for r in records if r["what"] == "asked"}
@@ -55,15 +55,16 @@
     waits = sorted(watched[viewer] / 1e6 for viewer in watched if tempers[viewer] == "obeys")
     middle, late = waits[len(waits) // 2], waits[len(waits) * 9 // 10]
     return (
-        f"service {verdict.service:.3f}, watched {len(watched)} of {len(tempers)} ({parts}), wait of "
-        f"those that obey: median {middle:.1f} s p90 {late:.1f} s, requests {verdict.requests}, set-ups "
+        f"service {verdict.service:.3f}, served {len(watched)} of {len(tempers)} ({parts}), wait of "
+        f"those that obey Retry-After: median {middle:.1f} s p90 {late:.1f} s, "
+        f"requests {verdict.requests}, set-ups "
         f"{sum(1 for r in records if r['what'] == 'set_up')}, refusals over a twentieth for "
-        f"{verdict.settled_s} s, boxes fallen {fell}, rules broken {len(verdict.broken)}"
+        f"{verdict.settled_s} s, servers crashed {fell}, rules broken {len(verdict.broken)}"
     )
 
 
 def main() -> None:
-    """All variants of the days named."""
+    """Run all variants of the given scenarios."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--variants", nargs="*", default=list(VARIANTS))
--- a/benchmarks/watching.py
+++ b/benchmarks/watching.py
@@ -1,10 +1,10 @@
-"""Boxes that stand still, found out by watchers of the fleet and by each front alone; same days and seeds.
+"""Hung servers, detected by fleet-wide health checks and by each front alone; same scenarios and seeds.
 
     python -m benchmarks.watching [--day watch-hang] [--seeds 1,2,3,4,5] [--beside 1]
 
-Each day is played against fronts of their own processes. A row a variant: median and range over the seeds of
-joins that came to a box while it stood still (all, and those later than `FOUND_S` after it began to), set-ups
-answered after the join objective, service, connections a request, and rules broken.
+Each front runs in its own process. Prints a row per variant with median and range over the seeds: attempts
+sent to a server while it hung (all, and those later than `FOUND_S` after it began to hang), set-ups
+completed after the set-up objective, service, connections per request, and rules broken.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from benchmarks.power import spread
 
 replace = msgspec.structs.replace
-FOUND_S = 2.5  # two probes that fail, half a second apart, and words that may be late
+FOUND_S = 2.5  # detection time: two failed probes half a second apart, and messages that may be late
 VARIANTS = {
     "watched": lambda day: day,
     "alone": lambda day: replace(day, front=replace(day.front, watchers=None)),
@@ -30,7 +30,7 @@
 
 
 def stood_still(day: Day, records: list[Record]) -> tuple[int, int]:
-    """Joins that came to a box that a script let stand still, and those of them that came late."""
+    """Count attempts sent to a server while the script let it hang, and those of them after `FOUND_S`."""
     began = began_us(records)
     boxes = [record["box"] for record in records if record["what"] == "box"]
     found = late = 0
@@ -46,7 +46,7 @@
 
 
 def answered_late(records: list[Record]) -> int:
-    """Set-ups that played only after their room type's join objective."""
+    """Count set-ups that completed after their room type's set-up objective."""
     terms = next(record for record in records if record["what"] == "terms")
     aims = {room["name"]: room["objective_ms"] * 1000 for room in terms["room_types"]}
     asked = {(r["viewer"], r["number"]): r for r in records if r["what"] == "asked"}
@@ -56,7 +56,7 @@
 
 
 def play(job: tuple[str, str, int]) -> tuple[Verdict, int, int, int] | None:
-    """A day by its name, in one of the variants."""
+    """Run a scenario, given by its name, in one of the variants."""
     name, variant, seed = job
     day = VARIANTS[variant](read(name))
     try:
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """All of it."""
+    """Run all scenarios and print the table."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--day", default="watch-hang")
     parser.add_argument("--seeds", default="1,2,3,4,5")
@@ -81,11 +81,11 @@
         rows = [row for job, row in found.items() if job[1] == variant and row is not None]
         fleets = [row[0].fleet for row in rows if row[0].fleet is not None]
         print(
-            f"{variant:8} joins at boxes standing still {spread([float(row[1]) for row in rows])}, late ones "
+            f"{variant:8} attempts at hung servers {spread([float(row[1]) for row in rows])}, late ones "
             f"{spread([float(row[2]) for row in rows])}; after the objective "
             f"{spread([float(row[3]) for row in rows])}; service {spread([row[0].service for row in rows])}; "
-            f"connections {spread([fleet.connections for fleet in fleets])} a request; rules "
-            f"{sorted({b.rule for row in rows for b in row[0].broken}) or 'kept'}",
+            f"connections {spread([fleet.connections for fleet in fleets])} per request; rules broken "
+            f"{sorted({b.rule for row in rows for b in row[0].broken}) or 'none'}",
             flush=True,
         )
 
--- a/packages/scenarios/src/fennelcove/scenarios/checker.py
+++ b/packages/scenarios/src/fennelcove/scenarios/checker.py
@@ -495,7 +495,7 @@
 
 
 def _served_benefit_share(recording: _Recording) -> float:
-    """The benefit served within the join objective over that requested; retries belong to the first try."""
+    """The benefit served within the set-up objective over that requested; retries belong to the first try."""
     offered = earned = 0.0
     first: dict[str, Record] = {}
     for (viewer, number), asked in recording.asked.items():
