--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -18,42 +18,44 @@
 from fennelcove.scenarios.script import Day, read
 from fennelcove.settings.schema import StormSettings
 
-from benchmarks.power import played, spread
+from benchmarks.power import median_range, run_scenario
 
 replace = msgspec.structs.replace
-CROWD = (8, 16)  # seconds of the scenario in which the crowd arrives
+CROWD_INTERVAL_S = (8, 16)  # seconds of the scenario in which the crowd arrives
 
 
-def bare(day: Day, damping: bool = False) -> Day:
+def without_fleet_shedding(scenario: Day, damping: bool = False) -> Day:
     """The scenario without fleet-wide shedding."""
     storm = StormSettings(damping=damping)
-    return replace(day, front=replace(day.front, overload=None, storm=storm))
+    return replace(scenario, front=replace(scenario.front, overload=None, storm=storm))
 
 
-def sees_all(day: Day) -> Day:
+def with_one_front(scenario: Day) -> Day:
     """The scenario with one front and no front faults: the bound for fronts that share all their state."""
     troubles = [
-        t for t in day.troubles if t.what not in ("front-kill", "front-restart", "front-stop", "between")
+        t for t in scenario.troubles if t.what not in ("front-kill", "front-restart", "front-stop", "between")
     ]
-    return replace(day, fronts=1, halls=[], company=False, troubles=troubles)
+    return replace(scenario, fronts=1, halls=[], company=False, troubles=troubles)
 
 
 VARIANTS = {
-    "as-one": lambda day: day,
-    "damping": lambda day: bare(day, True),
-    "nothing": bare,
-    "sees-all": sees_all,
-    "alone": lambda day: replace(day, company=False),  # the same shedding steps, by each front's own figures
+    "as-one": lambda scenario: scenario,
+    "damping": lambda scenario: without_fleet_shedding(scenario, True),
+    "nothing": without_fleet_shedding,
+    "sees-all": with_one_front,
+    "alone": lambda scenario: replace(
+        scenario, company=False
+    ),  # the same shedding steps, by each front's own figures
 }
 
 
-def play(job: tuple[str, str, int]) -> Verdict | None:
+def run_variant(job: tuple[str, str, int]) -> Verdict | None:
     """Run a scenario, given by its name, in one of the variants."""
-    day, variant, seed = job
-    return played(VARIANTS[variant](read(day)), seed)
+    scenario, variant, seed = job
+    return run_scenario(VARIANTS[variant](read(scenario)), seed)
 
 
-def worst(verdict: Verdict) -> float:
+def least_benefit_in_10_s(verdict: Verdict) -> float:
     """The least benefit per second in any 10 s, from before the crowd until about 10 s after it."""
     assert verdict.fleet is not None
     benefit = [second.benefit for second in verdict.fleet.seconds[4:28]]
@@ -68,23 +70,26 @@
     parser.add_argument("--variants", default=",".join(VARIANTS))
     parser.add_argument("--beside", type=int, default=2)
     options = parser.parse_args()
-    days, variants = options.days.split(","), options.variants.split(",")
-    jobs = [(d, v, int(s)) for s in options.seeds.split(",") for d in days for v in variants]
+    scenario_names, variants = options.days.split(","), options.variants.split(",")
+    jobs = [(d, v, int(s)) for s in options.seeds.split(",") for d in scenario_names for v in variants]
     with ProcessPoolExecutor(options.beside) as pool:
-        found = dict(zip(jobs, pool.map(play, jobs), strict=True))
-    for day in days:
+        verdicts = dict(zip(jobs, pool.map(run_variant, jobs), strict=True))
+    for scenario in scenario_names:
         for variant in variants:
-            rows = [row for job, row in found.items() if job[:2] == (day, variant) and row is not None]
+            rows = [
+                row for job, row in verdicts.items() if job[:2] == (scenario, variant) and row is not None
+            ]
             fleets = [row.fleet for row in rows if row.fleet is not None]
-            crowds = [sum(s.benefit for s in f.seconds[slice(*CROWD)]) / 8 for f in fleets]
-            least = [worst(row) for row in rows]
+            crowd_benefits = [sum(s.benefit for s in f.seconds[slice(*CROWD_INTERVAL_S)]) / 8 for f in fleets]
+            worst_benefits = [least_benefit_in_10_s(row) for row in rows]
             print(
-                f"{day:11} {variant:8} crowd {spread(crowds)}, worst 10 s {spread(least)} "
-                f"benefit per s; service {spread([row.service for row in rows])}; requests "
-                f"{spread([float(row.requests) for row in rows])}, "
-                f"attempts {spread([f.joins for f in fleets])}, "
-                f"datagrams {spread([f.datagrams for f in fleets])} per request; settled "
-                f"{spread([row.settled_s or 0.0 for row in rows])} s; rules broken "
+                f"{scenario:11} {variant:8} crowd {median_range(crowd_benefits)}, worst 10 s "
+                f"{median_range(worst_benefits)} benefit per s; service "
+                f"{median_range([row.service for row in rows])}; requests "
+                f"{median_range([float(row.requests) for row in rows])}, "
+                f"attempts {median_range([f.joins for f in fleets])}, "
+                f"datagrams {median_range([f.datagrams for f in fleets])} per request; settled "
+                f"{median_range([row.settled_s or 0.0 for row in rows])} s; rules broken "
                 f"{sorted({b.rule for row in rows for b in row.broken}) or 'none'}",
                 flush=True,
             )
--- a/benchmarks/moving.py
+++ b/benchmarks/moving.py
@@ -28,10 +28,10 @@
 CLIP_S = 6 / 7
 
 
-def generated(boxes: int, players: int, seconds: float, every_s: float, moves: int) -> Day:
+def build_scenario(server_count: int, players: int, seconds: float, every_s: float, moves: int) -> Day:
     """Build the scenario: titles that last to its end, replacements once all clients have arrived."""
-    day = read("stitch-drain")
-    front = day.front
+    scenario = read("stitch-drain")
+    front = scenario.front
     count = int((seconds - ARRIVE_S) / (SEGMENT_S + CLIP_S / 2))
     media = MediaSettings(timescale=30_000, segment_ticks=60_060, segments=count)
     clip = MediaSettings(timescale=7, segment_ticks=6, segments=1)
@@ -42,13 +42,17 @@
             Title(name="rest", cells=6, media=clip),
             Title(name="slate", cells=6, media=clip),
         ],
-        fleet=msgspec.structs.replace(front.fleet, all_links_kb=12_000.0 * boxes, uplink_kb=8000.0 * boxes),
+        fleet=msgspec.structs.replace(
+            front.fleet, all_links_kb=12_000.0 * server_count, uplink_kb=8000.0 * server_count
+        ),
         stitch=msgspec.structs.replace(front.stitch, moves_at_once=moves),
         # The attempt budget would be the first limit; the built-in scenarios measure it.
         rules=msgspec.structs.replace(front.rules, budget_free=None, budget_span_ms=0.0),
         limits=msgspec.structs.replace(front.limits, connections=4000, waiting=2000, silent_ms=12_000.0),
     )
-    lines = [ServerSpec(cell=i % 6, zone="hall-a", kind="four-core", link_kb=12_000.0) for i in range(boxes)]
+    server_specs = [
+        ServerSpec(cell=i % 6, zone="hall-a", kind="four-core", link_kb=12_000.0) for i in range(server_count)
+    ]
     crowd = Crowd(
         room_type="recorded",
         titles=["lesson"],
@@ -61,7 +65,7 @@
         top_rung=1,
     )
     replaced = int((seconds - ARRIVE_S - 5) / every_s)
-    troubles = [
+    fault_specs = [
         FaultSpec(at_s=ARRIVE_S + every_s * i, what="replace", box=i, for_s=2.0) for i in range(replaced)
     ]
     changes = [
@@ -70,25 +74,25 @@
         )
         for i in range(count // 2 - 1)
     ]
-    late = PlaylistChange(
+    late_change = PlaylistChange(
         at_s=ARRIVE_S + 5, kind="insert", id="late", title="lesson", clip="rest", wall_in_s=0.5
     )
     return msgspec.structs.replace(
-        day,
-        name=f"moving-{boxes}",
+        scenario,
+        name=f"moving-{server_count}",
         seconds=seconds,
         service_floor=0.0,
         stall_limit_ms=None,
         front=front,
-        boxes=lines,
+        boxes=server_specs,
         crowds=[crowd],
-        troubles=troubles,
-        changes=[*changes, late],
-        rig=msgspec.structs.replace(day.rig, uplink_kb=8000.0 * boxes),
+        troubles=fault_specs,
+        changes=[*changes, late_change],
+        rig=msgspec.structs.replace(scenario.rig, uplink_kb=8000.0 * server_count),
     )
 
 
-def causes(records: list[Record]) -> Counter[str]:
+def stall_causes(records: list[Record]) -> Counter[str]:
     """Count stalls by their cause, and apart those over a frame interval of 40 ms."""
     found: Counter[str] = Counter()
     for record in records:
@@ -98,25 +102,27 @@
     return found
 
 
-def delivered(records: list[Record], day: Day) -> float:
+def delivered_share(records: list[Record], scenario: Day) -> float:
     """The utility of the segments served over that of complete titles at the top rung requested."""
-    worth = [rung.worth for rung in day.front.ladder]
+    utilities = [rung.worth for rung in scenario.front.ladder]
     lengths = {"lesson": SEGMENT_S, "rest": CLIP_S, "slate": CLIP_S}
-    had = sum(worth[r["rung"]] * lengths[r["media"]] for r in records if r["what"] == "media" and r["held"])
+    served_utility = sum(
+        utilities[r["rung"]] * lengths[r["media"]] for r in records if r["what"] == "media" and r["held"]
+    )
     players = sum(1 for r in records if r["what"] == "asked" and r["number"] == 0)
-    lesson = day.front.titles[0].media
+    lesson = scenario.front.titles[0].media
     assert lesson is not None and lesson.segments is not None
-    clips = sum(1 for change in day.changes if change.clip)
-    return had / (players * worth[1] * (lesson.segments * SEGMENT_S + clips * CLIP_S))
+    clips = sum(1 for change in scenario.changes if change.clip)
+    return served_utility / (players * utilities[1] * (lesson.segments * SEGMENT_S + clips * CLIP_S))
 
 
-def seen_after(records: list[Record], change: str) -> tuple[int, float, float]:
+def change_latency(records: list[Record], change: str) -> tuple[int, float, float]:
     """How many players received a change; median and longest latency from its submission, in seconds."""
-    made = next((r["t_us"] for r in records if r["what"] == "change" and r["id"] == change), None)
+    submitted_us = next((r["t_us"] for r in records if r["what"] == "change" and r["id"] == change), None)
     times = sorted(r["t_us"] for r in records if r["what"] == "sees" and r["change"] == change)
-    if made is None or not times:
+    if submitted_us is None or not times:
         return 0, 0.0, 0.0
-    return len(times), (times[len(times) // 2] - made) / 1e6, (times[-1] - made) / 1e6
+    return len(times), (times[len(times) // 2] - submitted_us) / 1e6, (times[-1] - submitted_us) / 1e6
 
 
 def main() -> None:
@@ -129,20 +135,23 @@
     options = parser.parse_args()
     print(f"{os.cpu_count()} cores, Python {sys.version.split()[0]}; {options.boxes} servers")
     for moves in (8, 0):
-        day = generated(options.boxes, options.players, options.seconds, options.replace_every, moves)
-        records: list[dict[str, Any]] = DayPlayer(day, 1).play()
+        scenario = build_scenario(
+            options.boxes, options.players, options.seconds, options.replace_every, moves
+        )
+        records: list[dict[str, Any]] = DayPlayer(scenario, 1).play()
         verdict = judge(records)
-        again = [r for r in records if r["what"] == "set_up" and r["join"] > 0]
+        repeated = [r for r in records if r["what"] == "set_up" and r["join"] > 0]
         ended = sum(r["ended"] for r in records if r["what"] == "played")
-        seen, median_s, longest_s = seen_after(records, "late")
+        receivers, median_s, longest_s = change_latency(records, "late")
         print(
             f"{'migrations' if moves else 'none':10}: {verdict.requests} requests, service "
-            f"{verdict.service:.3f}, delivered {delivered(records, day):.3f}, lost {verdict.lost}, "
-            f"titles played to the end {ended}, splices {verdict.seams}, second set-ups {len(again)}, migrations {verdict.moves}, "
-            f"stalls {dict(causes(records))}, longest {verdict.longest_stall_ms:.0f} ms, "
+            f"{verdict.service:.3f}, delivered {delivered_share(records, scenario):.3f}, "
+            f"lost {verdict.lost}, titles played to the end {ended}, splices {verdict.seams}, "
+            f"second set-ups {len(repeated)}, migrations {verdict.moves}, "
+            f"stalls {dict(stall_causes(records))}, longest {verdict.longest_stall_ms:.0f} ms, "
             f"rules broken {len([b for b in verdict.broken if b.rule < 7])}, listed and not served "
-            f"{len([b for b in verdict.broken if b.rule == 7])}; an immediate change was received by {seen} "
-            f"players, median after {median_s:.2f} s, the last after {longest_s:.2f} s",
+            f"{len([b for b in verdict.broken if b.rule == 7])}; an immediate change was received by "
+            f"{receivers} players, median after {median_s:.2f} s, the last after {longest_s:.2f} s",
             flush=True,
         )
 
--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -24,24 +24,24 @@
 replace = msgspec.structs.replace
 
 
-def bare(day: Day) -> Day:
+def without_coordination(scenario: Day) -> Day:
     """The scenario without coordination: each front recovers as if it alone had restarted."""
-    return replace(day, company=False, front=replace(day.front, recovery=None))
+    return replace(scenario, company=False, front=replace(scenario.front, recovery=None))
 
 
-def without(day: Day, **recovery: bool) -> Day:
+def without_recovery_parts(scenario: Day, **recovery: bool) -> Day:
     """The scenario with parts of the recovery switched off."""
-    return replace(day, front=replace(day.front, recovery=RecoverySettings(**recovery)))
+    return replace(scenario, front=replace(scenario.front, recovery=RecoverySettings(**recovery)))
 
 
 VARIANTS = {
-    "now": lambda day: day,
-    "today": bare,
-    "no-folders": lambda day: replace(day, front=replace(day.front, store=None)),
-    "no-messages": lambda day: replace(day, company=False),
-    "at-once": lambda day: replace(day, front=replace(day.front, recovery=None)),
-    "first-come": lambda day: without(day, by_benefit=False),
-    "no-kept-list": lambda day: without(day, kept_list=False),
+    "now": lambda scenario: scenario,
+    "today": without_coordination,
+    "no-folders": lambda scenario: replace(scenario, front=replace(scenario.front, store=None)),
+    "no-messages": lambda scenario: replace(scenario, company=False),
+    "at-once": lambda scenario: replace(scenario, front=replace(scenario.front, recovery=None)),
+    "first-come": lambda scenario: without_recovery_parts(scenario, by_benefit=False),
+    "no-kept-list": lambda scenario: without_recovery_parts(scenario, kept_list=False),
 }
 
 
@@ -52,19 +52,19 @@
     return sum(second.benefit for second in verdict.fleet.seconds[at : at + 30]) / 30
 
 
-def played(day: Day, seed: int) -> Verdict | None:
+def run_scenario(scenario: Day, seed: int) -> Verdict | None:
     """Run a scenario and return its verdict; None if it could not be run."""
     try:
-        return judge(DayPlayer(day, seed).play())
+        return judge(DayPlayer(scenario, seed).play())
     except DayFailed as error:
-        print(f"{day.name}, seed {seed}: {error}", flush=True)
+        print(f"{scenario.name}, seed {seed}: {error}", flush=True)
         return None
 
 
-def play(job: tuple[str, str, int]) -> Verdict | None:
+def run_variant(job: tuple[str, str, int]) -> Verdict | None:
     """Run a scenario, given by its name, in one of the variants."""
-    day, variant, seed = job
-    return played(VARIANTS[variant](read(day)), seed)
+    scenario, variant, seed = job
+    return run_scenario(VARIANTS[variant](read(scenario)), seed)
 
 
 def main() -> None:
@@ -77,43 +77,46 @@
     options = parser.parse_args()
     print(f"{os.cpu_count()} cores, Python {sys.version.split()[0]}, {options.beside} scenarios in parallel")
     jobs = [
-        (day, variant, int(seed))
+        (scenario, variant, int(seed))
         for seed in options.seeds.split(",")
-        for day in options.days.split(",")
+        for scenario in options.days.split(",")
         for variant in options.variants.split(",")
     ]
 
     # Each scenario has its own process: five in one share its interpreter lock, and no response is in time.
     with ProcessPoolExecutor(options.beside) as pool:
-        found = dict(zip(jobs, pool.map(play, jobs), strict=True))
-    for day in options.days.split(","):
+        verdicts = dict(zip(jobs, pool.map(run_variant, jobs), strict=True))
+    for scenario in options.days.split(","):
         for variant in options.variants.split(","):
-            rows = [verdict for job, verdict in found.items() if job[:2] == (day, variant) and verdict]
+            rows = [
+                verdict for job, verdict in verdicts.items() if job[:2] == (scenario, variant) and verdict
+            ]
             if rows:
-                show(day, variant, rows)
+                print_row(scenario, variant, rows)
 
 
-def show(day: str, variant: str, rows: list[Verdict]) -> None:
+def print_row(scenario: str, variant: str, rows: list[Verdict]) -> None:
     """Print one row of the table."""
     fleets = [row.fleet for row in rows if row.fleet is not None]
-    backs = [fleet.returns[-1].back_after_s for fleet in fleets]
-    known = [back for back in backs if back is not None]
+    recovery_times = [fleet.returns[-1].back_after_s for fleet in fleets]
+    known_times = [recovery_s for recovery_s in recovery_times if recovery_s is not None]
     rules = sorted({broken.rule for row in rows for broken in row.broken})
     print(
-        f"{day:12} {variant:13} recovered in {spread(known)} s ({len(backs) - len(known)} never), bound "
-        f"{spread([fleet.returns[-1].bound_s for fleet in fleets])}; first 30 s "
-        f"{spread([fleet.returns[-1].first_share for fleet in fleets])}, benefit "
-        f"{spread([first_benefit(row) for row in rows])} per s; service "
-        f"{spread([row.service for row in rows])}; crashed servers "
+        f"{scenario:12} {variant:13} recovered in {median_range(known_times)} s "
+        f"({len(recovery_times) - len(known_times)} never), bound "
+        f"{median_range([fleet.returns[-1].bound_s for fleet in fleets])}; first 30 s "
+        f"{median_range([fleet.returns[-1].first_share for fleet in fleets])}, benefit "
+        f"{median_range([first_benefit(row) for row in rows])} per s; service "
+        f"{median_range([row.service for row in rows])}; crashed servers "
         f"{sum(fleet.pushed_over for fleet in fleets)}; attempts "
-        f"{spread([fleet.joins for fleet in fleets])}, connections "
-        f"{spread([fleet.connections for fleet in fleets])}, list requests "
-        f"{spread([fleet.list_calls for fleet in fleets])}; rules broken {rules or 'none'}",
+        f"{median_range([fleet.joins for fleet in fleets])}, connections "
+        f"{median_range([fleet.connections for fleet in fleets])}, list requests "
+        f"{median_range([fleet.list_calls for fleet in fleets])}; rules broken {rules or 'none'}",
         flush=True,
     )
 
 
-def spread(values: list[float]) -> str:
+def median_range(values: list[float]) -> str:
     """Format median and range."""
     if not values:
         return "-"
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -25,42 +25,44 @@
 AFTER_US = 2_000_000
 
 
-def generated(kills: int, remembers: bool) -> Day:
+def build_scenario(kills: int, has_store: bool) -> Day:
     """Extend the scenario front-kill to the given number of kills."""
-    day, chance = read("front-kill"), Random(5)
-    at_s, troubles = 3.0, []
+    scenario, rng = read("front-kill"), Random(5)
+    at_s, fault_specs = 3.0, []
     for _ in range(kills):
-        troubles.append(FaultSpec(at_s=at_s, what="front-kill", for_s=0.1))
-        at_s += 2.2 + 0.8 * chance.random()
-    crowds = [msgspec.structs.replace(crowd, to_s=min(600.0, at_s)) for crowd in day.crowds]
-    front = day.front if remembers else msgspec.structs.replace(day.front, store=None)
-    return msgspec.structs.replace(day, front=front, troubles=troubles, crowds=crowds, seconds=at_s + 4)
+        fault_specs.append(FaultSpec(at_s=at_s, what="front-kill", for_s=0.1))
+        at_s += 2.2 + 0.8 * rng.random()
+    crowds = [msgspec.structs.replace(crowd, to_s=min(600.0, at_s)) for crowd in scenario.crowds]
+    front = scenario.front if has_store else msgspec.structs.replace(scenario.front, store=None)
+    return msgspec.structs.replace(
+        scenario, front=front, troubles=fault_specs, crowds=crowds, seconds=at_s + 4
+    )
 
 
 def after_restarts(records: list[Record]) -> tuple[int, float, int]:
     """Responses within two seconds of a restart, the share of them served, and set-ups at servers then."""
     starts = [r["t_us"] for r in records if r["what"] == "front_started"][1:]
 
-    def near(t_us: int) -> bool:
+    def is_after_restart(t_us: int) -> bool:
         return any(start <= t_us < start + AFTER_US for start in starts)
 
-    found = [r for r in records if r["what"] == "answered" and near(r["t_us"])]
+    found = [r for r in records if r["what"] == "answered" and is_after_restart(r["t_us"])]
     played = sum(r["status"] == 201 for r in found)
-    joins = sum(1 for r in records if r["what"] == "set_up" and near(r["t_us"]))
+    joins = sum(1 for r in records if r["what"] == "set_up" and is_after_restart(r["t_us"]))
     return len(found), played / max(1, len(found)), joins
 
 
-def killed(kills: int, remembers: bool) -> None:
+def run_kills(kills: int, has_store: bool) -> None:
     """Run the scenario and print its figures."""
-    records = DayPlayer(generated(kills, remembers), 1).play()
+    records = DayPlayer(build_scenario(kills, has_store), 1).play()
     verdict = judge(records)
     faults = [r["fault"] for r in records if r["what"] == "store_fault"]
     altered = sum("cut short" not in fault for fault in faults)
     count, share, joins = after_restarts(records)
     rules = sorted({item.rule for item in verdict.broken})
-    done = sum(r["what"] == "front_killed" for r in records)
+    kill_count = sum(r["what"] == "front_killed" for r in records)
     print(
-        f"{'with' if remembers else 'without'} a store: {done} kills, "
+        f"{'with' if has_store else 'without'} a store: {kill_count} kills, "
         f"records altered {altered}, truncated {len(faults) - altered}, requests {verdict.requests}, lost "
         f"{verdict.lost}, rules broken {len(verdict.broken)} {rules or ''}, service {verdict.service:.3f}; "
         f"within two seconds of a restart {count} responses, {share:.3f} of them served, {joins} set-ups",
@@ -68,7 +70,7 @@
     )
 
 
-def parts() -> None:
+def measure_store() -> None:
     """Measure the store alone."""
     with tempfile.TemporaryDirectory() as folder:
         store = Store(folder, 256, "benchmark")
@@ -89,19 +91,20 @@
             store = Store(folder, 256, "benchmark")
             for start in range(0, size, 1000):
                 store.commit([(b"key%d" % i, os.urandom(100)) for i in range(start, start + 1000)])
-            grown = store.journal.byte_count
+            journal_bytes = store.journal.byte_count
             store.close()
             began = time.perf_counter()
             store = Store(folder, 256, "benchmark")
             from_journal = time.perf_counter() - began
-            pages = store.base.byte_count()
+            base_bytes = store.base.byte_count()
             store.close()
             began = time.perf_counter()
             Store(folder, 256, "benchmark").close()
             from_base = time.perf_counter() - began
             print(
-                f"{size} records of 100 bytes: {grown} bytes of journal, {pages} of base; opened in "
-                f"{from_journal * 1000:.0f} ms from the journal, {from_base * 1000:.0f} ms from the base",
+                f"{size} records of 100 bytes: {journal_bytes} bytes of journal, {base_bytes} of base; "
+                f"opened in {from_journal * 1000:.0f} ms from the journal, "
+                f"{from_base * 1000:.0f} ms from the base",
                 flush=True,
             )
 
@@ -113,9 +116,9 @@
     parser.add_argument("--without", type=int, default=40)
     options = parser.parse_args()
     print(f"{os.cpu_count()} cores, Python {sys.version.split()[0]}")
-    parts()
-    killed(options.kills, True)
-    killed(options.without, False)
+    measure_store()
+    run_kills(options.kills, True)
+    run_kills(options.without, False)
 
 
 if __name__ == "__main__":
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -28,38 +28,40 @@
 }
 
 
-def varied(day: Day, damping: bool, box_limits: bool) -> Day:
+def with_protections(scenario: Day, damping: bool, box_limits: bool) -> Day:
     """The scenario with these protections."""
-    storm = msgspec.structs.replace(day.front.storm, damping=damping, box_limits=box_limits)
-    front = msgspec.structs.replace(day.front, storm=storm)
-    return msgspec.structs.replace(day, front=front, settle_within_s=None)
+    storm = msgspec.structs.replace(scenario.front.storm, damping=damping, box_limits=box_limits)
+    front = msgspec.structs.replace(scenario.front, storm=storm)
+    return msgspec.structs.replace(scenario, front=front, settle_within_s=None)
 
 
-def told(records: list[dict[str, Any]]) -> str:
+def format_figures(records: list[dict[str, Any]]) -> str:
     """Format the figures of one variant."""
     verdict = judge(records)
-    fell = sum(1 for record in records if record["what"] == "fell")
+    crashed = sum(1 for record in records if record["what"] == "fell")
     tempers = {r["viewer"]: r["temper"] for r in records if r["what"] == "asked"}
-    first = {}
+    first_try_us = {}
     for record in records:
         if record["what"] == "asked":
-            first.setdefault(record["viewer"], record["t_us"])
-    watched = {
-        r["viewer"]: r["t_us"] - first[r["viewer"]]
+            first_try_us.setdefault(record["viewer"], record["t_us"])
+    served_wait_us = {
+        r["viewer"]: r["t_us"] - first_try_us[r["viewer"]]
         for r in records
         if r["what"] == "answered" and r["status"] == 201
     }
-    asked = Counter(tempers.values())
-    came = Counter(tempers[viewer] for viewer in watched)
-    parts = ", ".join(f"{temper} {came[temper]}/{count}" for temper, count in sorted(asked.items()))
-    waits = sorted(watched[viewer] / 1e6 for viewer in watched if tempers[viewer] == "obeys")
-    middle, late = waits[len(waits) // 2], waits[len(waits) * 9 // 10]
+    client_count = Counter(tempers.values())
+    served_count = Counter(tempers[client] for client in served_wait_us)
+    parts = ", ".join(
+        f"{temper} {served_count[temper]}/{count}" for temper, count in sorted(client_count.items())
+    )
+    waits = sorted(served_wait_us[client] / 1e6 for client in served_wait_us if tempers[client] == "obeys")
+    median_s, p90_s = waits[len(waits) // 2], waits[len(waits) * 9 // 10]
     return (
-        f"service {verdict.service:.3f}, served {len(watched)} of {len(tempers)} ({parts}), wait of "
-        f"those that obey Retry-After: median {middle:.1f} s p90 {late:.1f} s, "
+        f"service {verdict.service:.3f}, served {len(served_wait_us)} of {len(tempers)} ({parts}), wait of "
+        f"those that obey Retry-After: median {median_s:.1f} s p90 {p90_s:.1f} s, "
         f"requests {verdict.requests}, set-ups "
         f"{sum(1 for r in records if r['what'] == 'set_up')}, refusals over a twentieth for "
-        f"{verdict.settled_s} s, servers crashed {fell}, rules broken {len(verdict.broken)}"
+        f"{verdict.settled_s} s, servers crashed {crashed}, rules broken {len(verdict.broken)}"
     )
 
 
@@ -75,8 +77,10 @@
     print(f"{os.cpu_count()} cores, Python {sys.version.split()[0]}, seed {options.seed}")
     for name in options.days:
         for variant in options.variants:
-            day = varied(read(name), *VARIANTS[variant])
-            print(f"{name}, {variant}: {told(DayPlayer(day, options.seed).play())}", flush=True)
+            scenario = with_protections(read(name), *VARIANTS[variant])
+            print(
+                f"{name}, {variant}: {format_figures(DayPlayer(scenario, options.seed).play())}", flush=True
+            )
 
 
 if __name__ == "__main__":
