--- a/packages/scenarios/src/fennelcove/scenarios/fault_injection.py
+++ b/packages/scenarios/src/fennelcove/scenarios/fault_injection.py
@@ -178,13 +178,13 @@
     def _cut_power(self, power: PowerLoss) -> None:
         recorder = self.rig.recorder
         recorder.note("power", on=False)
-        struck = [front for front in self.fronts.all if front.send_kill()]
+        killed = [front for front in self.fronts.all if front.send_kill()]
         self.rig.lists.server.down()
         self.rig.set_unreachable(self.rig.lists_for_fronts)
         for server in self.rig.servers[power.boxes_spared :]:
             server.die()
             self.rig.set_unreachable(server.address)
-        for front in struck:
+        for front in killed:
             front.reap()
         if power.lists_before:
             self.rig.lists.forget()
--- a/packages/scenarios/src/fennelcove/scenarios/outages.py
+++ b/packages/scenarios/src/fennelcove/scenarios/outages.py
@@ -103,8 +103,8 @@
         elif what == "order":
             recording.orders[tuple(record["words"])] = record["status"]
             _on_operator_command(recording, record)
-        struck = what in ("front_killed", "front_paused", "front_hangs", "front_refused")
-        if struck:
+        is_fault = what in ("front_killed", "front_paused", "front_hangs", "front_refused")
+        if is_fault:
             recording.injected_faults.append(InjectedFault(what, t_us, until_us=t_us))
         elif what in ("fault", "trouble"):
             _on_fault(recording, record)
--- a/packages/scenarios/src/fennelcove/scenarios/recovery.py
+++ b/packages/scenarios/src/fennelcove/scenarios/recovery.py
@@ -7,7 +7,7 @@
 import msgspec
 from fennelcove.emulators.recorder import Record
 
-STATUS_SERVED, THROTTLED = 201, 503
+STATUS_SERVED, STATUS_THROTTLED = 201, 503
 BEFORE_S = 6  # window for the service before a fault
 RECOVERED_SHARE = 0.9  # share of the service before the fault that counts as recovered
 AFTER_S = 3  # window for the service after it, since single seconds vary by chance
@@ -27,7 +27,7 @@
     places: int = 0  # session capacity of all running servers
 
 
-class Return(msgspec.Struct, frozen=True):
+class Recovery(msgspec.Struct, frozen=True):
     """The recovery from one fault; times in seconds."""
 
     trouble: str
@@ -42,7 +42,7 @@
     """The figures of a fleet; costs are per request of a client."""
 
     seconds: list[Second]
-    returns: list[Return]
+    returns: list[Recovery]
     pushed_over: int
     joins: float
     connections: float  # opened by fronts to servers and the list service
@@ -124,7 +124,7 @@
     return found
 
 
-def returns(records: list[Record], found: list[Second]) -> Iterator[Return]:
+def recoveries(records: list[Record], found: list[Second]) -> Iterator[Recovery]:
     """Yield the recovery from each power loss."""
     since_us = began_us(records)
     played = [second.played for second in found]
@@ -134,14 +134,14 @@
         before = played[max(0, first - 1 - BEFORE_S) : first - 1]
         mean = sum(before) / max(1, len(before))
         until = int(times[i + 1]) if i + 1 < len(times) else len(played)
-        back = None
+        recovered_s = None
         for at in range(first, until - AFTER_S + 1):
             if mean and sum(played[at : at + AFTER_S]) / AFTER_S >= RECOVERED_SHARE * mean:
-                back = float(at - at_s)
+                recovered_s = float(at - at_s)
                 break
         share = sum(played[first : min(until, first + FIRST_S)]) / max(1e-9, mean * FIRST_S)
         bound = warm_up_bound_s(records, at_s, mean)
-        yield Return("power", round(at_s, 2), round(mean, 2), back, round(bound, 2), round(share, 3))
+        yield Recovery("power", round(at_s, 2), round(mean, 2), recovered_s, round(bound, 2), round(share, 3))
 
 
 def warm_up_bound_s(records: list[Record], at_s: float, mean: float) -> float:
@@ -194,7 +194,7 @@
 
     return Fleet(
         found,
-        list(returns(records, found)),
+        list(recoveries(records, found)),
         sum(1 for r in records if r["what"] == "fell"),
         round(sum(1 for r in records if r["what"] == "set_up") / asked, 3),
         round(count("connections fronts boxes", "connections fronts lists") / asked, 3),
@@ -205,12 +205,12 @@
 
 def told(figures: Fleet) -> Iterator[str]:
     """Format the figures for the command line, one per line."""
-    for back in figures.returns:
-        when = "not in this run" if back.back_after_s is None else f"after {back.back_after_s:.1f} s"
+    for recovery in figures.returns:
+        when = "not in this run" if recovery.back_after_s is None else f"after {recovery.back_after_s:.1f} s"
         yield (
-            f"power loss at {back.at_s:.1f} s, at {back.before:.1f} set-ups per second; "
+            f"power loss at {recovery.at_s:.1f} s, at {recovery.before:.1f} set-ups per second; "
             f"{RECOVERED_SHARE:.0%} of that reached {when} (bound by the servers' warm-up: "
-            f"{back.bound_s:.1f} s); share served in the first 30 s {back.first_share:.2f}"
+            f"{recovery.bound_s:.1f} s); share served in the first 30 s {recovery.first_share:.2f}"
         )
     if figures.connections:
         yield (
--- a/packages/scenarios/src/fennelcove/scenarios/script.py
+++ b/packages/scenarios/src/fennelcove/scenarios/script.py
@@ -85,9 +85,9 @@
     timeout_s: SomeFigure
     top_rung: Count | None = None
     retries: Count = 1
-    honour: Share = 1.0
-    hang_up: Share = 0.0
-    vanish: Share = 0.0
+    honour: Share = 1.0  # share of clients that obey Retry-After
+    hang_up: Share = 0.0  # share that disconnect during the set-up
+    vanish: Share = 0.0  # share that leave without a release
     top_kbit: SomeCount | None = None
     tempers: list[Literal["obeys", "half", "hasty", "drops", "forges"]] = field(default_factory=list)
     plays: bool = False  # the clients read manifests and fetch segments
@@ -258,7 +258,7 @@
             raise SettingsError(f"found no readable file ({error})", name) from None
     elif name not in names():
         raise SettingsError(
-            "found no such day", name, f"known are {', '.join(names())}, or a file that ends in .sexp"
+            "found no such scenario", name, f"known are {', '.join(names())}, or a file that ends in .sexp"
         )
     else:
         source = f"{name}.sexp"
