--- a/packages/scenarios/src/fennelcove/scenarios/recovery.py
+++ b/packages/scenarios/src/fennelcove/scenarios/recovery.py
@@ -1,4 +1,4 @@
-"""How a whole fleet came back from a trouble, and what that cost, from what passed on the sockets."""
+"""How a fleet recovered from power losses and at what cost, from what passed on the sockets."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 import msgspec
 from fennelcove.emulators.recorder import Record
 
-PLAYS, THROTTLED = 201, 503
-BEFORE_S = 6  # over which the service before a trouble is taken
-BACK = 0.9  # of the service before it
-FOR_S = 3  # over which the service after it is taken: single seconds swing by chance
+STATUS_SERVED, STATUS_THROTTLED = 201, 503
+BEFORE_S = 6  # window for the service before a fault
+RECOVERED_SHARE = 0.9  # share of the service before the fault that counts as recovered
+AFTER_S = 3  # window for the service after it, since single seconds vary by chance
 FIRST_S = 30
 
 
 class Second(msgspec.Struct, frozen=True):
-    """What was asked in one second, and what became of requests in it; benefit is of what played."""
+    """The requests and outcomes of one second; benefit is that of the sessions that were served."""
 
     at_s: int
     asked: int
@@ -23,35 +23,35 @@
     refused: int  # throttled or terminated
     unanswered: int
     benefit: float = 0.0
-    held: int = 0  # subscriptions that play at boxes, at the second's end
-    places: int = 0  # of all boxes that are up
+    held: int = 0  # sessions playing at servers at the end of the second
+    places: int = 0  # session capacity of all running servers
 
 
-class Return(msgspec.Struct, frozen=True):
-    """What followed one trouble; times in seconds."""
+class Recovery(msgspec.Struct, frozen=True):
+    """The recovery from one fault; times in seconds."""
 
     trouble: str
     at_s: float
-    before: float  # set-ups played a second, before it
-    back_after_s: float | None  # until `BACK` of it was played again; None: never on this day
-    bound_s: float  # the same, as the warm-up of the boxes alone allows
-    first_share: float  # played in the first 30 s, of what was played before in such a time
+    before: float  # set-ups served per second before it
+    back_after_s: float | None  # until `RECOVERED_SHARE` of that was reached again; None: never in this run
+    bound_s: float  # lower bound of that, from the warm-up of the servers alone
+    first_share: float  # set-ups served in the first 30 s, over those in the same time before the fault
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """The day of a whole fleet; costs are for each request that viewers made."""
+    """The figures of a fleet; costs are per request of a client."""
 
     seconds: list[Second]
-    returns: list[Return]
+    returns: list[Recovery]
     pushed_over: int
     joins: float
-    connections: float  # by fronts, to boxes and list service
+    connections: float  # opened by fronts to servers and the list service
     list_calls: float
     datagrams: float
 
 
 def began_us(records: list[Record]) -> int:
-    """When the day's script began."""
+    """When the scenario began."""
     times: dict[str, int] = {}
     for record in records:
         times.setdefault(record["what"], record["t_us"])
@@ -59,12 +59,15 @@
 
 
 def seconds(records: list[Record]) -> list[Second]:
-    """The day, second by second."""
+    """Requests and outcomes in each second of the run."""
     since_us = began_us(records)
-    worth = {
-        room["name"]: room["benefit"] for r in records if r["what"] == "terms" for room in r["room_types"]
+    benefits = {
+        room_type["name"]: room_type["benefit"]
+        for r in records
+        if r["what"] == "terms"
+        for room_type in r["room_types"]
     }
-    rooms = {(r["viewer"], r["number"]): r["room_type"] for r in records if r["what"] == "asked"}
+    room_types = {(r["viewer"], r["number"]): r["room_type"] for r in records if r["what"] == "asked"}
     counts: dict[int, list[float]] = {}
     for record in records:
         what, at = record["what"], (record["t_us"] - since_us) // 1_000_000
@@ -75,12 +78,12 @@
             row[0] += 1
         elif what == "unanswered":
             row[3] += record["how"] != "hung_up"
-        elif record["status"] == PLAYS:
+        elif record["status"] == STATUS_SERVED:
             row[1] += 1
-            row[4] += worth.get(rooms.get((record["viewer"], record["number"]), ""), 0.0)
+            row[4] += benefits.get(room_types.get((record["viewer"], record["number"]), ""), 0.0)
         else:
             row[2] += 1
-    room = held(records, since_us)
+    usage = session_usage(records, since_us)
     rows = [(at, counts.get(at, [0] * 5)) for at in range(max(counts, default=-1) + 1)]
     return [
         Second(
@@ -90,63 +93,68 @@
             int(refused),
             int(unanswered),
             round(benefit, 3),
-            *room.get(at, (0, 0)),
+            *usage.get(at, (0, 0)),
         )
         for at, (asked, played, refused, unanswered, benefit) in rows
     ]
 
 
-def held(records: list[Record], since_us: int) -> dict[int, tuple[int, int]]:
-    """For each second, how many subscriptions played at its end, and for how many the boxes had places."""
+def session_usage(records: list[Record], since_us: int) -> dict[int, tuple[int, int]]:
+    """For each second, the sessions playing at its end and the capacity of the running servers."""
     streams = {r["box"]: r["streams"] for r in records if r["what"] == "box"}
     up = dict.fromkeys(streams, True)
-    playing: dict[str, set[tuple[str, int]]] = {box: set() for box in streams}
+    playing: dict[str, set[tuple[str, int]]] = {server: set() for server in streams}
     found: dict[int, tuple[int, int]] = {}
     at = 0
     for record in records:
         while (record["t_us"] - since_us) // 1_000_000 > at:
-            found[at] = (sum(map(len, playing.values())), sum(n for box, n in streams.items() if up[box]))
+            found[at] = (
+                sum(map(len, playing.values())),
+                sum(n for server, n in streams.items() if up[server]),
+            )
             at += 1
-        what, box = record["what"], str(record.get("box"))
+        what, server = record["what"], str(record.get("box"))
         if what == "set_up_over" and record["how"] == "started":
-            playing[box].add((record["subscription"], record["join"]))
+            playing[server].add((record["subscription"], record["join"]))
         elif what in ("released", "ended"):
-            playing[box].discard((record["subscription"], record["join"]))
+            playing[server].discard((record["subscription"], record["join"]))
         elif what in ("box_died", "box_started"):
-            playing[box].clear()
-            up[box] = what == "box_started"
+            playing[server].clear()
+            up[server] = what == "box_started"
     return found
 
 
-def returns(records: list[Record], found: list[Second]) -> Iterator[Return]:
-    """Each time that the power went, and how the service came back."""
+def recoveries(records: list[Record], found: list[Second]) -> Iterator[Recovery]:
+    """Yield the recovery from each power loss."""
     since_us = began_us(records)
     played = [second.played for second in found]
     times = [(r["t_us"] - since_us) / 1e6 for r in records if r["what"] == "power"]
     for i, at_s in enumerate(times):
-        first = int(at_s) + 1  # what was played in the second of the trouble is of both
+        first = int(at_s) + 1  # the second of the fault belongs to both periods
         before = played[max(0, first - 1 - BEFORE_S) : first - 1]
         mean = sum(before) / max(1, len(before))
         until = int(times[i + 1]) if i + 1 < len(times) else len(played)
-        back = None
-        for at in range(first, until - FOR_S + 1):
-            if mean and sum(played[at : at + FOR_S]) / FOR_S >= BACK * mean:
-                back = float(at - at_s)
+        recovered_s = None
+        for at in range(first, until - AFTER_S + 1):
+            if mean and sum(played[at : at + AFTER_S]) / AFTER_S >= RECOVERED_SHARE * mean:
+                recovered_s = float(at - at_s)
                 break
         share = sum(played[first : min(until, first + FIRST_S)]) / max(1e-9, mean * FIRST_S)
-        bound = warm_bound_s(records, at_s, mean)
-        yield Return("power", round(at_s, 2), round(mean, 2), back, round(bound, 2), round(share, 3))
+        bound = warm_up_bound_s(records, at_s, mean)
+        yield Recovery("power", round(at_s, 2), round(mean, 2), recovered_s, round(bound, 2), round(share, 3))
+
 
+def warm_up_bound_s(records: list[Record], at_s: float, mean: float) -> float:
+    """The earliest time after a fault at which restarted servers could accept enough set-ups.
 
-def warm_bound_s(records: list[Record], at_s: float, mean: float) -> float:
-    """How soon after a trouble the boxes alone could take `BACK` of the set-ups before it: from then on all
-    boxes that are back, each at the pace that it has warmed up to, take so many a second.
+    That is `RECOVERED_SHARE` of the former rate; each server accepts set-ups at the pace to which it has
+    warmed up.
     """
     since_us = began_us(records)
     terms = next(r for r in records if r["what"] == "terms")
     ramp_s, cold = terms["ramp_ms"] / 1000, terms["start_capacity"]
     streams = {r["box"]: r["streams"] for r in records if r["what"] == "box"}
-    dead = {
+    down = {
         r["box"] for r in records if r["what"] == "box_died" and (r["t_us"] - since_us) / 1e6 >= at_s - 0.5
     }
     starts = {
@@ -159,24 +167,24 @@
 
     def pace(at: float) -> float:
         total = 0.0
-        for box, most in streams.items():
-            if box not in dead:
+        for server, capacity in streams.items():
+            if server not in down:
                 return float("inf")
-            if box in starts and at >= starts[box]:
-                warmth = min(1.0, cold + (1 - cold) * (at - starts[box]) / ramp_s)
-                total += most / ramp_s * warmth if warmth < 1 else float("inf")
+            if server in starts and at >= starts[server]:
+                warmth = min(1.0, cold + (1 - cold) * (at - starts[server]) / ramp_s)
+                total += capacity / ramp_s * warmth if warmth < 1 else float("inf")
         return total
 
     step = at_s
     while step < at_s + 600:
-        if pace(step) >= BACK * mean:
+        if pace(step) >= RECOVERED_SHARE * mean:
             return step - at_s
         step += 0.05
     return 600.0
 
 
-def fleet(records: list[Record]) -> Fleet:
-    """The figures of the whole fleet."""
+def fleet_figures(records: list[Record]) -> Fleet:
+    """Compute the figures of the fleet."""
     found = seconds(records)
     asked = max(1, sum(second.asked for second in found))
     carried = next((r for r in records if r["what"] == "carried"), {})
@@ -186,7 +194,7 @@
 
     return Fleet(
         found,
-        list(returns(records, found)),
+        list(recoveries(records, found)),
         sum(1 for r in records if r["what"] == "fell"),
         round(sum(1 for r in records if r["what"] == "set_up") / asked, 3),
         round(count("connections fronts boxes", "connections fronts lists") / asked, 3),
@@ -196,21 +204,21 @@
 
 
 def told(figures: Fleet) -> Iterator[str]:
-    """The figures in words, a line each."""
-    for back in figures.returns:
-        when = "never on this day" if back.back_after_s is None else f"{back.back_after_s:.1f} s after"
+    """Format the figures for the command line, one per line."""
+    for recovery in figures.returns:
+        when = "not in this run" if recovery.back_after_s is None else f"after {recovery.back_after_s:.1f} s"
         yield (
-            f"power went at {back.at_s:.1f} s, at {back.before:.1f} set-ups a second; {BACK:.0%} of it "
-            f"was back {when} (the boxes' warm-up alone: {back.bound_s:.1f} s), {back.first_share:.2f} of "
-            "the first 30 s"
+            f"power loss at {recovery.at_s:.1f} s, at {recovery.before:.1f} set-ups per second; "
+            f"{RECOVERED_SHARE:.0%} of that reached {when} (bound by the servers' warm-up: "
+            f"{recovery.bound_s:.1f} s); share served in the first 30 s {recovery.first_share:.2f}"
         )
     if figures.connections:
         yield (
-            f"for each request {figures.joins:.2f} joins, {figures.connections:.2f} connections, "
-            f"{figures.list_calls:.3f} list calls, {figures.datagrams:.2f} datagrams; "
-            f"{figures.pushed_over} boxes pushed over"
+            f"per request {figures.joins:.2f} attempts, {figures.connections:.2f} connections, "
+            f"{figures.list_calls:.3f} list requests, {figures.datagrams:.2f} datagrams; "
+            f"{figures.pushed_over} servers crashed from overload"
         )
-    yield "second: asked, played, refused, unanswered; playing of places"
+    yield "second: requests, served, refused, without response; sessions playing of capacity"
     for second in figures.seconds:
         parts = (second.asked, second.played, second.refused, second.unanswered)
         counted = " ".join(f"{part:4d}" for part in parts)
--- a/tests/test_soak_days.py
+++ b/tests/test_soak_days.py
@@ -1,4 +1,4 @@
-"""A short soak with fixed seeds; many more are played by hand: `python -m tests.soak --seeds 1..50`."""
+"""A short soak test with fixed seeds; run more by hand with `python -m tests.soak --seeds 1..50`."""
 
 from __future__ import annotations
 
@@ -22,5 +22,5 @@
         return verdict.violations[:5]
 
     with ThreadPoolExecutor(len(SEEDS)) as pool:
-        found = dict(zip(SEEDS, pool.map(violations, range(len(SEEDS))), strict=True))
-    assert found == {seed: [] for seed in SEEDS}
+        violations_by_seed = dict(zip(SEEDS, pool.map(violations, range(len(SEEDS))), strict=True))
+    assert violations_by_seed == {seed: [] for seed in SEEDS}
