--- a/packages/emulators/src/fennelcove/emulators/clients.py
+++ b/packages/emulators/src/fennelcove/emulators/clients.py
@@ -43,7 +43,7 @@
     apart: bool = False  # plays stitched clips as interstitials, apart from the lesson
     tenant: str = ""
     fronts: tuple[int, ...] = ()  # that it comes to; all where none is named
-    pause_s: float = 0.2  # before a further try, where nothing was said or heeded
+    retry_pause_s: float = 0.2  # before a further try, where nothing was said or heeded
 
 
 @dataclass(slots=True)
@@ -64,12 +64,12 @@
         self.how = how
 
 
-class Witness(Protocol):
+class ResponseObserver(Protocol):
     """Sees everything that a front says, through either door."""
 
     def answer(self, method: str, path: str, status: int, media: str, body: Any) -> object: ...
 
-    def message(self, told: dict[str, Any]) -> object: ...
+    def message(self, content: dict[str, Any]) -> object: ...
 
 
 class Player:
@@ -79,7 +79,7 @@
         self,
         address: str,
         clock: Clock,
-        witness: Witness | None = None,
+        witness: ResponseObserver | None = None,
         context: ssl.SSLContext | None = None,
     ) -> None:
         self.address = address
@@ -113,7 +113,7 @@
                 self.answers = Gatherer(Reader(False, LIMITS))
             self.sock.settimeout(timeout_s)
             self.sock.sendall(writer.request(method, path, self.address, fields, body))
-            while (whole := self.answers.next()) is None:
+            while (received := self.answers.next()) is None:
                 left_s = (until_us - self.clock.now_us()) / 1e6
                 if left_s <= 0:
                     raise TimeoutError
@@ -131,18 +131,18 @@
         except (OSError, ProtocolError):
             self.close()
             raise Unanswered("reset") from None
-        assert isinstance(whole.head, ResponseHead)
-        if not whole.head.keep_alive:
+        assert isinstance(received.head, ResponseHead)
+        if not received.head.keep_alive:
             self.close()
         try:
-            tree = msgspec.json.decode(whole.body) if whole.body else {}
+            decoded = msgspec.json.decode(received.body) if received.body else {}
         except msgspec.DecodeError:
-            tree = {}
-        text = whole.body.decode("utf-8", "replace")
+            decoded = {}
+        text = received.body.decode("utf-8", "replace")
         if self.witness is not None:
-            media = (whole.head.get(b"content-type") or b"").decode("latin-1")
-            self.witness.answer(method, path, whole.head.status, media, tree if whole.body else None)
-        return Heard(whole.head.status, whole.head, tree if isinstance(tree, dict) else {}, text)
+            media = (received.head.get(b"content-type") or b"").decode("latin-1")
+            self.witness.answer(method, path, received.head.status, media, decoded if received.body else None)
+        return Heard(received.head.status, received.head, decoded if isinstance(decoded, dict) else {}, text)
 
     def stray(self) -> bool:
         """Whether more came than was asked for."""
@@ -167,151 +167,165 @@
     def __init__(
         self,
         name: str,
-        habits: Habits,
+        behavior: Habits,
         address: Callable[[], str],
         clock: Clock,
         recorder: Recorder,
         share_of: Callable[[str], float],
-        leaving: threading.Event,
+        stopping: threading.Event,
     ) -> None:
         self.name = name
-        self.habits = habits
+        self.behavior = behavior
         self.address = address
         self.clock = clock
         self.recorder = recorder
         self.share_of = share_of
-        self.leaving = leaving
-        self.place: str | None = None
-        self.witness: Witness | None = None
+        self.stopping = stopping
+        self.queue_token: str | None = None
+        self.witness: ResponseObserver | None = None
         self.thread = threading.Thread(target=self.run, name=name)
 
     def run(self) -> None:
         """Ask, watch, come again."""
-        habits = self.habits
-        for number in range(habits.retries + 1):
-            if self.leaving.is_set():
+        behavior = self.behavior
+        for number in range(behavior.retries + 1):
+            if self.stopping.is_set():
                 return
-            heard = self._try(number)
-            if heard is not None and heard.status == 201:
+            response = self._attempt(number)
+            if response is not None and response.status == 201:
                 return
-            wait_s = self._wait_s(heard)
-            if number < habits.retries and self.leaving.wait(wait_s):
+            wait_s = self._retry_delay_s(response)
+            if number < behavior.retries and self.stopping.wait(wait_s):
                 return
 
-    def _wait_s(self, heard: Heard | None) -> float:
+    def _retry_delay_s(self, response: Heard | None) -> float:
         """How long this viewer waits before it asks again, and what it keeps of its place."""
-        habits, self.place = self.habits, None
-        if habits.temper == "forges":
-            self.place = "aW52ZW50ZWQ.aW52ZW50ZWQ"
-        if heard is None or heard.status != 503 or not habits.honours or habits.temper in ("hasty", "forges"):
-            return habits.pause_s
-        told_s = float(heard.body.get("retry_after_ms", habits.pause_s * 1000)) / 1000
-        latest_s = float(heard.body.get("latest_ms", told_s * 1000)) / 1000
-        if habits.temper != "drops":
-            self.place = heard.body.get("place")
+        behavior, self.queue_token = self.behavior, None
+        if behavior.temper == "forges":
+            self.queue_token = "aW52ZW50ZWQ.aW52ZW50ZWQ"
+        if (
+            response is None
+            or response.status != 503
+            or not behavior.honours
+            or behavior.temper in ("hasty", "forges")
+        ):
+            return behavior.retry_pause_s
+        suggested_s = float(response.body.get("retry_after_ms", behavior.retry_pause_s * 1000)) / 1000
+        latest_s = float(response.body.get("latest_ms", suggested_s * 1000)) / 1000
+        if behavior.temper != "drops":
+            self.queue_token = response.body.get("place")
         spread = hash_share(self.name)
-        return told_s * 0.5 if habits.temper == "half" else told_s + spread * max(0.0, latest_s - told_s)
+        return (
+            suggested_s * 0.5
+            if behavior.temper == "half"
+            else suggested_s + spread * max(0.0, latest_s - suggested_s)
+        )
 
-    def hints(
+    def cmcd_headers(
         self, starved: bool = False, measured_kbit: int | None = None, startup: bool = False
     ) -> list[tuple[str, str]]:
         """The CMCD headers of one request."""
-        habits = self.habits
-        values: dict[str, Bare] = {"sid": self.name, "cid": habits.title, "sf": Token("h"), "v": 1}
-        if habits.top_kbit is not None:
-            values["tb"] = habits.top_kbit
-        measured = measured_kbit if measured_kbit is not None else habits.measured_kbit
+        behavior = self.behavior
+        values: dict[str, Bare] = {"sid": self.name, "cid": behavior.title, "sf": Token("h"), "v": 1}
+        if behavior.top_kbit is not None:
+            values["tb"] = behavior.top_kbit
+        measured = measured_kbit if measured_kbit is not None else behavior.measured_kbit
         if measured is not None:
             values["mtp"] = measured // 100 * 100
         values["bl"] = 0 if starved else 4000
         values["bs"], values["su"] = starved, startup
         return cmcd.write_headers(values)
 
-    def _try(self, number: int) -> Heard | None:
-        habits = self.habits
+    def _attempt(self, number: int) -> Heard | None:
+        behavior = self.behavior
         player = Player(self.address(), self.clock, self.witness)
-        body: dict[str, Any] = {"room_type": habits.room_type, "client_timeout_ms": habits.timeout_s * 1000}
-        if habits.top_rung is not None:
-            body["top_rung"] = habits.top_rung
+        body: dict[str, Any] = {
+            "room_type": behavior.room_type,
+            "client_timeout_ms": behavior.timeout_s * 1000,
+        }
+        if behavior.top_rung is not None:
+            body["top_rung"] = behavior.top_rung
         if number:
             body["retry"] = True
-        if habits.tenant:
-            body["tenant"] = habits.tenant
-        if self.place is not None:
-            body["place"] = self.place
-        told = {"viewer": self.name, "number": number, "front": player.address}
-        temper = habits.temper
+        if behavior.tenant:
+            body["tenant"] = behavior.tenant
+        if self.queue_token is not None:
+            body["place"] = self.queue_token
+        record_fields = {"viewer": self.name, "number": number, "front": player.address}
+        temper = behavior.temper
         self.recorder.note(
             "asked",
-            **told,
-            room_type=habits.room_type,
-            title=habits.title,
-            tenant=habits.tenant,
-            timeout_ms=habits.timeout_s * 1000,
+            **record_fields,
+            room_type=behavior.room_type,
+            title=behavior.title,
+            tenant=behavior.tenant,
+            timeout_ms=behavior.timeout_s * 1000,
             temper=temper,
         )
-        hangs_up = habits.hangs_up_after_s is not None and number == 0
-        wait_s = min(habits.timeout_s, habits.hangs_up_after_s or habits.timeout_s)
+        hangs_up = behavior.hangs_up_after_s is not None and number == 0
+        wait_s = min(behavior.timeout_s, behavior.hangs_up_after_s or behavior.timeout_s)
         try:
-            heard = player.ask(
+            response = player.ask(
                 "POST",
                 "/v1/subscriptions",
-                [JSON, *self.hints(startup=True)],
+                [JSON, *self.cmcd_headers(startup=True)],
                 msgspec.json.encode(body),
-                wait_s if hangs_up else habits.timeout_s,
+                wait_s if hangs_up else behavior.timeout_s,
                 hangs_up,
             )
         except Unanswered as error:
-            self.recorder.note("unanswered", **told, how=error.how)
+            self.recorder.note("unanswered", **record_fields, how=error.how)
             return None
-        fields = heard.body
+        session = response.body
         self.recorder.note(
             "answered",
-            **told,
-            status=heard.status,
-            subscription=fields.get("id") or _last(fields.get("instance")),
-            rung=fields.get("rung"),
-            box=fields.get("box"),
-            retry_after=heard.head.get(b"retry-after") is not None,
-            cmsd=heard.head.get(b"cmsd-dynamic") is not None,
-            detail=fields.get("detail"),
-            wait_ms=fields.get("retry_after_ms"),
+            **record_fields,
+            status=response.status,
+            subscription=session.get("id") or _last_path_segment(session.get("instance")),
+            rung=session.get("rung"),
+            box=session.get("box"),
+            retry_after=response.head.get(b"retry-after") is not None,
+            cmsd=response.head.get(b"cmsd-dynamic") is not None,
+            detail=session.get("detail"),
+            wait_ms=session.get("retry_after_ms"),
         )
-        if heard.status == 201:
-            self._watch(player, fields)
+        if response.status == 201:
+            self._watch(player, session)
         if player.stray():
-            self.recorder.note("stray", **told)
+            self.recorder.note("stray", **record_fields)
         player.close()
-        return heard
+        return response
 
-    def _watch(self, player: Player, fields: dict[str, Any]) -> None:
+    def _watch(self, player: Player, session: dict[str, Any]) -> None:
         """Poll for the rung in force until the lesson is over or lost."""
-        habits, path = self.habits, f"/v1/subscriptions/{fields['id']}"
-        until_us = self.clock.now_us() + round(habits.watch_s * 1e6)
-        told = {"viewer": self.name, "subscription": fields["id"]}
+        behavior, path = self.behavior, f"/v1/subscriptions/{session['id']}"
+        until_us = self.clock.now_us() + round(behavior.watch_s * 1e6)
+        record_fields = {"viewer": self.name, "subscription": session["id"]}
         while (left_s := (until_us - self.clock.now_us()) / 1e6) > 0:
-            if self.leaving.wait(min(left_s, fields.get("poll_after_ms", 1000) / 1000)):
+            if self.stopping.wait(min(left_s, session.get("poll_after_ms", 1000) / 1000)):
                 break
-            share = self.share_of(fields["box"])
+            share = self.share_of(session["box"])
             starved = share < 0.98
-            measured = round(fields["rate_kb"] * 8 * share) if starved else None
+            measured = round(session["rate_kb"] * 8 * share) if starved else None
             try:
-                heard = player.ask("GET", path, self.hints(starved, measured), b"", 2.0)
+                response = player.ask("GET", path, self.cmcd_headers(starved, measured), b"", 2.0)
             except Unanswered as error:
-                self.recorder.note("poll_unanswered", **told, how=error.how)
+                self.recorder.note("poll_unanswered", **record_fields, how=error.how)
                 continue
-            if heard.status != 200:
-                self.recorder.note("lost", **told, status=heard.status, detail=heard.body.get("detail"))
+            if response.status != 200:
+                self.recorder.note(
+                    "lost", **record_fields, status=response.status, detail=response.body.get("detail")
+                )
                 return
-            fields = heard.body
-            self.recorder.note("watches", **told, rung=fields["rung"], share=round(share, 3))
-        if habits.vanishes:
+            session = response.body
+            self.recorder.note("watches", **record_fields, rung=session["rung"], share=round(share, 3))
+        if behavior.vanishes:
             return
-        self.recorder.note("releases", **told)
+        self.recorder.note("releases", **record_fields)
         try:
             player.ask("DELETE", path, [], b"", 2.0)
         except Unanswered as error:
-            self.recorder.note("poll_unanswered", **told, how=error.how)
+            self.recorder.note("poll_unanswered", **record_fields, how=error.how)
 
 
 def hash_share(name: str) -> float:
@@ -319,5 +333,5 @@
     return zlib.crc32(name.encode()) / 2**32
 
 
-def _last(path: str | None) -> str | None:
+def _last_path_segment(path: str | None) -> str | None:
     return path.rpartition("/")[2] if path else None
--- a/packages/emulators/src/fennelcove/emulators/dishonest_front.py
+++ b/packages/emulators/src/fennelcove/emulators/dishonest_front.py
@@ -15,25 +15,35 @@
 from fennelcove.concurrency_limits.replica import LimitReport
 from fennelcove.decisions.fleet.shared_quotas import QuotaRequest, QuotaTransfer, Resource
 
-EVERY_S = 0.2
-MOST = 4096
-SLOW, FAST = ((55, 250),), ((1, 250),)  # classes: all joins took ten seconds, or a millisecond
+SEND_INTERVAL_S = 0.2
+MAX_SLOTS = 4096
+SLOW_HISTOGRAM, FAST_HISTOGRAM = (
+    ((55, 250),),
+    ((1, 250),),
+)  # classes: all joins took ten seconds, or a millisecond
 
 
 class SlotLiar:
     """Speaks from a front's address to all others until it is stopped."""
 
     def __init__(
-        self, clock: Clock, own: str, others: Sequence[str], boxes: Sequence[int], chance: Random
+        self,
+        clock: Clock,
+        own_address: str,
+        other_addresses: Sequence[str],
+        servers: Sequence[int],
+        rng: Random,
     ) -> None:
         self.clock = clock
-        self.others = [(host, int(port)) for host, _, port in (a.rpartition(":") for a in others)]
-        self.boxes = boxes
-        self.chance = chance
-        self.life = clock.wall_us()  # above that of the process that stood here
+        self.other_addresses = [
+            (host, int(port)) for host, _, port in (a.rpartition(":") for a in other_addresses)
+        ]
+        self.servers = servers
+        self.rng = rng
+        self.incarnation = clock.wall_us()  # above that of the process that stood here
         self.sent = 0
-        self.leaving = threading.Event()
-        host, _, port = own.rpartition(":")
+        self.stopping = threading.Event()
+        host, _, port = own_address.rpartition(":")
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind((host, int(port)))
         self.thread = threading.Thread(target=self._run, name="liar")
@@ -44,44 +54,48 @@
 
     def stop(self) -> None:
         """End it."""
-        self.leaving.set()
+        self.stopping.set()
         self.thread.join()
         self.sock.close()
 
     def _run(self) -> None:
         for number in count(1):
-            if self.leaving.wait(EVERY_S):
+            if self.stopping.wait(SEND_INTERVAL_S):
                 return
-            for raw in self._lies(number):
-                for other in self.others:
+            for raw in self._false_messages(number):
+                for address in self.other_addresses:
                     try:
-                        self.sock.sendto(raw, other)
+                        self.sock.sendto(raw, address)
                         self.sent += 1
                     except OSError:
                         continue  # nobody listens there now
 
-    def _lies(self, number: int) -> list[bytes]:
-        told = [
+    def _false_messages(self, number: int) -> list[bytes]:
+        reports = [
             LimitReport(
                 (),
-                box,
+                server,
                 0,
-                (HistogramRow(shape, 60_000, 60_000, 0, self.chance.choice((SLOW, FAST)), ()),),
-                QuorumVote(self.chance.choice((1, MOST))),
+                (
+                    HistogramRow(
+                        shape, 60_000, 60_000, 0, self.rng.choice((SLOW_HISTOGRAM, FAST_HISTOGRAM)), ()
+                    ),
+                ),
+                QuorumVote(self.rng.choice((1, MAX_SLOTS))),
             )
-            for box in self.boxes
-            for shape in (self.chance.randrange(12),)
+            for server in self.servers
+            for shape in (self.rng.randrange(12),)
         ]
-        found = limit_messages.encode(self.life, number, told, self.clock.now_us())
-        for box in self.boxes:
-            found.append(
+        messages = limit_messages.encode(self.incarnation, number, reports, self.clock.now_us())
+        for server in self.servers:
+            messages.append(
                 limit_messages.encode_slot_message(
-                    box, QuotaTransfer(self.life, number, Resource.SLOT, float(MOST))
+                    server, QuotaTransfer(self.incarnation, number, Resource.SLOT, float(MAX_SLOTS))
                 )
             )
-            found.append(
+            messages.append(
                 limit_messages.encode_slot_message(
-                    box, QuotaRequest(self.life, number, Resource.SLOT, float(MOST))
+                    server, QuotaRequest(self.incarnation, number, Resource.SLOT, float(MAX_SLOTS))
                 )
             )
-        return found
+        return messages
--- a/packages/emulators/src/fennelcove/emulators/disk.py
+++ b/packages/emulators/src/fennelcove/emulators/disk.py
@@ -13,24 +13,28 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class FileState:
     """One file: what is on the platters, and the writes since, in order."""
 
     synced: bytes = b""
-    named: bool = False  # its name is on the platters
+    is_name_durable: bool = False  # its name is on the platters
     pending: list[tuple[int, bytes | None]] = field(
         default_factory=list
     )  # an offset and bytes; None cuts there
 
-    def now(self) -> bytes:
+    def current(self) -> bytes:
         """As this life sees it."""
-        return replayed(self.synced, self.pending)
+        return apply_writes(self.synced, self.pending)
 
 
-def replayed(raw: bytes, writes: list[tuple[int, bytes | None]]) -> bytes:
+def apply_writes(raw: bytes, writes: list[tuple[int, bytes | None]]) -> bytes:
     """A file after some writes; a hole reads as zeros."""
-    for at, data in writes:
-        raw = raw[:at] if data is None else raw[:at].ljust(at, b"\0") + data + raw[at + len(data) :]
+    for offset, data in writes:
+        raw = (
+            raw[:offset]
+            if data is None
+            else raw[:offset].ljust(offset, b"\0") + data + raw[offset + len(data) :]
+        )
     return raw
 
 
@@ -40,13 +44,13 @@
     def __init__(
         self, files: dict[str, bytes] | None = None, cut_at: int | None = None, most: int = 10**9
     ) -> None:
-        self.files = {name: Kept(raw, True) for name, raw in (files or {}).items()}
-        self.gone: dict[str, Kept] = {}  # removed, and the folder not synced since
+        self.files = {name: FileState(raw, True) for name, raw in (files or {}).items()}
+        self.removed: dict[str, FileState] = {}  # removed, and the folder not synced since
         self.cut_at = cut_at
         self.most = most
         self.calls = 0
 
-    def _call(self) -> None:
+    def _count_call(self) -> None:
         self.calls += 1
         if self.cut_at is not None and self.calls > self.cut_at:
             raise PowerCut
@@ -57,65 +61,67 @@
 
     def read(self, name: str) -> bytes:
         """As this life sees it."""
-        return self.files[name].now()
+        return self.files[name].current()
 
     def append(self, name: str, raw: bytes) -> None:
         """At the end, synced or not; past the disk's size as much as fits, then ENOSPC."""
-        self._call()
-        file = self.files.setdefault(name, Kept())
-        at = len(file.now())
-        room = self.most - sum(len(item.now()) for item in self.files.values())
+        self._count_call()
+        file = self.files.setdefault(name, FileState())
+        offset = len(file.current())
+        room = self.most - sum(len(item.current()) for item in self.files.values())
         if raw[:room]:
-            file.pending.append((at, raw[: max(0, room)]))
+            file.pending.append((offset, raw[: max(0, room)]))
         if len(raw) > room:
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def truncate(self, name: str, size: int) -> None:
         """Shorten."""
-        self._call()
+        self._count_call()
         self.files[name].pending.append((size, None))
 
     def sync(self, name: str) -> None:
         """All of it is on the platters; its name may not be."""
-        self._call()
+        self._count_call()
         file = self.files[name]
-        file.synced, file.pending = file.now(), []
+        file.synced, file.pending = file.current(), []
 
     def sync_folder(self) -> None:
         """All names are on the platters."""
-        self._call()
+        self._count_call()
         for file in self.files.values():
-            file.named = True
-        self.gone.clear()
+            file.is_name_durable = True
+        self.removed.clear()
 
     def remove(self, name: str) -> None:
         """A name is gone, once the folder is synced."""
-        self._call()
+        self._count_call()
         file = self.files.pop(name)
-        if file.named:
-            self.gone[name] = file
+        if file.is_name_durable:
+            self.removed[name] = file
 
     def after_power_cut(self) -> Iterator[dict[str, bytes]]:
         """What the next life may find: each file with none, all, the first half torn, or only the last of its
         unsynced writes; names that were not synced there or not, removed ones there or not.
         """
         choices: list[list[tuple[str, bytes | None]]] = []
-        for name, file in {**self.gone, **self.files}.items():
-            found: list[tuple[str, bytes | None]] = [(name, state) for state in dict.fromkeys(_states(file))]
-            if not file.named or name in self.gone:
-                found.append((name, None))
-            choices.append(found)
+        for name, file in {**self.removed, **self.files}.items():
+            outcomes: list[tuple[str, bytes | None]] = [
+                (name, state) for state in dict.fromkeys(_states(file))
+            ]
+            if not file.is_name_durable or name in self.removed:
+                outcomes.append((name, None))
+            choices.append(outcomes)
         for picked in product(*choices):
             yield {name: raw for name, raw in picked if raw is not None}
 
 
-def _states(file: Kept) -> Iterator[bytes]:
+def _states(file: FileState) -> Iterator[bytes]:
     yield file.synced
-    yield file.now()
-    for i, (at, data) in enumerate(file.pending):
-        yield replayed(file.synced, file.pending[:i])
+    yield file.current()
+    for i, (offset, data) in enumerate(file.pending):
+        yield apply_writes(file.synced, file.pending[:i])
         if data is not None and len(data) > 1:
-            yield replayed(file.synced, [*file.pending[:i], (at, data[: len(data) // 2])])
-            yield replayed(file.synced, [*file.pending[:i], (at, data[:-1])])
+            yield apply_writes(file.synced, [*file.pending[:i], (offset, data[: len(data) // 2])])
+            yield apply_writes(file.synced, [*file.pending[:i], (offset, data[:-1])])
     if len(file.pending) > 1:
-        yield replayed(file.synced, file.pending[-1:])
+        yield apply_writes(file.synced, file.pending[-1:])
--- a/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
+++ b/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
@@ -17,7 +17,7 @@
 from fennelcove.wire.lists import ListedBox, ListMessage
 
 JSON = ("Content-Type", "application/json")
-BEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 State = Literal["active", "leaving", "left"]
 
 
@@ -40,11 +40,11 @@
     def __init__(self, clock: Clock, recorder: Recorder) -> None:
         self.clock = clock
         self.recorder = recorder
-        self.boxes: dict[str, Known] = {}
+        self.servers: dict[str, Known] = {}
         self.versions: list[dict[str, Known]] = [{}]
         self.changed = threading.Condition()
         self.stopped = False
-        self.raw: list[bytes] = []  # bodies sent as they are, once each, by tests of bad lists
+        self.raw_events: list[bytes] = []  # bodies sent as they are, once each, by tests of bad lists
         self.server = StandInServer(self._handle, "lists")
         self.address = self.server.address
 
@@ -59,24 +59,24 @@
             self.changed.notify_all()
         self.server.stop()
 
-    def publish(self, *boxes: Known) -> None:
+    def publish(self, *servers: Known) -> None:
         """A new version in which these boxes stand as given; those that have left are named once more."""
         with self.changed:
-            for box in boxes:
-                self.boxes[box.address] = box
-            self.versions.append({box.address: box for box in boxes})
+            for server in servers:
+                self.servers[server.address] = server
+            self.versions.append({server.address: server for server in servers})
             self.changed.notify_all()
 
     def forget(self) -> None:
         """It knows no more than its first list, under its number: what was restored from a copy."""
         with self.changed:
             self.versions = self.versions[:2]
-            self.boxes = dict(self.versions[-1])
+            self.servers = dict(self.versions[-1])
 
     def send_raw(self, body: bytes) -> None:
         """Push these bytes as a list event on every stream."""
         with self.changed:
-            self.raw.append(body)
+            self.raw_events.append(body)
             self.changed.notify_all()
 
     @property
@@ -84,32 +84,34 @@
         """The newest version."""
         return len(self.versions) - 1
 
-    def _listed(self, boxes: list[Known]) -> list[ListedBox]:
+    def _list_entries(self, servers: list[Known]) -> list[ListedBox]:
         now_us = self.clock.now_us()
         return [
             ListedBox(
-                address=box.address,
-                zone=box.zone,
-                kind=box.kind,
-                cell=box.cell,
-                state=box.state,
-                weight=box.weight,
-                age_ms=None if box.started_us is None else max(0, now_us - box.started_us) / 1000,
+                address=server.address,
+                zone=server.zone,
+                kind=server.kind,
+                cell=server.cell,
+                state=server.state,
+                weight=server.weight,
+                age_ms=None if server.started_us is None else max(0, now_us - server.started_us) / 1000,
             )
-            for box in boxes
+            for server in servers
         ]
 
-    def _whole(self) -> ListMessage:
-        boxes = [box for box in self.boxes.values() if box.state != "left"]
-        return ListMessage(version=self.version, boxes=self._listed(boxes))
+    def _full_list(self) -> ListMessage:
+        listed = [server for server in self.servers.values() if server.state != "left"]
+        return ListMessage(version=self.version, boxes=self._list_entries(listed))
 
-    def _since(self, version: int) -> ListMessage:
+    def _changes_since(self, version: int) -> ListMessage:
         changed: dict[str, Known] = {}
-        for boxes in self.versions[version + 1 :]:
-            changed.update(boxes)
-        return ListMessage(version=self.version, base=version, boxes=self._listed(list(changed.values())))
+        for servers in self.versions[version + 1 :]:
+            changed.update(servers)
+        return ListMessage(
+            version=self.version, base=version, boxes=self._list_entries(list(changed.values()))
+        )
 
-    def _told(self, message: ListMessage) -> None:
+    def _record_sent(self, message: ListMessage) -> None:
         states = {box.address: box.state for box in message.boxes}
         self.recorder.note("told", version=message.version, whole=message.base is None, boxes=states)
 
@@ -117,9 +119,9 @@
         path, _, query = head.target.partition("?")
         if path == "/v1/list":
             with self.changed:
-                message = self._whole()
+                message = self._full_list()
             sent = peer.send(writer.response(200, [JSON], msgspec.json.encode(message)))
-            self._told(message)
+            self._record_sent(message)
             return sent
         if path != "/v1/list/stream":
             return peer.send(writer.response(404, []))
@@ -130,7 +132,7 @@
     def _stream(self, version: int | None, peer: Peer) -> None:
         if not peer.send(writer.stream_head(200, [("Content-Type", "text/event-stream")])):
             return
-        raw_sent = len(self.raw)
+        raw_sent = len(self.raw_events)
         while True:
             messages = list[bytes]()
             with self.changed:
@@ -138,10 +140,10 @@
                     return
                 message = None
                 if version is None or version > self.version:
-                    message = self._whole()
+                    message = self._full_list()
                 elif version < self.version:
-                    message = self._since(version)
-                messages, raw_sent = self.raw[raw_sent:], len(self.raw)
+                    message = self._changes_since(version)
+                messages, raw_sent = self.raw_events[raw_sent:], len(self.raw_events)
             if message is not None:
                 version = message.version
                 messages.insert(0, msgspec.json.encode(message))
@@ -149,7 +151,7 @@
             if not peer.send(writer.chunk(events)):
                 return
             if message is not None:
-                self._told(message)
+                self._record_sent(message)
             with self.changed:
-                if version == self.version and raw_sent == len(self.raw) and not self.stopped:
-                    self.changed.wait(BEAT_S)
+                if version == self.version and raw_sent == len(self.raw_events) and not self.stopped:
+                    self.changed.wait(HEARTBEAT_INTERVAL_S)
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/faults.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/faults.py
@@ -18,8 +18,8 @@
     DELAY = "delay"  # value: milliseconds, and up to half as much again
     THROTTLE = "throttle"  # value: kB a second on each connection
     CUT = "cut"  # each connection is reset in the middle of the next that is sent on it
-    LOSE = "lose"  # share: of datagrams
-    DOUBLE = "double"  # share: of datagrams, the second up to value milliseconds later
+    DROP = "lose"  # share: of datagrams
+    DUPLICATE = "double"  # share: of datagrams, the second up to value milliseconds later
     REORDER = "reorder"  # share: of datagrams, each up to value milliseconds late
 
 
@@ -28,17 +28,17 @@
     """One rule: what `sender` sends to `taker` suffers. Either names a party or a group of them."""
 
     sender: str
-    taker: str
-    how: How
+    receiver: str
+    kind: How
     value: float = 0.0
     share: float = 1.0
 
-    def hits(self, sender: Party, taker: Party) -> bool:
+    def applies_to(self, sender: Party, receiver: Party) -> bool:
         """Whether it concerns this direction."""
-        return _named(self.sender, sender) and _named(self.taker, taker)
+        return _matches(self.sender, sender) and _matches(self.receiver, receiver)
 
 
-def _named(name: str, party: Party) -> bool:
+def _matches(name: str, party: Party) -> bool:
     return name == "all" or any(part in party for part in name.split("|"))
 
 
@@ -51,45 +51,45 @@
         self.faults = tuple(faults)
         self.found: dict[tuple[Party, Party], tuple[list[Fault], set[How]]] = {}
 
-    def on(self, sender: Party, taker: Party) -> list[Fault]:
+    def between(self, sender: Party, receiver: Party) -> list[Fault]:
         """The faults in one direction."""
-        return self._both(sender, taker)[0]
+        return self._effects(sender, receiver)[0]
 
-    def hows(self, sender: Party, taker: Party) -> set[How]:
+    def kinds(self, sender: Party, receiver: Party) -> set[How]:
         """What they do, taken together."""
-        return self._both(sender, taker)[1]
+        return self._effects(sender, receiver)[1]
 
-    def _both(self, sender: Party, taker: Party) -> tuple[list[Fault], set[How]]:
-        found = self.found.get((sender, taker))
+    def _effects(self, sender: Party, receiver: Party) -> tuple[list[Fault], set[How]]:
+        found = self.found.get((sender, receiver))
         if found is None:
-            faults = [fault for fault in self.faults if fault.hits(sender, taker)]
-            found = self.found[sender, taker] = faults, {fault.how for fault in faults}
+            faults = [fault for fault in self.faults if fault.applies_to(sender, receiver)]
+            found = self.found[sender, receiver] = faults, {fault.kind for fault in faults}
         return found
 
 
-def late_us(faults: Iterable[Fault], chance: Callable[[], float]) -> int:
+def total_delay_us(faults: Iterable[Fault], draw: Callable[[], float]) -> int:
     """How late the faults make what passes now, in microseconds."""
-    delays = [fault for fault in faults if fault.how is How.DELAY]
-    return round(sum(fault.value * (1 + chance() / 2) for fault in delays) * 1000)
+    delays = [fault for fault in faults if fault.kind is How.DELAY]
+    return round(sum(fault.value * (1 + draw() / 2) for fault in delays) * 1000)
 
 
-def datagram(faults: Iterable[Fault], chance: Callable[[], float]) -> list[int]:
+def datagram_delays_us(faults: Iterable[Fault], draw: Callable[[], float]) -> list[int]:
     """When each copy of a datagram arrives, in microseconds from now; none where it is lost."""
     faults = list(faults)
-    base_us, copies = late_us(faults, chance), 1
+    base_us, copies = total_delay_us(faults, draw), 1
     extra_us = 0
     for fault in faults:
-        struck = chance() < fault.share
-        if fault.how in (How.SILENT, How.RESET, How.REFUSE) or (fault.how is How.LOSE and struck):
+        is_affected = draw() < fault.share
+        if fault.kind in (How.SILENT, How.RESET, How.REFUSE) or (fault.kind is How.DROP and is_affected):
             return []
-        if fault.how is How.DOUBLE and struck:
+        if fault.kind is How.DUPLICATE and is_affected:
             copies = 2
-        if fault.how is How.REORDER and struck:
-            extra_us = round(fault.value * 1000 * chance())
-    again_us = max((round(f.value * 1000 * chance()) for f in faults if f.how is How.DOUBLE), default=0)
+        if fault.kind is How.REORDER and is_affected:
+            extra_us = round(fault.value * 1000 * draw())
+    again_us = max((round(f.value * 1000 * draw()) for f in faults if f.kind is How.DUPLICATE), default=0)
     return [base_us + extra_us, base_us + extra_us + again_us][:copies]
 
 
-def pace_kb(faults: Iterable[Fault]) -> float | None:
+def throttle_kb(faults: Iterable[Fault]) -> float | None:
     """The least rate that a direction is throttled to, in kB a second; None where it is not."""
-    return min((fault.value for fault in faults if fault.how is How.THROTTLE), default=None)
+    return min((fault.value for fault in faults if fault.kind is How.THROTTLE), default=None)
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/gauge.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/gauge.py
@@ -18,9 +18,9 @@
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import RequestHead
 
-EVERY_S = 0.1
-LONGEST_S = 5.0
-NOTED_MS = 100.0  # what is shorter is the usual time of a loaded rig
+PROBE_INTERVAL_S = 0.1
+TIMEOUT_S = 5.0
+REPORT_THRESHOLD_MS = 100.0  # what is shorter is the usual time of a loaded rig
 
 
 class Gauge:
@@ -29,10 +29,10 @@
     def __init__(self, clock: Clock, recorder: Recorder, relays: Relays) -> None:
         self.clock = clock
         self.recorder = recorder
-        self.asked = 0
-        self.ended = threading.Event()
-        self.server = StandInServer(_nothing, "gauge")
-        self.door = relays.door(self.server.address, frozenset({"gauge"}))
+        self.probes_sent = 0
+        self.stopping = threading.Event()
+        self.server = StandInServer(_answer_empty, "gauge")
+        self.address = relays.door(self.server.address, frozenset({"gauge"}))
         self.thread = threading.Thread(target=self._run, name="gauge-asks")
 
     def start(self) -> None:
@@ -42,22 +42,22 @@
 
     def stop(self) -> None:
         """End it; before the relays."""
-        self.ended.set()
+        self.stopping.set()
         self.thread.join()
         self.server.stop()
 
     def _run(self) -> None:
-        player = Player(self.door, self.clock)
-        while not self.ended.wait(EVERY_S):
+        player = Player(self.address, self.clock)
+        while not self.stopping.wait(PROBE_INTERVAL_S):
             began_us = self.clock.now_us()
             with suppress(Unanswered):  # for as long as it waited it was late, which is what counts here
-                player.ask("GET", "/", [], b"", LONGEST_S)
+                player.ask("GET", "/", [], b"", TIMEOUT_S)
             player.close()  # viewers dial anew for each set-up, and so is this one's way
-            self.asked += 1
-            ms = (self.clock.now_us() - began_us) / 1000
-            if ms >= NOTED_MS:
-                self.recorder.note("rig_late", ms=round(ms, 1))
+            self.probes_sent += 1
+            elapsed_ms = (self.clock.now_us() - began_us) / 1000
+            if elapsed_ms >= REPORT_THRESHOLD_MS:
+                self.recorder.note("rig_late", ms=round(elapsed_ms, 1))
 
 
-def _nothing(head: RequestHead, body: bytes, peer: Peer) -> bool:
+def _answer_empty(head: RequestHead, body: bytes, peer: Peer) -> bool:
     return peer.send(writer.response(204, []))
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/relay.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/relay.py
@@ -22,32 +22,40 @@
 from itertools import count
 
 from fennelcove.clock import Clock
-from fennelcove.emulators.fault_proxy.faults import Fault, How, Party, Rules, datagram, late_us, pace_kb
+from fennelcove.emulators.fault_proxy.faults import (
+    Fault,
+    How,
+    Party,
+    Rules,
+    datagram_delays_us,
+    throttle_kb,
+    total_delay_us,
+)
 
 READ_BYTES = 65_536
-MOST_WAITING = 1_000_000  # bytes of one direction; past it its sender has to wait, as in any network
-MOST_ACCEPTED = 64  # at one door in one turn of the loop
-MOST_DATAGRAMS = 10_000  # in the air; past it they are lost
-LOOK_S = 0.5
-NOBODY: Party = frozenset({"viewers"})  # who dials from an address without a name
+MAX_QUEUED_BYTES = 1_000_000  # bytes of one direction; past it its sender has to wait, as in any network
+MAX_ACCEPTS_PER_TURN = 64  # at one listener in one turn of the loop
+MAX_DELAYED_DATAGRAMS = 10_000  # in the air; past it they are lost
+MAX_WAIT_S = 0.5
+UNNAMED_PARTY: Party = frozenset({"viewers"})  # who dials from an address without a name
 
 
 @dataclass(slots=True, eq=False)
-class _End:
-    """One end of a relayed connection: what it sends goes to `other`."""
+class _Endpoint:
+    """One endpoint of a relayed connection: what it sends goes to `other`."""
 
     sock: socket.socket
     party: Party
-    other: _End | None = None
-    waiting: deque[tuple[int, bytes]] = field(default_factory=deque)  # for this end, with when it is due
-    held: int = 0  # bytes of them
-    ended: bool = False  # it has sent its last
-    free_us: int = 0  # when a throttled direction towards it may go on
+    peer: _Endpoint | None = None
+    queue: deque[tuple[int, bytes]] = field(default_factory=deque)  # for this endpoint, with when it is due
+    queued_bytes: int = 0  # bytes of them
+    has_finished: bool = False  # it has sent its last
+    next_send_us: int = 0  # when a throttled direction towards it may go on
     closed: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class _Door:
+class _Listener:
     """A listener that stands for one party."""
 
     sock: socket.socket
@@ -56,60 +64,62 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Call:
+class _PendingConnection:
     """A connection that was dialled across a silent cut: nobody on the other side has heard of it."""
 
     sock: socket.socket
-    caller: Party
-    door: _Door
+    client: Party
+    listener: _Listener
 
 
 @dataclass(slots=True, eq=False)
-class _Post:
+class _DatagramRelay:
     """A socket at which one front posts what is for another."""
 
     sock: socket.socket
     sender: Party
-    taker: Party
+    receiver: Party
     target: tuple[str, int]
-    back: _Post | None = None  # what the taker knows the sender by
+    reverse: _DatagramRelay | None = None  # what the taker knows the sender by
 
 
 class Relays:
-    """All relays of one day. `door` and `post` before or after `start`; faults by `set` at any time."""
+    """All relays of one day. `listener` and `relay` before or after `start`; faults by `set` at any time."""
 
-    def __init__(self, clock: Clock, chance: Callable[[], float]) -> None:
+    def __init__(self, clock: Clock, draw: Callable[[], float]) -> None:
         self.clock = clock
-        self.chance = chance
+        self.draw = draw
         self.lock = threading.Lock()
         self.selector = selectors.DefaultSelector()
-        self.hosts: dict[str, Party] = {}
-        self.doors: dict[str, _Door] = {}
+        self.parties_by_host: dict[str, Party] = {}
+        self.listeners: dict[str, _Listener] = {}
         self.rules = Rules()
-        self.ends: set[_End] = set()
-        self.unheard: list[_Call] = []
-        self.late: set[_End] = set()  # those for which something waits: all were looked at for each byte once
-        self.air: list[tuple[int, int, socket.socket, bytes, tuple[str, int]]] = []
-        self.numbers = count()
+        self.endpoints: set[_Endpoint] = set()
+        self.pending: list[_PendingConnection] = []
+        self.backlogged: set[_Endpoint] = (
+            set()
+        )  # those for which something waits: all were looked at for each byte once
+        self.delayed_datagrams: list[tuple[int, int, socket.socket, bytes, tuple[str, int]]] = []
+        self.sequence_numbers = count()
         self.counts: Counter[str] = Counter()  # "connections front-0 box-3" and the like
-        self.bell, self.ring = socket.socketpair()
-        self.bell.setblocking(False)
-        self.selector.register(self.bell, selectors.EVENT_READ, None)
+        self.wake_receiver, self.wake_sender = socket.socketpair()
+        self.wake_receiver.setblocking(False)
+        self.selector.register(self.wake_receiver, selectors.EVENT_READ, None)
         self.stopped = False
-        self.sockets: list[socket.socket] = [self.bell, self.ring]
+        self.sockets: list[socket.socket] = [self.wake_receiver, self.wake_sender]
         self.thread = threading.Thread(target=self._run, name="relays")
 
     def name(self, host: str, party: Party) -> None:
         """Who dials from this address."""
-        self.hosts[host] = party
+        self.parties_by_host[host] = party
 
     def door(self, target: str, party: Party) -> str:
         """A listener in front of `target`; the address to give to others."""
         listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         listener.setblocking(False)
         address = "{}:{}".format(*listener.getsockname())
-        self.doors[address] = _Door(listener, party, _address(target))
-        self._watch(listener, self.doors[address])
+        self.listeners[address] = _Listener(listener, party, _address(target))
+        self._register(listener, self.listeners[address])
         return address
 
     def post(self, addresses: list[str], parties: list[Party]) -> list[list[str]]:
@@ -117,38 +127,38 @@
         index as it is to know them, its own unchanged.
         """
         size = range(len(addresses))
-        posts = {
-            (i, j): _Post(_datagrams(), parties[i], parties[j], _address(addresses[j]))
+        relays = {
+            (i, j): _DatagramRelay(_datagrams(), parties[i], parties[j], _address(addresses[j]))
             for i in size
             for j in size
             if i != j
         }
-        for (i, j), post in posts.items():
-            post.back = posts[j, i]
-            self._watch(post.sock, post)
+        for (i, j), relay in relays.items():
+            relay.reverse = relays[j, i]
+            self._register(relay.sock, relay)
         return [
-            [addresses[j] if i == j else "{}:{}".format(*posts[i, j].sock.getsockname()) for j in size]
+            [addresses[j] if i == j else "{}:{}".format(*relays[i, j].sock.getsockname()) for j in size]
             for i in size
         ]
 
     def shut(self, address: str) -> None:
-        """What is behind this door is gone: who dials it is refused, as where nothing listens."""
+        """What is behind this listener is gone: who dials it is refused, as where nothing listens."""
         with self.lock:
-            door = self.doors.get(address)
-            if door is None or door.sock.fileno() < 0:
+            listener = self.listeners.get(address)
+            if listener is None or listener.sock.fileno() < 0:
                 return
-            self.selector.unregister(door.sock)
-            door.sock.close()
+            self.selector.unregister(listener.sock)
+            listener.sock.close()
 
     def open(self, address: str) -> None:
         """It is back."""
         with self.lock:
-            door = self.doors.get(address)
-            if door is None or door.sock.fileno() >= 0:
+            listener = self.listeners.get(address)
+            if listener is None or listener.sock.fileno() >= 0:
                 return
-            door.sock = socket.create_server(_address(address), backlog=512)
-            door.sock.setblocking(False)
-            self.selector.register(door.sock, selectors.EVENT_READ, door)
+            listener.sock = socket.create_server(_address(address), backlog=512)
+            listener.sock.setblocking(False)
+            self.selector.register(listener.sock, selectors.EVENT_READ, listener)
         self._wake()
 
     def set(self, *faults: Fault) -> None:
@@ -166,10 +176,14 @@
         self.stopped = True
         self._wake()
         self.thread.join()
-        for end in list(self.ends):
-            self._close(end)
-        doors, calls = self.doors.values(), self.unheard
-        for sock in [*self.sockets, *(door.sock for door in doors), *(call.sock for call in calls)]:
+        for endpoint in list(self.endpoints):
+            self._close(endpoint)
+        listeners, pending_connections = self.listeners.values(), self.pending
+        for sock in [
+            *self.sockets,
+            *(listener.sock for listener in listeners),
+            *(connection.sock for connection in pending_connections),
+        ]:
             sock.close()
         self.selector.close()
 
@@ -178,250 +192,257 @@
         with self.lock:
             return dict(self.counts)
 
-    def _watch(self, sock: socket.socket, what: _Door | _Post) -> None:
+    def _register(self, sock: socket.socket, registered: _Listener | _DatagramRelay) -> None:
         with self.lock:
-            if isinstance(what, _Post):
+            if isinstance(registered, _DatagramRelay):
                 self.sockets.append(sock)
-            self.selector.register(sock, selectors.EVENT_READ, what)
+            self.selector.register(sock, selectors.EVENT_READ, registered)
         self._wake()
 
     def _wake(self) -> None:
         with suppress(OSError):
-            self.ring.send(b"!")
+            self.wake_sender.send(b"!")
 
     def _run(self) -> None:
         seen = self.rules
         while not self.stopped:
             for key, mask in self.selector.select(self._wait_s()):
-                what = key.data
-                if what is None:
+                registered = key.data
+                if registered is None:
                     with suppress(OSError):
-                        self.bell.recv(4096)
-                elif isinstance(what, _Door):
-                    self._accept(what)
-                elif isinstance(what, _Post):
-                    self._carry(what)
+                        self.wake_receiver.recv(4096)
+                elif isinstance(registered, _Listener):
+                    self._accept(registered)
+                elif isinstance(registered, _DatagramRelay):
+                    self._relay_datagram(registered)
                 else:
-                    self._ready(what, mask)
+                    self._on_ready(registered, mask)
             if self.rules is not seen:
                 seen = self.rules
                 self._faults_changed()
-            self._due()
+            self._send_due()
 
     def _wait_s(self) -> float:
         now_us, due_us = self.clock.now_us(), None
-        if self.air:
-            due_us = self.air[0][0]
-        for end in self.late:
-            at_us = max(end.waiting[0][0], end.free_us)
+        if self.delayed_datagrams:
+            due_us = self.delayed_datagrams[0][0]
+        for endpoint in self.backlogged:
+            at_us = max(endpoint.queue[0][0], endpoint.next_send_us)
             if at_us > now_us:  # what is due and still waits, waits for its socket
                 due_us = at_us if due_us is None else min(due_us, at_us)
-        return LOOK_S if due_us is None else min(LOOK_S, max(0.0, (due_us - now_us) / 1e6))
+        return MAX_WAIT_S if due_us is None else min(MAX_WAIT_S, max(0.0, (due_us - now_us) / 1e6))
 
     # Connections.
 
-    def _accept(self, door: _Door) -> None:
+    def _accept(self, listener: _Listener) -> None:
         # All that wait: one at each turn of the loop was less than a flood brings, and callers stood for
         # seconds in front of doors behind which nobody was busy.
-        for _ in range(MOST_ACCEPTED):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
-                sock, (host, _) = door.sock.accept()
+                sock, (host, _) = listener.sock.accept()
             except OSError:
                 return
-            caller = self.hosts.get(host, NOBODY)
+            client = self.parties_by_host.get(host, UNNAMED_PARTY)
             with self.lock:
-                self.counts[f"connections {label(caller)} {label(door.party)}"] += 1
-            self._connect(_Call(sock, caller, door))
+                self.counts[f"connections {party_kind(client)} {party_kind(listener.party)}"] += 1
+            self._connect(_PendingConnection(sock, client, listener))
 
-    def _connect(self, call: _Call) -> None:
-        sock, caller, door = call.sock, call.caller, call.door
-        found = self.rules.hows(caller, door.party)
-        if found & {How.RESET, How.REFUSE}:
+    def _connect(self, connection: _PendingConnection) -> None:
+        sock, client, listener = connection.sock, connection.client, connection.listener
+        kinds_found = self.rules.kinds(client, listener.party)
+        if kinds_found & {How.RESET, How.REFUSE}:
             _reset(sock)
             return
-        if How.SILENT in found:
-            self.unheard.append(call)
+        if How.SILENT in kinds_found:
+            self.pending.append(connection)
             return
         try:
             # On loopback this neither waits nor is it a network: what is refused is refused now.
-            beyond = socket.create_connection(door.target, 1.0)
+            server_sock = socket.create_connection(listener.target, 1.0)
         except OSError:
             _reset(sock)
             return
-        here, there = _End(sock, caller), _End(beyond, door.party)
-        here.other, there.other = there, here
-        for end in (here, there):
-            end.sock.setblocking(False)
-            end.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.ends.add(end)
-            self.selector.register(end.sock, selectors.EVENT_READ, end)
-        for end in (here, there):
-            self._look(end)
-
-    def _look(self, end: _End) -> None:
-        """Wait for what this end may do now: to send unless its direction is silent or its taker full."""
-        if end.closed or end.other is None:
+        client_endpoint, server_endpoint = _Endpoint(sock, client), _Endpoint(server_sock, listener.party)
+        client_endpoint.peer, server_endpoint.peer = server_endpoint, client_endpoint
+        for endpoint in (client_endpoint, server_endpoint):
+            endpoint.sock.setblocking(False)
+            endpoint.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.endpoints.add(endpoint)
+            self.selector.register(endpoint.sock, selectors.EVENT_READ, endpoint)
+        for endpoint in (client_endpoint, server_endpoint):
+            self._update_events(endpoint)
+
+    def _update_events(self, endpoint: _Endpoint) -> None:
+        """Wait for what this endpoint may do now: to send unless its direction is silent or its peer full."""
+        if endpoint.closed or endpoint.peer is None:
             return
         events = 0
-        silent = How.SILENT in self.rules.hows(end.party, end.other.party)
-        if not end.ended and not silent and end.other.held < MOST_WAITING:
+        silent = How.SILENT in self.rules.kinds(endpoint.party, endpoint.peer.party)
+        if not endpoint.has_finished and not silent and endpoint.peer.queued_bytes < MAX_QUEUED_BYTES:
             events |= selectors.EVENT_READ
         now_us = self.clock.now_us()
-        if end.waiting and end.waiting[0][0] <= now_us and end.free_us <= now_us:
+        if endpoint.queue and endpoint.queue[0][0] <= now_us and endpoint.next_send_us <= now_us:
             events |= selectors.EVENT_WRITE
-        known = end.sock in self.selector.get_map()
+        known = endpoint.sock in self.selector.get_map()
         if events and known:
-            self.selector.modify(end.sock, events, end)
+            self.selector.modify(endpoint.sock, events, endpoint)
         elif events:
-            self.selector.register(end.sock, events, end)
+            self.selector.register(endpoint.sock, events, endpoint)
         elif known:
-            self.selector.unregister(end.sock)
+            self.selector.unregister(endpoint.sock)
 
-    def _ready(self, end: _End, mask: int) -> None:
-        if end.closed:
+    def _on_ready(self, endpoint: _Endpoint, mask: int) -> None:
+        if endpoint.closed:
             return
         if mask & selectors.EVENT_READ:
-            self._read(end)
-        if mask & selectors.EVENT_WRITE and not end.closed:
-            self._write(end)
+            self._read(endpoint)
+        if mask & selectors.EVENT_WRITE and not endpoint.closed:
+            self._write(endpoint)
 
-    def _read(self, end: _End) -> None:
-        other = end.other
-        assert other is not None
+    def _read(self, endpoint: _Endpoint) -> None:
+        peer = endpoint.peer
+        assert peer is not None
         try:
-            data = end.sock.recv(READ_BYTES)
+            data = endpoint.sock.recv(READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
-            self._break(end)
+            self._reset_both(endpoint)
             return
         rules = self.rules
-        faults, found = rules.on(end.party, other.party), rules.hows(end.party, other.party)
-        if How.SILENT in found and data:
+        faults, kinds_found = (
+            rules.between(endpoint.party, peer.party),
+            rules.kinds(endpoint.party, peer.party),
+        )
+        if How.SILENT in kinds_found and data:
             # The fault came between the look and the read; what was read waits on this side of the cut.
             due_us = 1 << 62
         else:
-            due_us = self.clock.now_us() + late_us(faults, self.chance)
+            due_us = self.clock.now_us() + total_delay_us(faults, self.draw)
         if not data:
-            end.ended = True
-        if How.CUT in found and data:
+            endpoint.has_finished = True
+        if How.CUT in kinds_found and data:
             with suppress(OSError):
-                other.sock.send(data[: len(data) // 2])
-            self._break(end)
+                peer.sock.send(data[: len(data) // 2])
+            self._reset_both(endpoint)
             return
-        if other.waiting:
-            due_us = max(due_us, other.waiting[-1][0])
-        other.waiting.append((due_us, data))
-        other.held += len(data)
-        self._write(other)
-        self._look(end)
-
-    def _write(self, end: _End) -> None:
-        """Send what is due to this end; an empty piece is the other's end of sending."""
-        other, now_us = end.other, self.clock.now_us()
-        assert other is not None
-        pace = pace_kb(self.rules.on(other.party, end.party))
-        while end.waiting and end.waiting[0][0] <= now_us and end.free_us <= now_us:
-            due_us, data = end.waiting[0]
+        if peer.queue:
+            due_us = max(due_us, peer.queue[-1][0])
+        peer.queue.append((due_us, data))
+        peer.queued_bytes += len(data)
+        self._write(peer)
+        self._update_events(endpoint)
+
+    def _write(self, endpoint: _Endpoint) -> None:
+        """Send what is due to this endpoint; an empty piece is the other's endpoint of sending."""
+        peer, now_us = endpoint.peer, self.clock.now_us()
+        assert peer is not None
+        pace = throttle_kb(self.rules.between(peer.party, endpoint.party))
+        while endpoint.queue and endpoint.queue[0][0] <= now_us and endpoint.next_send_us <= now_us:
+            due_us, data = endpoint.queue[0]
             try:
                 if data:
                     piece = data if pace is None else data[: max(1, round(pace * 50))]  # 50 ms of it
-                    sent = end.sock.send(piece)
+                    sent = endpoint.sock.send(piece)
                 else:
                     sent = 0
-                    end.sock.shutdown(socket.SHUT_WR)
+                    endpoint.sock.shutdown(socket.SHUT_WR)
             except BlockingIOError:
                 break
             except OSError:
-                self._break(end)
+                self._reset_both(endpoint)
                 return
-            end.held -= sent
+            endpoint.queued_bytes -= sent
             if sent < len(data):
-                end.waiting[0] = (due_us, data[sent:])
+                endpoint.queue[0] = (due_us, data[sent:])
             else:
-                end.waiting.popleft()
+                endpoint.queue.popleft()
             if pace is not None and sent:
-                end.free_us = now_us + round(sent / pace * 1000)
-        (self.late.add if end.waiting else self.late.discard)(end)
-        if end.ended and other.ended and not end.waiting and not other.waiting:
-            self._close(end)
-            self._close(other)
+                endpoint.next_send_us = now_us + round(sent / pace * 1000)
+        (self.backlogged.add if endpoint.queue else self.backlogged.discard)(endpoint)
+        if endpoint.has_finished and peer.has_finished and not endpoint.queue and not peer.queue:
+            self._close(endpoint)
+            self._close(peer)
             return
-        self._look(end)
-        self._look(other)
+        self._update_events(endpoint)
+        self._update_events(peer)
 
-    def _break(self, end: _End) -> None:
+    def _reset_both(self, endpoint: _Endpoint) -> None:
         """Reset both ends."""
-        for one in (end, end.other):
-            if one is not None and not one.closed:
+        for each in (endpoint, endpoint.peer):
+            if each is not None and not each.closed:
                 with suppress(OSError):
-                    one.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                self._close(one)
-
-    def _close(self, end: _End) -> None:
-        if not end.closed:
-            end.closed = True
-            if end.sock in self.selector.get_map():
-                self.selector.unregister(end.sock)
-            end.sock.close()
-            self.ends.discard(end)
-            self.late.discard(end)
+                    each.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                self._close(each)
+
+    def _close(self, endpoint: _Endpoint) -> None:
+        if not endpoint.closed:
+            endpoint.closed = True
+            if endpoint.sock in self.selector.get_map():
+                self.selector.unregister(endpoint.sock)
+            endpoint.sock.close()
+            self.endpoints.discard(endpoint)
+            self.backlogged.discard(endpoint)
 
     def _faults_changed(self) -> None:
-        unheard, self.unheard = self.unheard, []
-        for call in unheard:
-            if _hung_up(call.sock):
-                call.sock.close()
+        pending, self.pending = self.pending, []
+        for connection in pending:
+            if _is_closed_by_peer(connection.sock):
+                connection.sock.close()
             else:
-                self._connect(call)
-        for end in list(self.ends):
-            if end.closed or end.other is None:
+                self._connect(connection)
+        for endpoint in list(self.endpoints):
+            if endpoint.closed or endpoint.peer is None:
                 continue
-            found = self.rules.hows(end.party, end.other.party)
-            if How.RESET in found:
-                self._break(end)
+            kinds_found = self.rules.kinds(endpoint.party, endpoint.peer.party)
+            if How.RESET in kinds_found:
+                self._reset_both(endpoint)
                 continue
-            if How.SILENT not in found:  # what a cut had held back goes on
+            if How.SILENT not in kinds_found:  # what a cut had held back goes on
                 now_us = self.clock.now_us()
-                end.other.waiting = deque((min(due_us, now_us) if due_us >= 1 << 62 else due_us, data)
-                                          for due_us, data in end.other.waiting)  # fmt: skip
-            self._look(end)
+                endpoint.peer.queue = deque((min(due_us, now_us) if due_us >= 1 << 62 else due_us, data)
+                                          for due_us, data in endpoint.peer.queue)  # fmt: skip
+            self._update_events(endpoint)
 
-    def _due(self) -> None:
+    def _send_due(self) -> None:
         now_us = self.clock.now_us()
-        for end in list(self.late):
-            if not end.closed and end.waiting and max(end.waiting[0][0], end.free_us) <= now_us:
-                self._write(end)
-        while self.air and self.air[0][0] <= now_us:
-            _, _, sock, raw, target = heapq.heappop(self.air)
+        for endpoint in list(self.backlogged):
+            if (
+                not endpoint.closed
+                and endpoint.queue
+                and max(endpoint.queue[0][0], endpoint.next_send_us) <= now_us
+            ):
+                self._write(endpoint)
+        while self.delayed_datagrams and self.delayed_datagrams[0][0] <= now_us:
+            _, _, sock, raw, target = heapq.heappop(self.delayed_datagrams)
             with suppress(OSError):
                 sock.sendto(raw, target)
 
     # Datagrams.
 
-    def _carry(self, post: _Post) -> None:
+    def _relay_datagram(self, relay: _DatagramRelay) -> None:
         try:
-            raw = post.sock.recv(READ_BYTES)
+            raw = relay.sock.recv(READ_BYTES)
         except OSError:
             return  # a refused datagram of ours comes back as an error of the socket
         with self.lock:
-            self.counts[f"datagrams {label(post.sender)} {label(post.taker)}"] += 1
-        assert post.back is not None
+            self.counts[f"datagrams {party_kind(relay.sender)} {party_kind(relay.receiver)}"] += 1
+        assert relay.reverse is not None
         now_us = self.clock.now_us()
-        ways = list(datagram(self.rules.on(post.sender, post.taker), self.chance))
-        if not ways:
+        delays_us = list(datagram_delays_us(self.rules.between(relay.sender, relay.receiver), self.draw))
+        if not delays_us:
             with self.lock:
-                self.counts[f"lost datagrams {label(post.sender)} {label(post.taker)}"] += 1
-        for in_us in ways:
-            if in_us <= 0:
+                self.counts[f"lost datagrams {party_kind(relay.sender)} {party_kind(relay.receiver)}"] += 1
+        for delay_us in delays_us:
+            if delay_us <= 0:
                 with suppress(OSError):
-                    post.back.sock.sendto(raw, post.target)
-            elif len(self.air) < MOST_DATAGRAMS:
-                item = (now_us + in_us, next(self.numbers), post.back.sock, raw, post.target)
-                heapq.heappush(self.air, item)
+                    relay.reverse.sock.sendto(raw, relay.target)
+            elif len(self.delayed_datagrams) < MAX_DELAYED_DATAGRAMS:
+                item = (now_us + delay_us, next(self.sequence_numbers), relay.reverse.sock, raw, relay.target)
+                heapq.heappush(self.delayed_datagrams, item)
 
 
-def label(party: Party) -> str:
+def party_kind(party: Party) -> str:
     """The shortest way to name a party's kind: fronts, boxes, lists, viewers."""
     return next((kind for kind in ("fronts", "boxes", "lists", "viewers") if kind in party), "others")
 
@@ -438,8 +459,8 @@
     return sock
 
 
-def _hung_up(sock: socket.socket) -> bool:
-    """Whether the other end has closed; what it wrote before may still be unread."""
+def _is_closed_by_peer(sock: socket.socket) -> bool:
+    """Whether the other endpoint has closed; what it wrote before may still be unread."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
--- a/packages/emulators/src/fennelcove/emulators/media_server.py
+++ b/packages/emulators/src/fennelcove/emulators/media_server.py
@@ -34,15 +34,15 @@
 from msgspec.structs import replace
 
 JSON = ("Content-Type", "application/json")
-MOST_HANG_S = 30.0
-MOST_GONE = 1000
-_ORDER: msgspec.json.Decoder[JoinOrder] = msgspec.json.Decoder(JoinOrder)
-_MARK: msgspec.json.Decoder[Mark] = msgspec.json.Decoder(Mark)
-_RUNG: msgspec.json.Decoder[RungOrder] = msgspec.json.Decoder(RungOrder)
+MAX_HANG_S = 30.0
+MAX_RELEASED = 1000
+_SETUP_DECODER: msgspec.json.Decoder[JoinOrder] = msgspec.json.Decoder(JoinOrder)
+_MARK_DECODER: msgspec.json.Decoder[Mark] = msgspec.json.Decoder(Mark)
+_RUNG_DECODER: msgspec.json.Decoder[RungOrder] = msgspec.json.Decoder(RungOrder)
 
 
 @dataclass(slots=True)
-class Faults:
+class ServerFaults:
     """What is wrong with a box now; all off by default."""
 
     hang: bool = False  # takes requests and never answers
@@ -65,33 +65,35 @@
     slow_titles: frozenset[str] = frozenset()
     knee: int = 0  # set-ups at once, past which each takes longer in proportion
 
-    def hold_ms(self, title: str, at_once: int) -> float:
+    def duration_ms(self, title: str, at_once: int) -> float:
         """For how long one is held that begins as one of so many."""
-        held_ms = self.slow_ms if title in self.slow_titles else self.usual_ms
-        return held_ms * max(1.0, at_once / self.knee) if self.knee else held_ms
+        delay_ms = self.slow_ms if title in self.slow_titles else self.usual_ms
+        return delay_ms * max(1.0, at_once / self.knee) if self.knee else delay_ms
 
 
 class StandInBox:
     """One box on a loopback port."""
 
     def __init__(
-        self, name: str, model: BoxModel, clock: Clock, recorder: Recorder, report_every_s: float
+        self, name: str, model: BoxModel, clock: Clock, recorder: Recorder, report_interval_s: float
     ) -> None:
         self.name = name
         self.model = model
         self.clock = clock
         self.recorder = recorder
-        self.report_every_s = report_every_s
-        self.faults = Faults()
+        self.report_interval_s = report_interval_s
+        self.faults = ServerFaults()
         self.pace = Pace()
-        self.under_way = 0
-        self.lives = 1
+        self.setups_in_progress = 0
+        self.incarnation = 1
         self.lock = threading.Lock()
         self.changed = threading.Condition(self.lock)
-        self.holders: dict[tuple[str, int], JoinOrder] = {}
-        self.gone: OrderedDict[tuple[str, int], None] = OrderedDict()  # a release may overtake its set-up
+        self.orders: dict[tuple[str, int], JoinOrder] = {}
+        self.released_keys: OrderedDict[tuple[str, int], None] = (
+            OrderedDict()
+        )  # a release may overtake its set-up
         self.marks: dict[tuple[str, int], str] = {}
-        self.holds: Callable[[str], bool] = lambda title: True
+        self.has_title: Callable[[str], bool] = lambda title: True
         self.stopped = False
         self.server = StandInServer(self._handle, f"box-{name}")
         self.address = self.server.address
@@ -117,19 +119,19 @@
         self.server.down()
         with self.changed:
             self.model.stop()
-            self.holders.clear()
+            self.orders.clear()
             self.changed.notify_all()
         self.recorder.note("box_died", box=self.address)
 
     def restart(self) -> None:
         """A new process on the same port, cold."""
         with self.lock:
-            self.lives += 1
+            self.incarnation += 1
             self.model.start(self.clock.now_us())
         self.recorder.note("box_started", box=self.address)
         self.server.up()
 
-    def hint(self) -> str:
+    def cmsd_value(self) -> str:
         """The CMSD-Dynamic value of an answer."""
         link = self.model.asked() if self.faults.lies is None else self.faults.lies
         values: dict[str, int | float | str | bool | bytes] = {
@@ -142,7 +144,7 @@
         return cmsd.write_hop(self.name, values)
 
     def _reply(self, status: int, body: bytes = b"") -> bytes:
-        fields = [("CMSD-Dynamic", self.hint())]
+        fields = [("CMSD-Dynamic", self.cmsd_value())]
         if body:
             fields.append(JSON if status < 400 else ("Content-Type", "application/problem+json"))
         return writer.response(status, fields, body)
@@ -153,16 +155,16 @@
         if parts[:2] == ["v1", "joins"] and len(parts) >= 4:
             key = (parts[2], int(parts[3]))
             if head.method == "PUT" and len(parts) == 4:
-                return self._set_up(key, _ORDER.decode(body), peer)
+                return self._set_up(key, _SETUP_DECODER.decode(body), peer)
             if self.faults.hang:
-                peer.wait_closed(MOST_HANG_S)
+                peer.wait_closed(MAX_HANG_S)
                 return False
             if head.method == "PUT" and parts[-1] == "mark":
                 with self.lock:
-                    self.marks[key] = _MARK.decode(body).mark
+                    self.marks[key] = _MARK_DECODER.decode(body).mark
                 return peer.send(self._reply(204))
             if head.method == "PUT":
-                return self._rung(key, _RUNG.decode(body), peer)
+                return self._rung(key, _RUNG_DECODER.decode(body), peer)
             return self._release(key, peer)
         if parts[0] == "media" and len(parts) == 4:
             return self._media(parts, parse_qs(query), peer)
@@ -172,113 +174,115 @@
         return peer.send(self._reply(404))
 
     def _set_up(self, key: tuple[str, int], order: JoinOrder, peer: Peer) -> bool:
-        told = {"box": self.address, "front": order.front, "subscription": key[0], "join": key[1]}
-        self.recorder.note("set_up", **told, room_type=order.room_type, title=order.title, rung=order.rung)
+        record_fields = {"box": self.address, "front": order.front, "subscription": key[0], "join": key[1]}
+        self.recorder.note(
+            "set_up", **record_fields, room_type=order.room_type, title=order.title, rung=order.rung
+        )
         if self.faults.hang:
-            closed = peer.wait_closed(MOST_HANG_S)
-            self.recorder.note("set_up_over", **told, how="front_closed" if closed else "silent")
+            closed = peer.wait_closed(MAX_HANG_S)
+            self.recorder.note("set_up_over", **record_fields, how="front_closed" if closed else "silent")
             return False
         with self.lock:
-            self.under_way += 1
-            held_ms = self.faults.slow_ms + self.pace.hold_ms(order.title, self.under_way)
-        gone = bool(held_ms) and peer.wait_closed(held_ms / 1000)
+            self.setups_in_progress += 1
+            delay_ms = self.faults.slow_ms + self.pace.duration_ms(order.title, self.setups_in_progress)
+        is_abandoned = bool(delay_ms) and peer.wait_closed(delay_ms / 1000)
         with self.lock:
-            self.under_way -= 1
-        if gone:
+            self.setups_in_progress -= 1
+        if is_abandoned:
             # The front has given up; a box that is slow and not hung still does the work.
             with self.lock:
-                if key not in self.gone:
+                if key not in self.released_keys:
                     self.model.set_up(key, order.rate_kb, self.clock.now_us())
-                    self.holders[key] = order
-            self.recorder.note("set_up_over", **told, how="front_closed")
+                    self.orders[key] = order
+            self.recorder.note("set_up_over", **record_fields, how="front_closed")
             return False
         if self.faults.errors:
-            self.recorder.note("set_up_over", **told, how="error")
+            self.recorder.note("set_up_over", **record_fields, how="error")
             return peer.send(self._reply(500))
         with self.lock:
-            became = None
-            if key not in self.gone:
-                became = self.model.set_up(key, order.rate_kb, self.clock.now_us())
-            if became is SetUp.STARTED:
-                self.holders[key] = order
-        if became is None:
+            result = None
+            if key not in self.released_keys:
+                result = self.model.set_up(key, order.rate_kb, self.clock.now_us())
+            if result is SetUp.STARTED:
+                self.orders[key] = order
+        if result is None:
             # Begun after its release, it would play for nobody, and nobody would ever release it.
-            self.recorder.note("set_up_over", **told, how="taken_back")
+            self.recorder.note("set_up_over", **record_fields, how="taken_back")
             return peer.send(self._reply(410))
-        if became is SetUp.FELL:
-            self.recorder.note("set_up_over", **told, how="reset")
+        if result is SetUp.FELL:
+            self.recorder.note("set_up_over", **record_fields, how="reset")
             self.recorder.note("fell", box=self.address, front=order.front)
             threading.Thread(target=self.die, name="fall").start()
             peer.reset()
             return False
-        if became is SetUp.TURNED_AWAY:
-            self.recorder.note("set_up_over", **told, how="turned_away")
+        if result is SetUp.TURNED_AWAY:
+            self.recorder.note("set_up_over", **record_fields, how="turned_away")
             problem = Problem(type=TURNED_AWAY, title="Full", status=503)
             return peer.send(self._reply(503, msgspec.json.encode(problem)))
-        return self._started(told, peer)
+        return self._answer_started(record_fields, peer)
 
-    def _started(self, told: dict[str, object], peer: Peer) -> bool:
+    def _answer_started(self, record_fields: dict[str, object], peer: Peer) -> bool:
         raw = self._reply(201, b'{"state":"playing"}')
         if self.faults.reset:
-            self.recorder.note("set_up_over", **told, how="reset")
+            self.recorder.note("set_up_over", **record_fields, how="reset")
             peer.reset()
             return False
         if self.faults.half:
-            self.recorder.note("set_up_over", **told, how="half")
+            self.recorder.note("set_up_over", **record_fields, how="half")
             peer.send(raw[: len(raw) // 2])
             return False
         if self.faults.garbage:
-            self.recorder.note("set_up_over", **told, how="garbage")
+            self.recorder.note("set_up_over", **record_fields, how="garbage")
             peer.send(b"\x16\x03\x01 not http\n\n\n")
             return False
-        self.recorder.note("set_up_over", **told, how="started")
+        self.recorder.note("set_up_over", **record_fields, how="started")
         return peer.send(raw)
 
     def _rung(self, key: tuple[str, int], order: RungOrder, peer: Peer) -> bool:
         with self.lock:
-            held = key in self.model.playing
-            if held:
+            is_playing = key in self.model.playing
+            if is_playing:
                 self.model.playing[key] = order.rate_kb
-                self.holders[key] = replace(self.holders[key], rung=order.rung)
-        if held:
+                self.orders[key] = replace(self.orders[key], rung=order.rung)
+        if is_playing:
             self.recorder.note("rung", box=self.address, subscription=key[0], join=key[1], rung=order.rung)
-        return peer.send(self._reply(204 if held else 404))
+        return peer.send(self._reply(204 if is_playing else 404))
 
     def _release(self, key: tuple[str, int], peer: Peer) -> bool:
         with self.lock:
-            held = self.model.playing.pop(key, None) is not None
-            self.holders.pop(key, None)
-            self.gone[key] = None
-            if len(self.gone) > MOST_GONE:
-                self.gone.popitem(last=False)
+            was_playing = self.model.playing.pop(key, None) is not None
+            self.orders.pop(key, None)
+            self.released_keys[key] = None
+            if len(self.released_keys) > MAX_RELEASED:
+                self.released_keys.popitem(last=False)
             self.marks.pop(key, None)
-        self.recorder.note("released", box=self.address, subscription=key[0], join=key[1], held=held)
+        self.recorder.note("released", box=self.address, subscription=key[0], join=key[1], held=was_playing)
         return peer.send(self._reply(204))
 
     def _media(self, parts: list[str], query: dict[str, list[str]], peer: Peer) -> bool:
         """A segment or an initialisation: a few bytes that stand for it."""
         _, title, rung, name = parts
-        told = {"box": self.address, "media": title, "rung": int(rung), "name": name}
-        subscription = query.get("subscription", [""])[0]
-        held = self.holds(title)
-        self.recorder.note("media", **told, subscription=subscription, held=held)
+        record_fields = {"box": self.address, "media": title, "rung": int(rung), "name": name}
+        session = query.get("subscription", [""])[0]
+        is_stored = self.has_title(title)
+        self.recorder.note("media", **record_fields, subscription=session, held=is_stored)
         if self.faults.hang:
-            peer.wait_closed(MOST_HANG_S)
+            peer.wait_closed(MAX_HANG_S)
             return False
         if self.faults.slow_ms:
             peer.wait_closed(self.faults.slow_ms / 1000)
         if self.faults.half:
             peer.send(self._reply(200, b"x" * 64)[:-32])
             return False
-        if self.faults.errors or not held:
-            return peer.send(self._reply(500 if held else 404))
+        if self.faults.errors or not is_stored:
+            return peer.send(self._reply(500 if is_stored else 404))
         return peer.send(self._reply(200, f"{title}/{rung}/{name}".encode()))
 
-    def end(self, key: tuple[str, int]) -> None:
+    def end_session(self, key: tuple[str, int]) -> None:
         """A player is gone: its box notices and says so on the feeds."""
         with self.changed:
             if self.model.playing.pop(key, None) is not None:
-                self.holders.pop(key, None)
+                self.orders.pop(key, None)
                 self.recorder.note("ended", box=self.address, subscription=key[0], join=key[1])
                 self.changed.notify_all()
 
@@ -288,16 +292,23 @@
 
     def _feed(self, front: str, peer: Peer) -> None:
         if self.faults.hang:
-            peer.wait_closed(MOST_HANG_S)
+            peer.wait_closed(MAX_HANG_S)
             return
         with self.lock:
-            known = {key for key, holder in self.holders.items() if holder.front == front}
-            held = [(*key, self.holders[key]) for key in sorted(known)]
+            previous = {key for key, order in self.orders.items() if order.front == front}
+            playing = [(*key, self.orders[key]) for key in sorted(previous)]
             hello = Hello(
-                f"{self.name}-{self.lives}",
+                f"{self.name}-{self.incarnation}",
                 [
-                    Held(id, join, order.title, order.room_type, order.rung, self.marks.get((id, join), ""))
-                    for id, join, order in held
+                    Held(
+                        id,
+                        attempt,
+                        order.title,
+                        order.room_type,
+                        order.rung,
+                        self.marks.get((id, attempt), ""),
+                    )
+                    for id, attempt, order in playing
                 ],
                 self._up_ms(),
             )
@@ -306,14 +317,14 @@
         events = write_event(HELLO, msgspec.json.encode(hello))
         while peer.send(writer.chunk(events)):
             with self.changed:
-                self.changed.wait(self.report_every_s)
+                self.changed.wait(self.report_interval_s)
                 if self.stopped or not self.model.up:
                     return
-                now = {key for key, holder in self.holders.items() if holder.front == front}
-            ended, known = known - now, now
+                current = {key for key, order in self.orders.items() if order.front == front}
+            ended, previous = previous - current, current
             events = b"".join(write_event(ENDED, msgspec.json.encode(Ended(*key))) for key in sorted(ended))
             if not self.faults.mute and not self.faults.hang:
                 share = self.model.delivered()
-                report = Report(self.hint(), round(share, 3) if share < 1 else None)
+                report = Report(self.cmsd_value(), round(share, 3) if share < 1 else None)
                 events += write_event(REPORT, msgspec.json.encode(report))
             events = events or b": beat\n\n"
--- a/packages/emulators/src/fennelcove/emulators/model.py
+++ b/packages/emulators/src/fennelcove/emulators/model.py
@@ -24,7 +24,7 @@
 
     def asked(self) -> float:
         """What is asked of the uplink over what it gives."""
-        return sum(box.asked_kb() for box in self.boxes if box.up) / self.uplink_kb
+        return sum(box.demand_kb() for box in self.boxes if box.up) / self.uplink_kb
 
 
 @dataclass(slots=True, eq=False)
@@ -43,26 +43,26 @@
     started_us: int | None = None  # None: long ago
     others_kb: float = 0.0  # another program on the same link
     playing: dict[tuple[str, int], float] = field(default_factory=dict)
-    pushed: deque[int] = field(default_factory=deque)
+    recent_setups_us: deque[int] = field(default_factory=deque)
 
-    def asked_kb(self) -> float:
+    def demand_kb(self) -> float:
         """The rates of all that plays, and of the other program."""
         return sum(self.playing.values()) + self.others_kb
 
     def asked(self) -> float:
         """What is asked of the link over what it gives."""
-        return self.asked_kb() / self.link_kb
+        return self.demand_kb() / self.link_kb
 
     def delivered(self) -> float:
         """The share of its rate that each subscription gets."""
         return min(1.0, 1 / max(self.asked(), self.rack.asked(), 1e-9))
 
-    def warmth(self, now_us: int) -> float:
+    def warm_up_factor(self, now_us: int) -> float:
         """The share of its pace of set-ups that it has reached."""
         if self.started_us is None or now_us - self.started_us >= self.ramp_us:
             return 1.0
-        age = (now_us - self.started_us) / self.ramp_us
-        return self.start_capacity + (1 - self.start_capacity) * age
+        progress = (now_us - self.started_us) / self.ramp_us
+        return self.start_capacity + (1 - self.start_capacity) * progress
 
     def is_cold(self, now_us: int) -> bool:
         """It has not warmed up yet."""
@@ -71,11 +71,11 @@
     def set_up(self, key: tuple[str, int], rate_kb: float, now_us: int) -> SetUp:
         """Take one set-up."""
         if self.is_cold(now_us):
-            self.pushed.append(now_us)
-            while self.pushed[0] < now_us - self.tip_after_us:
-                self.pushed.popleft()
-            pace = self.streams / self.ramp_us * self.warmth(now_us)
-            if len(self.pushed) > self.fall_multiple * pace * self.tip_after_us + 1:
+            self.recent_setups_us.append(now_us)
+            while self.recent_setups_us[0] < now_us - self.tip_after_us:
+                self.recent_setups_us.popleft()
+            setups_per_us = self.streams / self.ramp_us * self.warm_up_factor(now_us)
+            if len(self.recent_setups_us) > self.fall_multiple * setups_per_us * self.tip_after_us + 1:
                 return SetUp.FELL
         if key not in self.playing and len(self.playing) >= self.streams:
             return SetUp.TURNED_AWAY
@@ -88,7 +88,7 @@
         """The process starts: cold, and holding nothing."""
         self.up, self.started_us = True, now_us
         self.playing.clear()
-        self.pushed.clear()
+        self.recent_setups_us.clear()
 
     def stop(self) -> None:
         """The process is gone, with all that it played."""
--- a/packages/emulators/src/fennelcove/emulators/players.py
+++ b/packages/emulators/src/fennelcove/emulators/players.py
@@ -10,99 +10,105 @@
 
 INTERSTITIAL = "com.apple.hls.interstitial"
 START_SEGMENTS = 2
-BUFFERED = 2.5  # segments that a player keeps ahead
-MOST_TRIES = 40
-PAUSE_S = 0.05
+BUFFER_SEGMENTS = 2.5  # segments that a player keeps ahead
+MAX_TRIES = 40
+RETRY_PAUSE_S = 0.05
 
 
 class StandInPlayer(StandInViewer):
     """A viewer that plays what its manifests say, in real time."""
 
-    def _watch(self, player: Player, fields: dict[str, Any]) -> None:
-        self.told = {"viewer": self.name, "subscription": fields["id"]}
-        self.path = f"/v1/subscriptions/{fields['id']}"
+    def _watch(self, player: Player, session: dict[str, Any]) -> None:
+        self.record_fields = {"viewer": self.name, "subscription": session["id"]}
+        self.path = f"/v1/subscriptions/{session['id']}"
         self.front = player
-        self.boxes: dict[str, Player] = {}
+        self.server_connections: dict[str, Player] = {}
         self.next_seq = 0
         self.fetched: list[float] = []
         self.play_end_us = 0
         self.seams = 0
-        self.last_box = ""
-        self.met: set[str] = set()  # changes seen in a manifest
-        self.played: set[str] = set()  # clips told apart that were played
+        self.last_server = ""
+        self.seen_changes: set[str] = set()  # changes seen in a manifest
+        self.played_interstitials: set[str] = set()  # clips told apart that were played
         ended = False
-        until_us = self.clock.now_us() + round(self.habits.watch_s * 1e6)
+        until_us = self.clock.now_us() + round(self.behavior.watch_s * 1e6)
         try:
-            while not ended and self.clock.now_us() < until_us and not self.leaving.is_set():
-                ended = self._round()
+            while not ended and self.clock.now_us() < until_us and not self.stopping.is_set():
+                ended = self._poll_playlist()
         finally:
-            for box in self.boxes.values():
-                box.close()
+            for connection in self.server_connections.values():
+                connection.close()
         self.recorder.note(
-            "played", **self.told, segments=self.next_seq, seams=self.seams, ended=ended and not self.lost
+            "played",
+            **self.record_fields,
+            segments=self.next_seq,
+            seams=self.seams,
+            ended=ended and not self.lost,
         )
-        if not self.lost and not self.habits.vanishes:
-            self.recorder.note("releases", **self.told)
-            self._ask("DELETE", self.path)
+        if not self.lost and not self.behavior.vanishes:
+            self.recorder.note("releases", **self.record_fields)
+            self._request("DELETE", self.path)
 
     lost = False
     target_s = 0.0
 
-    def _ask(self, method: str, path: str, fields: list[tuple[str, str]] | None = None) -> Heard | None:
+    def _request(self, method: str, path: str, fields: list[tuple[str, str]] | None = None) -> Heard | None:
         try:
             return self.front.ask(method, path, fields or [], b"", 2.0)
         except Unanswered as error:
-            self.recorder.note("poll_unanswered", **self.told, how=error.how)
+            self.recorder.note("poll_unanswered", **self.record_fields, how=error.how)
             self.front = Player(self.address(), self.clock, self.witness)
-            self.leaving.wait(PAUSE_S)
+            self.stopping.wait(RETRY_PAUSE_S)
             return None
 
-    def _round(self) -> bool:
+    def _poll_playlist(self) -> bool:
         """One manifest and what is new in it; whether the lesson is over."""
-        query = "?interstitials=1" if self.habits.apart else ""
-        heard = self._ask("GET", f"{self.path}/media.m3u8{query}", self.hints())
-        if heard is None:
+        query = "?interstitials=1" if self.behavior.apart else ""
+        response = self._request("GET", f"{self.path}/media.m3u8{query}", self.cmcd_headers())
+        if response is None:
             return False
-        if heard.status != 200:
-            self.recorder.note("lost", **self.told, status=heard.status, detail=heard.body.get("detail"))
+        if response.status != 200:
+            self.recorder.note(
+                "lost", **self.record_fields, status=response.status, detail=response.body.get("detail")
+            )
             self.lost = True
             return True
-        listed, asked_from = m3u8.loads(heard.text), self.next_seq
-        self.target_s = float(listed.target_duration)
-        first = listed.media_sequence or 0
+        playlist, first_wanted = m3u8.loads(response.text), self.next_seq
+        self.target_s = float(playlist.target_duration)
+        first = playlist.media_sequence or 0
         if first > self.next_seq:
-            self.recorder.note("fell_off", **self.told, first=first, wanted=self.next_seq)
+            self.recorder.note("fell_off", **self.record_fields, first=first, wanted=self.next_seq)
             self.next_seq = first
-        for i, segment in enumerate(listed.segments):
-            for told in segment.dateranges or ():
-                if not self._told(told, first + i == self.next_seq):
+        for i, segment in enumerate(playlist.segments):
+            for daterange in segment.dateranges or ():
+                if not self._on_daterange(daterange, first + i == self.next_seq):
                     return True
             if first + i == self.next_seq:
                 if not self._segment(segment):
                     return True
                 self.next_seq += 1
-        over = listed.is_endlist and self.next_seq == first + len(listed.segments)
-        if self.next_seq == asked_from and not over:
+        is_over = playlist.is_endlist and self.next_seq == first + len(playlist.segments)
+        if self.next_seq == first_wanted and not is_over:
             # Half a target duration where nothing is new (RFC 8216, section 6.3.4).
-            self.leaving.wait(listed.target_duration / 2)
-        return bool(over)
+            self.stopping.wait(playlist.target_duration / 2)
+        return bool(is_over)
 
-    def _told(self, told: Any, here: bool) -> bool:
+    def _on_daterange(self, daterange: Any, is_reached: bool) -> bool:
         """A change is seen for the first time; one told apart is played where its place is reached."""
-        if told.id not in self.met:
-            self.met.add(told.id)
-            self.recorder.note("sees", **self.told, change=told.id)
-        if not here or told.class_ != INTERSTITIAL or told.id in self.played:
+        if daterange.id not in self.seen_changes:
+            self.seen_changes.add(daterange.id)
+            self.recorder.note("sees", **self.record_fields, change=daterange.id)
+        if not is_reached or daterange.class_ != INTERSTITIAL or daterange.id in self.played_interstitials:
             return True
-        self.played.add(told.id)
-        asset = next(value for name, value in told.x_client_attrs if name == "x_asset_uri").strip('"')
-        heard = self._ask("GET", f"{self.path}/{asset}", self.hints())
-        if heard is None or heard.status != 200:
-            status = None if heard is None else heard.status
-            self.recorder.note("denied", **self.told, uri=asset, status=status, detail=None)
+        self.played_interstitials.add(daterange.id)
+        asset = next(value for name, value in daterange.x_client_attrs if name == "x_asset_uri").strip('"')
+        response = self._request("GET", f"{self.path}/{asset}", self.cmcd_headers())
+        if response is None or response.status != 200:
+            status = None if response is None else response.status
+            self.recorder.note("denied", **self.record_fields, uri=asset, status=status, detail=None)
             self.lost = True
             return False
-        clip = m3u8.loads(heard.text)
+        clip = m3u8.loads(response.text)
         for number, segment in enumerate(clip.segments):
             segment.uri, segment.discontinuity = f"asset/{segment.uri}", number == 0
             if not self._segment(segment):
@@ -112,54 +118,60 @@
     def _segment(self, segment: Any) -> bool:
         """Fetch one segment when the buffer has room for it; False where it can't be had."""
         ahead_s = (self.play_end_us - self.clock.now_us()) / 1e6 if self.play_end_us else 0.0
-        room_s = BUFFERED * self.target_s
+        room_s = BUFFER_SEGMENTS * self.target_s
         if ahead_s > room_s:
-            self.leaving.wait(ahead_s - room_s)
-        for attempt in range(MOST_TRIES):
-            if self.leaving.is_set():
+            self.stopping.wait(ahead_s - room_s)
+        for attempt in range(MAX_TRIES):
+            if self.stopping.is_set():
                 return False
-            box = self._fetch(segment.uri)
-            if box:
-                self._played(segment, box, attempt)
+            server = self._fetch(segment.uri)
+            if server:
+                self._record_playback(segment, server, attempt)
                 return True
             if self.lost:
                 return False
-            self.recorder.note("tried_again", **self.told, seq=self.next_seq)
-            self.leaving.wait(PAUSE_S)
-        self.recorder.note("no_segment", **self.told, seq=self.next_seq)
+            self.recorder.note("tried_again", **self.record_fields, seq=self.next_seq)
+            self.stopping.wait(RETRY_PAUSE_S)
+        self.recorder.note("no_segment", **self.record_fields, seq=self.next_seq)
         return False
 
     def _fetch(self, uri: str) -> str:
         """The box that served it whole; nothing where it must be tried again."""
-        heard = self._ask("GET", f"{self.path}/{uri}", self.hints())
-        if heard is None:
+        response = self._request("GET", f"{self.path}/{uri}", self.cmcd_headers())
+        if response is None:
             return ""
-        if heard.status == 410:
+        if response.status == 410:
             # The subscription has ended, and its front says so: a loss, and no segment denied.
-            self.recorder.note("lost", **self.told, status=heard.status, detail=heard.body.get("detail"))
+            self.recorder.note(
+                "lost", **self.record_fields, status=response.status, detail=response.body.get("detail")
+            )
             self.lost = True
             return ""
-        if heard.status == 404:
+        if response.status == 404:
             self.recorder.note(
-                "denied", **self.told, uri=uri, status=heard.status, detail=heard.body.get("detail")
+                "denied",
+                **self.record_fields,
+                uri=uri,
+                status=response.status,
+                detail=response.body.get("detail"),
             )
             self.lost = True
             return ""
-        if heard.status != 307:
+        if response.status != 307:
             return ""
-        where = (heard.head.get(b"location") or b"").decode().removeprefix("http://")
-        address, _, path = where.partition("/")
-        box = self.boxes.setdefault(address, Player(address, self.clock))
+        location = (response.head.get(b"location") or b"").decode().removeprefix("http://")
+        address, _, path = location.partition("/")
+        connection = self.server_connections.setdefault(address, Player(address, self.clock))
         try:
-            got = box.ask("GET", f"/{path}", [], b"", 1.0)
+            segment_response = connection.ask("GET", f"/{path}", [], b"", 1.0)
         except Unanswered:
             return ""
-        assert isinstance(got.head, ResponseHead)
-        return address if got.status == 200 else ""
+        assert isinstance(segment_response.head, ResponseHead)
+        return address if segment_response.status == 200 else ""
 
-    def _played(self, segment: Any, box: str, attempt: int) -> None:
+    def _record_playback(self, segment: Any, server: str, attempt: int) -> None:
         now_us, seam = self.clock.now_us(), bool(segment.discontinuity)
-        moved = bool(self.last_box) and box != self.last_box
+        moved = bool(self.last_server) and server != self.last_server
         self.fetched.append(segment.duration)
         length_us = round(segment.duration * 1e6)
         if len(self.fetched) < START_SEGMENTS:
@@ -170,7 +182,7 @@
             late_ms = (now_us - self.play_end_us) / 1000
             self.recorder.note(
                 "stall",
-                **self.told,
+                **self.record_fields,
                 seq=self.next_seq,
                 ms=round(late_ms, 1),
                 seam=seam,
@@ -182,7 +194,9 @@
             self.play_end_us += length_us
         if seam:
             self.seams += 1
-            self.recorder.note("seam", **self.told, seq=self.next_seq, box=box)
+            self.recorder.note("seam", **self.record_fields, seq=self.next_seq, box=server)
         if moved:
-            self.recorder.note("other_box", **self.told, seq=self.next_seq, box=box, was=self.last_box)
-        self.last_box = box
+            self.recorder.note(
+                "other_box", **self.record_fields, seq=self.next_seq, box=server, was=self.last_server
+            )
+        self.last_server = server
--- a/packages/emulators/src/fennelcove/emulators/server.py
+++ b/packages/emulators/src/fennelcove/emulators/server.py
@@ -111,14 +111,14 @@
         peer = Peer(sock)
         try:
             while True:
-                while (whole := requests.next()) is None:
+                while (request := requests.next()) is None:
                     sock.settimeout(60.0)
                     data = sock.recv(16_384)
                     requests.reader.feed(data)
                     if not data:
                         return
-                assert isinstance(whole.head, RequestHead)
-                if not self.handler(whole.head, whole.body, peer):
+                assert isinstance(request.head, RequestHead)
+                if not self.handler(request.head, request.body, peer):
                     return
         except (OSError, ProtocolError):
             return
--- a/packages/emulators/src/fennelcove/emulators/sockets.py
+++ b/packages/emulators/src/fennelcove/emulators/sockets.py
@@ -11,7 +11,7 @@
 
 import msgspec
 from fennelcove.clock import Clock
-from fennelcove.emulators.clients import Unanswered, Witness
+from fennelcove.emulators.clients import ResponseObserver, Unanswered
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits, ProtocolError, ResponseHead
 from fennelcove.http1.reader import Gatherer, Reader
@@ -28,32 +28,32 @@
         self,
         address: str,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         fields: list[tuple[str, str]] | None = None,
         context: ssl.SSLContext | None = None,
         deflates: bool = False,
         timeout_s: float = 5.0,
-        witness: Witness | None = None,
+        witness: ResponseObserver | None = None,
     ) -> None:
         self.address = address
         self.witness = witness
         self.clock = clock
-        self.refs = 0
+        self.last_ref = 0
         self.heard: deque[dict[str, Any]] = deque()
         self.closed: Closed | None = None
         self.sock = self._connect(timeout_s, context)
-        key = chance.randbytes(16)
-        asked = [*handshake.client(key, [SUBPROTOCOL], deflates), *(fields or [])]
+        key = rng.randbytes(16)
+        request_headers = [*handshake.client(key, [SUBPROTOCOL], deflates), *(fields or [])]
         gatherer = Gatherer(Reader(False, CodecLimits()))
         try:
-            self.sock.sendall(writer.request("GET", PATH, address, asked))
-            while (whole := gatherer.next()) is None:
+            self.sock.sendall(writer.request("GET", PATH, address, request_headers))
+            while (response := gatherer.next()) is None:
                 data = self.sock.recv(4096)
                 gatherer.reader.feed(data)
                 if not data:
                     raise Unanswered("reset")
-            assert isinstance(whole.head, ResponseHead)
-            opened = handshake.opened(whole.head, key, [SUBPROTOCOL], deflates)
+            assert isinstance(response.head, ResponseHead)
+            accepted = handshake.opened(response.head, key, [SUBPROTOCOL], deflates)
         except handshake.Refused as error:
             self.sock.close()
             raise Unanswered(f"refused with {error.status}") from None
@@ -63,8 +63,8 @@
         except (OSError, ProtocolError):
             self.sock.close()
             raise Unanswered("reset") from None
-        self.conversation = Conversation(Bounds(), opened.deflates, lambda: chance.randbytes(4))
-        self._take(bytes(gatherer.reader.buffer))
+        self.conversation = Conversation(Bounds(), accepted.deflates, lambda: rng.randbytes(4))
+        self._receive(bytes(gatherer.reader.buffer))
 
     def _connect(self, timeout_s: float, context: ssl.SSLContext | None) -> socket.socket:
         host, _, port = self.address.rpartition(":")
@@ -76,7 +76,7 @@
         except OSError:
             raise Unanswered("refused") from None
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         for event in self.conversation.receive(data) if data else []:
             if isinstance(event, Message) and isinstance(event.data, str):
                 self.heard.append(msgspec.json.decode(event.data))
@@ -84,21 +84,21 @@
                     self.witness.message(self.heard[-1])
             elif isinstance(event, Closed):
                 self.closed = event
-        self._send()
+        self._flush()
 
-    def _send(self) -> None:
+    def _flush(self) -> None:
         raw = self.conversation.take()
         if raw:
             self.sock.sendall(raw)
 
     def tell(self, type: str, **fields: Any) -> str:
         """Send one message with a fresh ref; the ref."""
-        self.refs += 1
-        ref = f"r{self.refs}"
+        self.last_ref += 1
+        ref = f"r{self.last_ref}"
         message = {"type": type, **({} if type == "report" else {"ref": ref}), **fields}
         try:
             self.conversation.send(msgspec.json.encode(message).decode())
-            self._send()
+            self._flush()
         except OSError:
             raise Unanswered("reset") from None
         return ref
@@ -127,7 +127,7 @@
                 self.closed = self.closed or Closed(CloseCode.ABNORMAL, "", False)
                 continue
             try:
-                self._take(data)
+                self._receive(data)
             except OSError:
                 self.closed = Closed(CloseCode.ABNORMAL, "", False)
         return self.heard.popleft()
@@ -143,17 +143,17 @@
     def answer(self, ref: str, timeout_s: float) -> dict[str, Any]:
         """The answer to a request sent before."""
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
-        passed: list[dict[str, Any]] = []
+        deferred: list[dict[str, Any]] = []
         try:
             while True:
-                heard = self.next((until_us - self.clock.now_us()) / 1e6)
-                if heard is None:
+                message = self.next((until_us - self.clock.now_us()) / 1e6)
+                if message is None:
                     raise Unanswered("timeout")
-                if heard.get("ref") == ref:
-                    return heard
-                passed.append(heard)
+                if message.get("ref") == ref:
+                    return message
+                deferred.append(message)
         finally:
-            self.heard.extendleft(reversed(passed))
+            self.heard.extendleft(reversed(deferred))
 
     def news(self, type: str, timeout_s: float = 5.0) -> dict[str, Any]:
         """The next message of a type; others before it are dropped.
@@ -163,11 +163,11 @@
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         while True:
-            heard = self.next((until_us - self.clock.now_us()) / 1e6)
-            if heard is None:
+            message = self.next((until_us - self.clock.now_us()) / 1e6)
+            if message is None:
                 raise Unanswered("timeout")
-            if heard["type"] == type:
-                return heard
+            if message["type"] == type:
+                return message
 
     def wait_closed(self, timeout_s: float = 5.0) -> Closed:
         """Read until the connection is over.
@@ -191,5 +191,5 @@
         """Close as the protocol asks."""
         with suppress(OSError):
             self.conversation.close()
-            self._send()
+            self._flush()
         self.sock.close()
--- a/tests/test_between.py
+++ b/tests/test_between.py
@@ -33,32 +33,40 @@
 
 class FaultTest(unittest.TestCase):
     def test_a_rule_names_a_party_a_group_or_several_and_one_direction(self) -> None:
-        for sender, taker, hit in (
+        for sender, receiver, hit in (
             ("front-0", "box-0", True),
             ("hall-a", "hall-b", True),
             ("front-1|front-0", "all", True),
             ("hall-b", "hall-a", False),
             ("front-1", "boxes", False),
         ):
-            assert Fault(sender, taker, How.SILENT).hits(FRONT, BOX) is hit, (sender, taker)
+            assert Fault(sender, receiver, How.SILENT).applies_to(FRONT, BOX) is hit, (sender, receiver)
 
     def test_datagrams_are_lost_doubled_and_late_by_share(self) -> None:
         chance = Random(3).random
-        lose = [faults.datagram([Fault("all", "all", How.LOSE, share=0.5)], chance) for _ in range(400)]
+        lose = [
+            faults.datagram_delays_us([Fault("all", "all", How.DROP, share=0.5)], chance) for _ in range(400)
+        ]
         assert 120 < sum(not copies for copies in lose) < 280
-        double = [faults.datagram([Fault("all", "all", How.DOUBLE, 20, 0.5)], chance) for _ in range(400)]
+        double = [
+            faults.datagram_delays_us([Fault("all", "all", How.DUPLICATE, 20, 0.5)], chance)
+            for _ in range(400)
+        ]
         assert 120 < sum(len(copies) == 2 for copies in double) < 280
-        late = [faults.datagram([Fault("all", "all", How.REORDER, 50, 1.0)], chance)[0] for _ in range(50)]
+        late = [
+            faults.datagram_delays_us([Fault("all", "all", How.REORDER, 50, 1.0)], chance)[0]
+            for _ in range(50)
+        ]
         assert all(0 <= at <= 50000 for at in late)
         assert len(set(late)) > 10
-        assert faults.datagram([Fault("all", "all", How.SILENT)], chance) == []
-        assert faults.datagram([], chance) == [0]
+        assert faults.datagram_delays_us([Fault("all", "all", How.SILENT)], chance) == []
+        assert faults.datagram_delays_us([], chance) == [0]
 
     def test_the_least_of_two_paces_holds_and_delays_add_up(self) -> None:
         both = [Fault("all", "all", How.THROTTLE, 50), Fault("all", "all", How.THROTTLE, 20)]
-        assert faults.pace_kb(both) == 20
+        assert faults.throttle_kb(both) == 20
         late = [Fault("all", "all", How.DELAY, 10), Fault("all", "all", How.DELAY, 20)]
-        assert faults.late_us(late, lambda: 0.0) == 30000
+        assert faults.total_delay_us(late, lambda: 0.0) == 30000
 
 
 class Echo:
@@ -200,7 +208,7 @@
         door = relays.door(self.echo.address, BOX)
         host, _, port = door.rpartition(":")
         socks = [socket.create_connection((host, int(port)), 10) for _ in range(20)]
-        relays._accept(relays.doors[door])
+        relays._accept(relays.listeners[door])
         assert relays.told() == {"connections viewers boxes": 20}
         relays.start()
         self.addCleanup(relays.stop)
@@ -219,8 +227,8 @@
         wait_for(lambda: recorder.count("rig_late") > 1, "two late ones")
         assert min(record["ms"] for record in recorder.records) >= 300
         self.relays.set()
-        asked = gauge.asked
-        wait_for(lambda: gauge.asked > asked + 2, "others in time")
+        asked = gauge.probes_sent
+        wait_for(lambda: gauge.probes_sent > asked + 2, "others in time")
         verdict = judge([terms(read("power-short")) | {"t_us": 0, "what": "terms"}, *recorder.records])
         assert verdict.rig_late_ms >= 300
         assert verdict.rig_late_s >= 0.6
@@ -237,7 +245,7 @@
         socks[0].sendto(b"beat", (host, int(port)))
         raw, source = socks[1].recvfrom(100)
         assert (raw, "{}:{}".format(*source)) == (b"beat", known[1][0])
-        self.relays.set(Fault("front-0", "all", How.LOSE))
+        self.relays.set(Fault("front-0", "all", How.DROP))
         socks[0].sendto(b"lost", (host, int(port)))
         count = "datagrams fronts boxes"
         wait_for(lambda: self.relays.told().get(count) == 2, "the second datagram")
