--- a/packages/emulators/src/fennelcove/emulators/__init__.py
+++ b/packages/emulators/src/fennelcove/emulators/__init__.py
@@ -1,3 +1,4 @@
-"""Stand-ins on loopback: boxes, a list service, viewers. For tests and scripted days; no front imports
-them.
+"""Emulated servers, clients and endpoint list service on loopback, for tests and scenarios.
+
+Not imported by the front itself.
 """
--- a/packages/emulators/src/fennelcove/emulators/clients.py
+++ b/packages/emulators/src/fennelcove/emulators/clients.py
@@ -1,4 +1,7 @@
-"""Stand-in viewers: players that ask for a subscription with CMCD, watch, come again, or lose patience."""
+"""Emulated clients: they set up a session with CMCD headers, watch, retry, or cancel.
+
+The HTTP client of the emulators is here too.
+"""
 
 from __future__ import annotations
 
@@ -20,12 +23,16 @@
 from fennelcove.http1.reader import Gatherer, Reader
 
 JSON = ("Content-Type", "application/json")
-LIMITS = CodecLimits(body_bytes=1_000_000)  # a front's description is longer than any request
+LIMITS = CodecLimits(body_bytes=1_000_000)  # a front's API description is larger than any request
 
 
 @dataclass(frozen=True, slots=True)
 class Habits:
-    """How one viewer behaves; times in seconds, rates in kilobits a second."""
+    """The behavior of one client; times in seconds, rates in kilobits per second.
+
+    `temper` is the reaction to Retry-After: "obeys" waits as long as asked, "half" waits half of
+    that, "hasty" ignores it, "drops" loses the queue token and "forges" sends an invented token.
+    """
 
     room_type: str
     title: str
@@ -33,22 +40,22 @@
     watch_s: float
     top_rung: int | None = None
     retries: int = 0
-    honours: bool = True  # waits as long as it is told to
-    hangs_up_after_s: float | None = None  # leaves while its join is out
-    vanishes: bool = False  # leaves without a release
+    honours: bool = True  # waits for the time given in Retry-After
+    hangs_up_after_s: float | None = None  # closes the connection while the set-up is in progress
+    vanishes: bool = False  # disappears without releasing its session
     top_kbit: int | None = None
     measured_kbit: int | None = None
-    temper: str = "obeys"  # obeys, half, hasty, drops, forges
-    socket: bool = False  # asks over WebSocket
-    apart: bool = False  # plays stitched clips as interstitials, apart from the lesson
+    temper: str = "obeys"
+    socket: bool = False  # uses the WebSocket API
+    apart: bool = False  # plays inserted clips as interstitials, separate from the main content
     tenant: str = ""
-    fronts: tuple[int, ...] = ()  # that it comes to; all where none is named
-    retry_pause_s: float = 0.2  # before a further try, where nothing was said or heeded
+    fronts: tuple[int, ...] = ()  # indexes of the fronts it uses; empty for all
+    retry_pause_s: float = 0.2  # delay before a retry without a Retry-After, or when it is ignored
 
 
 @dataclass(slots=True)
 class Heard:
-    """What a viewer read: status, header fields, body."""
+    """A response: status, header, decoded JSON body, and the body as text."""
 
     status: int
     head: ResponseHead
@@ -57,7 +64,10 @@
 
 
 class Unanswered(Exception):
-    """No whole answer came: `refused`, `reset` or `timeout`."""
+    """No complete response was received; `how` is written to the recording.
+
+    `how` is for example `refused`, `reset`, `timeout` or `hung_up`.
+    """
 
     def __init__(self, how: str) -> None:
         super().__init__(how)
@@ -65,15 +75,17 @@
 
 
 class ResponseObserver(Protocol):
-    """Sees everything that a front says, through either door."""
+    """Receives every response and message of a front, over HTTP and WebSocket."""
 
-    def answer(self, method: str, path: str, status: int, media: str, body: Any) -> object: ...
+    def answer(self, method: str, path: str, status: int, media: str, body: Any) -> object:
+        """Handle an HTTP response; `media` is its content type, `body` its decoded JSON or None."""
 
-    def message(self, content: dict[str, Any]) -> object: ...
+    def message(self, content: dict[str, Any]) -> object:
+        """Handle a WebSocket message."""
 
 
 class Player:
-    """One HTTP connection to a front; opened when needed, kept between requests."""
+    """An HTTP client with one connection, opened when needed and reused between requests."""
 
     def __init__(
         self,
@@ -98,10 +110,10 @@
         timeout_s: float,
         hangs_up: bool = False,
     ) -> Heard:
-        """One exchange.
+        """Send a request and return the response; a time-out with `hangs_up` is reported as `hung_up`.
 
         Raises:
-            Unanswered: refused, reset or timed out.
+            Unanswered: The connection was refused or reset, or the request timed out.
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         try:
@@ -145,7 +157,7 @@
         return Heard(received.head.status, received.head, decoded if isinstance(decoded, dict) else {}, text)
 
     def stray(self) -> bool:
-        """Whether more came than was asked for."""
+        """Whether unrequested data was received on the connection."""
         if self.sock is None:
             return False
         self.sock.setblocking(False)
@@ -155,14 +167,18 @@
             return False
 
     def close(self) -> None:
-        """Hang up."""
+        """Close the connection."""
         if self.sock is not None:
             self.sock.close()
             self.sock = None
 
 
 class StandInViewer:
-    """One viewer on its own thread: all its tries, and its watching."""
+    """One client on a thread of its own: its set-up attempts, then its session.
+
+    `address` returns the front to use for the next attempt, and `share_of` the fraction of its rate
+    that a server delivers.
+    """
 
     def __init__(
         self,
@@ -186,7 +202,7 @@
         self.thread = threading.Thread(target=self.run, name=name)
 
     def run(self) -> None:
-        """Ask, watch, come again."""
+        """Set up a session and watch it, with retries after a failed set-up."""
         behavior = self.behavior
         for number in range(behavior.retries + 1):
             if self.stopping.is_set():
@@ -199,7 +215,7 @@
                 return
 
     def _retry_delay_s(self, response: Heard | None) -> float:
-        """How long this viewer waits before it asks again, and what it keeps of its place."""
+        """Return the delay before the next attempt, and keep the queue token for it."""
         behavior, self.queue_token = self.behavior, None
         if behavior.temper == "forges":
             self.queue_token = "aW52ZW50ZWQ.aW52ZW50ZWQ"
@@ -224,7 +240,7 @@
     def cmcd_headers(
         self, starved: bool = False, measured_kbit: int | None = None, startup: bool = False
     ) -> list[tuple[str, str]]:
-        """The CMCD headers of one request."""
+        """Return the CMCD headers of one request."""
         behavior = self.behavior
         values: dict[str, Bare] = {"sid": self.name, "cid": behavior.title, "sf": Token("h"), "v": 1}
         if behavior.top_kbit is not None:
@@ -297,7 +313,7 @@
         return response
 
     def _watch(self, player: Player, session: dict[str, Any]) -> None:
-        """Poll for the rung in force until the lesson is over or lost."""
+        """Poll the session for its current rung until the watch time is over or the session is lost."""
         behavior, path = self.behavior, f"/v1/subscriptions/{session['id']}"
         until_us = self.clock.now_us() + round(behavior.watch_s * 1e6)
         record_fields = {"viewer": self.name, "subscription": session["id"]}
@@ -329,7 +345,7 @@
 
 
 def hash_share(name: str) -> float:
-    """A share between 0 and 1 that belongs to a name: the same in every run."""
+    """Map a name to a fraction between 0 and 1, the same in every run."""
     return zlib.crc32(name.encode()) / 2**32
 
 
--- a/packages/emulators/src/fennelcove/emulators/dishonest_front.py
+++ b/packages/emulators/src/fennelcove/emulators/dishonest_front.py
@@ -1,4 +1,4 @@
-"""A stand-in for a front that lies about slots: any number, any figures, loans that nobody asked for."""
+"""An emulated front that sends false slot messages: arbitrary limits, latencies and unrequested loans."""
 
 from __future__ import annotations
 
@@ -17,14 +17,11 @@
 
 SEND_INTERVAL_S = 0.2
 MAX_SLOTS = 4096
-SLOW_HISTOGRAM, FAST_HISTOGRAM = (
-    ((55, 250),),
-    ((1, 250),),
-)  # classes: all joins took ten seconds, or a millisecond
+SLOW_HISTOGRAM, FAST_HISTOGRAM = ((55, 250),), ((1, 250),)  # all attempts took 10 s, or 1 ms
 
 
 class SlotLiar:
-    """Speaks from a front's address to all others until it is stopped."""
+    """Sends false messages from the address of a front to all others until it is stopped."""
 
     def __init__(
         self,
@@ -40,7 +37,7 @@
         ]
         self.servers = servers
         self.rng = rng
-        self.incarnation = clock.wall_us()  # above that of the process that stood here
+        self.incarnation = clock.wall_us()  # higher than that of the real front that used this address
         self.sent = 0
         self.stopping = threading.Event()
         host, _, port = own_address.rpartition(":")
@@ -49,11 +46,11 @@
         self.thread = threading.Thread(target=self._run, name="liar")
 
     def start(self) -> None:
-        """Begin to lie."""
+        """Start sending."""
         self.thread.start()
 
     def stop(self) -> None:
-        """End it."""
+        """Stop sending and close the socket."""
         self.stopping.set()
         self.thread.join()
         self.sock.close()
@@ -68,7 +65,7 @@
                         self.sock.sendto(raw, address)
                         self.sent += 1
                     except OSError:
-                        continue  # nobody listens there now
+                        continue  # nothing listens on that address now
 
     def _false_messages(self, number: int) -> list[bytes]:
         reports = [
--- a/packages/emulators/src/fennelcove/emulators/disk.py
+++ b/packages/emulators/src/fennelcove/emulators/disk.py
@@ -1,4 +1,4 @@
-"""A stand-in disk that forgets: what was not synced is lost, torn or out of order when the power goes."""
+"""An emulated disk: on a power failure, unsynced writes are lost, torn or reordered."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class PowerCut(Exception):
-    """The power goes at this call."""
+    """The power fails at this call."""
 
 
 @dataclass(slots=True)
 class FileState:
-    """One file: what is on the platters, and the writes since, in order."""
+    """One file: its durable content, and the unsynced writes in order."""
 
     synced: bytes = b""
-    is_name_durable: bool = False  # its name is on the platters
+    is_name_durable: bool = False  # its directory entry is synced
     pending: list[tuple[int, bytes | None]] = field(
         default_factory=list
-    )  # an offset and bytes; None cuts there
+    )  # offset and data; None truncates the file there
 
     def current(self) -> bytes:
-        """As this life sees it."""
+        """Return the content that the running process reads."""
         return apply_writes(self.synced, self.pending)
 
 
 def apply_writes(raw: bytes, writes: list[tuple[int, bytes | None]]) -> bytes:
-    """A file after some writes; a hole reads as zeros."""
+    """Return the content of a file after some writes; holes read as zeros."""
     for offset, data in writes:
         raw = (
             raw[:offset]
@@ -39,13 +39,13 @@
 
 
 class StandInDisk:
-    """One folder; counts every call, and cuts the power at a stated one."""
+    """One directory; counts the calls and raises `PowerCut` after `cut_at` of them."""
 
     def __init__(
         self, files: dict[str, bytes] | None = None, cut_at: int | None = None, most: int = 10**9
     ) -> None:
         self.files = {name: FileState(raw, True) for name, raw in (files or {}).items()}
-        self.removed: dict[str, FileState] = {}  # removed, and the folder not synced since
+        self.removed: dict[str, FileState] = {}  # removed, but the directory is not synced yet
         self.cut_at = cut_at
         self.most = most
         self.calls = 0
@@ -56,15 +56,15 @@
             raise PowerCut
 
     def list_names(self) -> list[str]:
-        """As a folder lists them."""
+        """Return the file names, sorted."""
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
-        """As this life sees it."""
+        """Return the content that the running process reads."""
         return self.files[name].current()
 
     def append(self, name: str, raw: bytes) -> None:
-        """At the end, synced or not; past the disk's size as much as fits, then ENOSPC."""
+        """Append to a file; on a full disk write as much as fits and raise ENOSPC."""
         self._count_call()
         file = self.files.setdefault(name, FileState())
         offset = len(file.current())
@@ -75,33 +75,35 @@
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def truncate(self, name: str, size: int) -> None:
-        """Shorten."""
+        """Truncate a file to this size."""
         self._count_call()
         self.files[name].pending.append((size, None))
 
     def sync(self, name: str) -> None:
-        """All of it is on the platters; its name may not be."""
+        """Make the content of a file durable, but not its directory entry."""
         self._count_call()
         file = self.files[name]
         file.synced, file.pending = file.current(), []
 
     def sync_folder(self) -> None:
-        """All names are on the platters."""
+        """Make all directory entries and removals durable."""
         self._count_call()
         for file in self.files.values():
             file.is_name_durable = True
         self.removed.clear()
 
     def remove(self, name: str) -> None:
-        """A name is gone, once the folder is synced."""
+        """Remove a file; durable once the directory is synced."""
         self._count_call()
         file = self.files.pop(name)
         if file.is_name_durable:
             self.removed[name] = file
 
     def after_power_cut(self) -> Iterator[dict[str, bytes]]:
-        """What the next life may find: each file with none, all, the first half torn, or only the last of its
-        unsynced writes; names that were not synced there or not, removed ones there or not.
+        """Yield the directory contents that may be found after a power failure.
+
+        Each file has its synced content, all of its unsynced writes, a prefix of them with the next one torn,
+        or only the last one. Unsynced directory entries and removals may or may not have taken effect.
         """
         choices: list[list[tuple[str, bytes | None]]] = []
         for name, file in {**self.removed, **self.files}.items():
--- a/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
+++ b/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
@@ -1,4 +1,4 @@
-"""A stand-in list service: whole lists and changes, pushed late, or out of reach."""
+"""An emulated endpoint list service: sends full lists and deltas, and can be made unreachable."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Known:
-    """One box as the service knows it; started None is long ago."""
+    """One server in the list; `started_us` is None if it has been running for a long time."""
 
     address: str
     zone: str
@@ -35,7 +35,10 @@
 
 
 class StandInLists:
-    """Versions of one list. `publish` makes a version; each stream sends what it has not sent yet."""
+    """Serves the versions of one list.
+
+    `publish` creates a version; each event stream sends the changes that its client does not have yet.
+    """
 
     def __init__(self, clock: Clock, recorder: Recorder) -> None:
         self.clock = clock
@@ -44,23 +47,25 @@
         self.versions: list[dict[str, Known]] = [{}]
         self.changed = threading.Condition()
         self.stopped = False
-        self.raw_events: list[bytes] = []  # bodies sent as they are, once each, by tests of bad lists
+        self.raw_events: list[
+            bytes
+        ] = []  # event bodies sent unchanged, once per stream, for tests of invalid lists
         self.server = StandInServer(self._handle, "lists")
         self.address = self.server.address
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self.server.start()
 
     def stop(self) -> None:
-        """End everything."""
+        """Close all streams and stop listening."""
         with self.changed:
             self.stopped = True
             self.changed.notify_all()
         self.server.stop()
 
     def publish(self, *servers: Known) -> None:
-        """A new version in which these boxes stand as given; those that have left are named once more."""
+        """Create a version with these servers added or changed; state "left" is listed a last time."""
         with self.changed:
             for server in servers:
                 self.servers[server.address] = server
@@ -68,20 +73,20 @@
             self.changed.notify_all()
 
     def forget(self) -> None:
-        """It knows no more than its first list, under its number: what was restored from a copy."""
+        """Go back to the first published version and its number, as after a restore from a backup."""
         with self.changed:
             self.versions = self.versions[:2]
             self.servers = dict(self.versions[-1])
 
     def send_raw(self, body: bytes) -> None:
-        """Push these bytes as a list event on every stream."""
+        """Send these bytes as a list event on every stream."""
         with self.changed:
             self.raw_events.append(body)
             self.changed.notify_all()
 
     @property
     def version(self) -> int:
-        """The newest version."""
+        """The number of the latest version."""
         return len(self.versions) - 1
 
     def _list_entries(self, servers: list[Known]) -> list[ListedBox]:
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/__init__.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Relays on loopback between all parties of a day, and the faults that they make."""
+"""A loopback fault proxy: relays traffic between all parties of a scenario and injects network faults."""
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/faults.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/faults.py
@@ -1,4 +1,7 @@
-"""What goes wrong between two parties, by rule. No sockets, no clock, no chance but what is handed in."""
+"""Network fault rules between two parties.
+
+Pure functions and data: no sockets, no clock, and randomness only from the given source.
+"""
 
 from __future__ import annotations
 
@@ -6,26 +9,29 @@
 from dataclasses import dataclass
 from enum import Enum
 
-Party = frozenset[str]  # every name that a party goes by: its own, its kind's, its hall's
+Party = frozenset[str]  # all names of a party: its own, that of its kind, that of its zone
 
 
 class How(Enum):
-    """What a fault does to one direction between two parties."""
+    """The effect of a fault on one direction between two parties; scenario scripts name the values."""
 
-    SILENT = "silent"  # bytes stay where they are until it heals; datagrams are gone
-    RESET = "reset"  # open connections are reset, and so are new ones
-    REFUSE = "refuse"  # new connections are reset at once; open ones go on
-    DELAY = "delay"  # value: milliseconds, and up to half as much again
-    THROTTLE = "throttle"  # value: kB a second on each connection
-    CUT = "cut"  # each connection is reset in the middle of the next that is sent on it
-    DROP = "lose"  # share: of datagrams
-    DUPLICATE = "double"  # share: of datagrams, the second up to value milliseconds later
-    REORDER = "reorder"  # share: of datagrams, each up to value milliseconds late
+    SILENT = "silent"  # data is held back until the fault ends; datagrams are lost
+    RESET = "reset"  # open and new connections are reset
+    REFUSE = "refuse"  # new connections are reset; open ones are unaffected
+    DELAY = "delay"  # value: milliseconds, plus a random 0 to 50 %
+    THROTTLE = "throttle"  # value: kB per second on each connection
+    CUT = "cut"  # each connection is reset halfway through the next data sent on it
+    DROP = "lose"  # share: fraction of datagrams lost
+    DUPLICATE = "double"  # share: fraction of datagrams sent twice, the copy up to `value` milliseconds later
+    REORDER = "reorder"  # share: fraction of datagrams delayed, each by up to `value` milliseconds
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One rule: what `sender` sends to `taker` suffers. Either names a party or a group of them."""
+    """A rule for the traffic from `sender` to `receiver`.
+
+    Each is "all", or the name of a party or of a group of parties, or several names separated by "|".
+    """
 
     sender: str
     receiver: str
@@ -34,7 +40,7 @@
     share: float = 1.0
 
     def applies_to(self, sender: Party, receiver: Party) -> bool:
-        """Whether it concerns this direction."""
+        """Whether the rule applies to traffic from this sender to this receiver."""
         return _matches(self.sender, sender) and _matches(self.receiver, receiver)
 
 
@@ -43,38 +49,40 @@
 
 
 class Rules:
-    """The faults in force. What they mean for one direction is worked out once: it is asked several times for
-    each piece that passes, and with four faults that was a quarter of what a report cost.
+    """The active faults, with the effects on each direction cached.
+
+    The effects are looked up several times for each chunk of data; without the cache and with four faults
+    this was a quarter of the cost of relaying a report.
     """
 
     def __init__(self, faults: Iterable[Fault] = ()) -> None:
         self.faults = tuple(faults)
-        self.found: dict[tuple[Party, Party], tuple[list[Fault], set[How]]] = {}
+        self.effects_by_direction: dict[tuple[Party, Party], tuple[list[Fault], set[How]]] = {}
 
     def between(self, sender: Party, receiver: Party) -> list[Fault]:
-        """The faults in one direction."""
+        """Return the faults that apply to one direction."""
         return self._effects(sender, receiver)[0]
 
     def kinds(self, sender: Party, receiver: Party) -> set[How]:
-        """What they do, taken together."""
+        """Return the kinds of the faults that apply to one direction."""
         return self._effects(sender, receiver)[1]
 
     def _effects(self, sender: Party, receiver: Party) -> tuple[list[Fault], set[How]]:
-        found = self.found.get((sender, receiver))
-        if found is None:
+        effects = self.effects_by_direction.get((sender, receiver))
+        if effects is None:
             faults = [fault for fault in self.faults if fault.applies_to(sender, receiver)]
-            found = self.found[sender, receiver] = faults, {fault.kind for fault in faults}
-        return found
+            effects = self.effects_by_direction[sender, receiver] = faults, {fault.kind for fault in faults}
+        return effects
 
 
 def total_delay_us(faults: Iterable[Fault], draw: Callable[[], float]) -> int:
-    """How late the faults make what passes now, in microseconds."""
+    """Return the delay for data sent now, in microseconds; several delays add up."""
     delays = [fault for fault in faults if fault.kind is How.DELAY]
     return round(sum(fault.value * (1 + draw() / 2) for fault in delays) * 1000)
 
 
 def datagram_delays_us(faults: Iterable[Fault], draw: Callable[[], float]) -> list[int]:
-    """When each copy of a datagram arrives, in microseconds from now; none where it is lost."""
+    """Return the delay of each copy of a datagram in microseconds; empty if it is lost."""
     faults = list(faults)
     base_us, copies = total_delay_us(faults, draw), 1
     extra_us = 0
@@ -86,10 +94,10 @@
             copies = 2
         if fault.kind is How.REORDER and is_affected:
             extra_us = round(fault.value * 1000 * draw())
-    again_us = max((round(f.value * 1000 * draw()) for f in faults if f.kind is How.DUPLICATE), default=0)
-    return [base_us + extra_us, base_us + extra_us + again_us][:copies]
+    duplicate_us = max((round(f.value * 1000 * draw()) for f in faults if f.kind is How.DUPLICATE), default=0)
+    return [base_us + extra_us, base_us + extra_us + duplicate_us][:copies]
 
 
 def throttle_kb(faults: Iterable[Fault]) -> float | None:
-    """The least rate that a direction is throttled to, in kB a second; None where it is not."""
+    """Return the lowest rate that a direction is throttled to, in kB per second, or None."""
     return min((fault.value for fault in faults if fault.kind is How.THROTTLE), default=None)
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/gauge.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/gauge.py
@@ -1,8 +1,8 @@
-"""Measures how late a day's rig is itself: a request through the relays to a server that does nothing.
+"""Measures the latency of the test rig itself with requests through the relays to a server that does nothing.
 
-Viewers, relays and boxes of a day share one interpreter, and that shares the machine. Where either is full,
-an answer that a front gave in time is heard late, and joins are given up that a box had begun: without a
-measure beside them nobody can tell such a day from one on which fronts were late.
+Clients, relays and emulated servers of a scenario share one interpreter and one machine. When either is
+overloaded, responses that a front sent in time are received late, and attempts time out that a server had
+started. This measurement tells such a run from one in which the fronts were slow.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 PROBE_INTERVAL_S = 0.1
 TIMEOUT_S = 5.0
-REPORT_THRESHOLD_MS = 100.0  # what is shorter is the usual time of a loaded rig
+REPORT_THRESHOLD_MS = 100.0  # shorter times are normal for a loaded rig
 
 
 class Gauge:
-    """Asks again and again, one request at a time; writes down what took long."""
+    """Sends one request at a time at a fixed interval and records the slow ones."""
 
     def __init__(self, clock: Clock, recorder: Recorder, relays: Relays) -> None:
         self.clock = clock
@@ -36,12 +36,12 @@
         self.thread = threading.Thread(target=self._run, name="gauge-asks")
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start the server and the probing thread."""
         self.server.start()
         self.thread.start()
 
     def stop(self) -> None:
-        """End it; before the relays."""
+        """Stop probing; call this before the relays are stopped."""
         self.stopping.set()
         self.thread.join()
         self.server.stop()
@@ -50,9 +50,9 @@
         player = Player(self.address, self.clock)
         while not self.stopping.wait(PROBE_INTERVAL_S):
             began_us = self.clock.now_us()
-            with suppress(Unanswered):  # for as long as it waited it was late, which is what counts here
+            with suppress(Unanswered):  # a timeout counts with the time waited
                 player.ask("GET", "/", [], b"", TIMEOUT_S)
-            player.close()  # viewers dial anew for each set-up, and so is this one's way
+            player.close()  # clients open a new connection for each set-up, so the probe does too
             self.probes_sent += 1
             elapsed_ms = (self.clock.now_us() - began_us) / 1000
             if elapsed_ms >= REPORT_THRESHOLD_MS:
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/relay.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/relay.py
@@ -1,10 +1,10 @@
-"""Carries bytes and datagrams between parties, on one thread, with the faults in force.
+"""Relays TCP connections and UDP datagrams between parties on one thread and applies the active faults.
 
-A listener stands for a party towards all others; who dials is told by the address that it dials from. A
-kernel on loopback completes each connection before we see it, so one that must not come up is reset at once,
-and one across a silent cut comes up and says nothing; the other side hears of it when the cut heals, and only
-if its caller still waits. In a network its first packet would have been lost: what a caller wrote and gave up
-on must not come all at once, long after, out of a connection that never was.
+Each party has a listener that all others connect to; a connecting party is identified by its source address.
+On loopback the kernel completes a connection before the relay sees it. A connection that must fail is
+therefore reset right after it was accepted. One made during a silent partition is accepted but not forwarded
+until the partition ends, and only if its client is still connected: in a real network its SYN would have been
+lost, so data of an abandoned connection must not arrive long afterwards.
 """
 
 from __future__ import annotations
@@ -33,30 +33,32 @@
 )
 
 READ_BYTES = 65_536
-MAX_QUEUED_BYTES = 1_000_000  # bytes of one direction; past it its sender has to wait, as in any network
-MAX_ACCEPTS_PER_TURN = 64  # at one listener in one turn of the loop
-MAX_DELAYED_DATAGRAMS = 10_000  # in the air; past it they are lost
+MAX_QUEUED_BYTES = 1_000_000  # per direction; above this the sender is blocked (TCP back-pressure)
+MAX_ACCEPTS_PER_TURN = 64  # per listener and loop iteration
+MAX_DELAYED_DATAGRAMS = 10_000  # further delayed datagrams are dropped
 MAX_WAIT_S = 0.5
-UNNAMED_PARTY: Party = frozenset({"viewers"})  # who dials from an address without a name
+UNNAMED_PARTY: Party = frozenset({"viewers"})  # a client whose source address has no party assigned
 
 
 @dataclass(slots=True, eq=False)
 class _Endpoint:
-    """One endpoint of a relayed connection: what it sends goes to `other`."""
+    """One end of a relayed connection; data received from it is sent to `peer`."""
 
     sock: socket.socket
     party: Party
     peer: _Endpoint | None = None
-    queue: deque[tuple[int, bytes]] = field(default_factory=deque)  # for this endpoint, with when it is due
-    queued_bytes: int = 0  # bytes of them
-    has_finished: bool = False  # it has sent its last
-    next_send_us: int = 0  # when a throttled direction towards it may go on
+    queue: deque[tuple[int, bytes]] = field(
+        default_factory=deque
+    )  # data to send to this endpoint, each with its due time
+    queued_bytes: int = 0  # size of the data in `queue`
+    has_finished: bool = False  # it has shut down its sending side
+    next_send_us: int = 0  # earliest time of the next send on a throttled direction
     closed: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class _Listener:
-    """A listener that stands for one party."""
+    """A listening socket in front of one party."""
 
     sock: socket.socket
     party: Party
@@ -65,7 +67,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingConnection:
-    """A connection that was dialled across a silent cut: nobody on the other side has heard of it."""
+    """A connection accepted during a silent partition and not yet forwarded to its target."""
 
     sock: socket.socket
     client: Party
@@ -74,17 +76,17 @@
 
 @dataclass(slots=True, eq=False)
 class _DatagramRelay:
-    """A socket at which one front posts what is for another."""
+    """The UDP socket to which one front sends its datagrams for another."""
 
     sock: socket.socket
     sender: Party
     receiver: Party
     target: tuple[str, int]
-    reverse: _DatagramRelay | None = None  # what the taker knows the sender by
+    reverse: _DatagramRelay | None = None  # the relay whose address the receiver knows the sender by
 
 
 class Relays:
-    """All relays of one day. `listener` and `relay` before or after `start`; faults by `set` at any time."""
+    """All relays of one scenario. Relays can be added before or after `start`, and faults set at any time."""
 
     def __init__(self, clock: Clock, draw: Callable[[], float]) -> None:
         self.clock = clock
@@ -98,10 +100,10 @@
         self.pending: list[_PendingConnection] = []
         self.backlogged: set[_Endpoint] = (
             set()
-        )  # those for which something waits: all were looked at for each byte once
+        )  # endpoints with queued data, so that others need not be checked
         self.delayed_datagrams: list[tuple[int, int, socket.socket, bytes, tuple[str, int]]] = []
         self.sequence_numbers = count()
-        self.counts: Counter[str] = Counter()  # "connections front-0 box-3" and the like
+        self.counts: Counter[str] = Counter()  # for example "connections fronts boxes"
         self.wake_receiver, self.wake_sender = socket.socketpair()
         self.wake_receiver.setblocking(False)
         self.selector.register(self.wake_receiver, selectors.EVENT_READ, None)
@@ -110,11 +112,11 @@
         self.thread = threading.Thread(target=self._run, name="relays")
 
     def name(self, host: str, party: Party) -> None:
-        """Who dials from this address."""
+        """Assign a party to connections from this source address."""
         self.parties_by_host[host] = party
 
     def door(self, target: str, party: Party) -> str:
-        """A listener in front of `target`; the address to give to others."""
+        """Open a listener that forwards to `target`, and return its address."""
         listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         listener.setblocking(False)
         address = "{}:{}".format(*listener.getsockname())
@@ -123,12 +125,13 @@
         return address
 
     def post(self, addresses: list[str], parties: list[Party]) -> list[list[str]]:
-        """Relays for datagrams between fronts that listen at these addresses; for each front the addresses by
-        index as it is to know them, its own unchanged.
+        """Open datagram relays between all pairs of fronts that listen on these addresses.
+
+        Returns for each front the list of addresses at which it reaches the others; its own is unchanged.
         """
         size = range(len(addresses))
         relays = {
-            (i, j): _DatagramRelay(_datagrams(), parties[i], parties[j], _address(addresses[j]))
+            (i, j): _DatagramRelay(_datagram_socket(), parties[i], parties[j], _address(addresses[j]))
             for i in size
             for j in size
             if i != j
@@ -142,7 +145,7 @@
         ]
 
     def shut(self, address: str) -> None:
-        """What is behind this listener is gone: who dials it is refused, as where nothing listens."""
+        """Close the listener on this address, so that new connections to it are refused."""
         with self.lock:
             listener = self.listeners.get(address)
             if listener is None or listener.sock.fileno() < 0:
@@ -151,7 +154,7 @@
             listener.sock.close()
 
     def open(self, address: str) -> None:
-        """It is back."""
+        """Open the listener on this address again."""
         with self.lock:
             listener = self.listeners.get(address)
             if listener is None or listener.sock.fileno() >= 0:
@@ -162,17 +165,17 @@
         self._wake()
 
     def set(self, *faults: Fault) -> None:
-        """These faults are in force from now on, and no others."""
+        """Replace the active faults."""
         with self.lock:
             self.rules = Rules(faults)
         self._wake()
 
     def start(self) -> None:
-        """Begin to carry."""
+        """Start the relay thread."""
         self.thread.start()
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop the relay thread and close all sockets."""
         self.stopped = True
         self._wake()
         self.thread.join()
@@ -188,7 +191,7 @@
         self.selector.close()
 
     def told(self) -> dict[str, int]:
-        """What was carried so far: connections, datagrams."""
+        """Return the numbers of relayed connections and datagrams so far, by direction."""
         with self.lock:
             return dict(self.counts)
 
@@ -204,7 +207,7 @@
             self.wake_sender.send(b"!")
 
     def _run(self) -> None:
-        seen = self.rules
+        applied_rules = self.rules
         while not self.stopped:
             for key, mask in self.selector.select(self._wait_s()):
                 registered = key.data
@@ -217,9 +220,9 @@
                     self._relay_datagram(registered)
                 else:
                     self._on_ready(registered, mask)
-            if self.rules is not seen:
-                seen = self.rules
-                self._faults_changed()
+            if self.rules is not applied_rules:
+                applied_rules = self.rules
+                self._apply_fault_change()
             self._send_due()
 
     def _wait_s(self) -> float:
@@ -228,15 +231,15 @@
             due_us = self.delayed_datagrams[0][0]
         for endpoint in self.backlogged:
             at_us = max(endpoint.queue[0][0], endpoint.next_send_us)
-            if at_us > now_us:  # what is due and still waits, waits for its socket
+            if at_us > now_us:  # data that is already due waits for a writable socket, not for a time
                 due_us = at_us if due_us is None else min(due_us, at_us)
         return MAX_WAIT_S if due_us is None else min(MAX_WAIT_S, max(0.0, (due_us - now_us) / 1e6))
 
     # Connections.
 
     def _accept(self, listener: _Listener) -> None:
-        # All that wait: one at each turn of the loop was less than a flood brings, and callers stood for
-        # seconds in front of doors behind which nobody was busy.
+        # One connection per loop iteration could not keep up with a flood: clients then waited for seconds
+        # although the servers behind the listener were idle.
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock, (host, _) = listener.sock.accept()
@@ -257,7 +260,7 @@
             self.pending.append(connection)
             return
         try:
-            # On loopback this neither waits nor is it a network: what is refused is refused now.
+            # On loopback a connect never blocks: it succeeds or is refused at once.
             server_sock = socket.create_connection(listener.target, 1.0)
         except OSError:
             _reset(sock)
@@ -273,7 +276,10 @@
             self._update_events(endpoint)
 
     def _update_events(self, endpoint: _Endpoint) -> None:
-        """Wait for what this endpoint may do now: to send unless its direction is silent or its peer full."""
+        """Register for the events this endpoint can handle now.
+
+        It is not read from while its direction is silent or the queue of its peer is full.
+        """
         if endpoint.closed or endpoint.peer is None:
             return
         events = 0
@@ -283,12 +289,12 @@
         now_us = self.clock.now_us()
         if endpoint.queue and endpoint.queue[0][0] <= now_us and endpoint.next_send_us <= now_us:
             events |= selectors.EVENT_WRITE
-        known = endpoint.sock in self.selector.get_map()
-        if events and known:
+        is_registered = endpoint.sock in self.selector.get_map()
+        if events and is_registered:
             self.selector.modify(endpoint.sock, events, endpoint)
         elif events:
             self.selector.register(endpoint.sock, events, endpoint)
-        elif known:
+        elif is_registered:
             self.selector.unregister(endpoint.sock)
 
     def _on_ready(self, endpoint: _Endpoint, mask: int) -> None:
@@ -315,7 +321,7 @@
             rules.kinds(endpoint.party, peer.party),
         )
         if How.SILENT in kinds_found and data:
-            # The fault came between the look and the read; what was read waits on this side of the cut.
+            # The fault began after the socket was polled; hold the data until it ends.
             due_us = 1 << 62
         else:
             due_us = self.clock.now_us() + total_delay_us(faults, self.draw)
@@ -334,16 +340,18 @@
         self._update_events(endpoint)
 
     def _write(self, endpoint: _Endpoint) -> None:
-        """Send what is due to this endpoint; an empty piece is the other's endpoint of sending."""
+        """Send the data that is due to this endpoint; an empty item shuts down the sending side."""
         peer, now_us = endpoint.peer, self.clock.now_us()
         assert peer is not None
-        pace = throttle_kb(self.rules.between(peer.party, endpoint.party))
+        rate_kb = throttle_kb(self.rules.between(peer.party, endpoint.party))
         while endpoint.queue and endpoint.queue[0][0] <= now_us and endpoint.next_send_us <= now_us:
             due_us, data = endpoint.queue[0]
             try:
                 if data:
-                    piece = data if pace is None else data[: max(1, round(pace * 50))]  # 50 ms of it
-                    sent = endpoint.sock.send(piece)
+                    chunk = (
+                        data if rate_kb is None else data[: max(1, round(rate_kb * 50))]
+                    )  # 50 ms worth of data
+                    sent = endpoint.sock.send(chunk)
                 else:
                     sent = 0
                     endpoint.sock.shutdown(socket.SHUT_WR)
@@ -357,8 +365,8 @@
                 endpoint.queue[0] = (due_us, data[sent:])
             else:
                 endpoint.queue.popleft()
-            if pace is not None and sent:
-                endpoint.next_send_us = now_us + round(sent / pace * 1000)
+            if rate_kb is not None and sent:
+                endpoint.next_send_us = now_us + round(sent / rate_kb * 1000)
         (self.backlogged.add if endpoint.queue else self.backlogged.discard)(endpoint)
         if endpoint.has_finished and peer.has_finished and not endpoint.queue and not peer.queue:
             self._close(endpoint)
@@ -368,7 +376,7 @@
         self._update_events(peer)
 
     def _reset_both(self, endpoint: _Endpoint) -> None:
-        """Reset both ends."""
+        """Reset both endpoints of a connection."""
         for each in (endpoint, endpoint.peer):
             if each is not None and not each.closed:
                 with suppress(OSError):
@@ -384,7 +392,7 @@
             self.endpoints.discard(endpoint)
             self.backlogged.discard(endpoint)
 
-    def _faults_changed(self) -> None:
+    def _apply_fault_change(self) -> None:
         pending, self.pending = self.pending, []
         for connection in pending:
             if _is_closed_by_peer(connection.sock):
@@ -398,7 +406,7 @@
             if How.RESET in kinds_found:
                 self._reset_both(endpoint)
                 continue
-            if How.SILENT not in kinds_found:  # what a cut had held back goes on
+            if How.SILENT not in kinds_found:  # release the data held back by a silent partition
                 now_us = self.clock.now_us()
                 endpoint.peer.queue = deque((min(due_us, now_us) if due_us >= 1 << 62 else due_us, data)
                                           for due_us, data in endpoint.peer.queue)  # fmt: skip
@@ -424,7 +432,7 @@
         try:
             raw = relay.sock.recv(READ_BYTES)
         except OSError:
-            return  # a refused datagram of ours comes back as an error of the socket
+            return  # an ICMP error for an earlier datagram is reported by the socket
         with self.lock:
             self.counts[f"datagrams {party_kind(relay.sender)} {party_kind(relay.receiver)}"] += 1
         assert relay.reverse is not None
@@ -443,7 +451,7 @@
 
 
 def party_kind(party: Party) -> str:
-    """The shortest way to name a party's kind: fronts, boxes, lists, viewers."""
+    """Return the kind of a party for counter names: fronts, boxes, lists, viewers or others."""
     return next((kind for kind in ("fronts", "boxes", "lists", "viewers") if kind in party), "others")
 
 
@@ -452,7 +460,7 @@
     return host, int(port)
 
 
-def _datagrams() -> socket.socket:
+def _datagram_socket() -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     sock.setblocking(False)
@@ -460,7 +468,7 @@
 
 
 def _is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the other endpoint has closed; what it wrote before may still be unread."""
+    """Whether the remote end has closed, even if data sent before is still unread."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
--- a/packages/emulators/src/fennelcove/emulators/media_server.py
+++ b/packages/emulators/src/fennelcove/emulators/media_server.py
@@ -1,4 +1,7 @@
-"""A stand-in box: serves set-ups, orders and feeds by its model, with faults switched on by a script."""
+"""An emulated media server: serves set-ups, commands and event streams according to its capacity model.
+
+Faults are switched on and off by tests and scenarios.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 
 JSON = ("Content-Type", "application/json")
 MAX_HANG_S = 30.0
-MAX_RELEASED = 1000
+MAX_RELEASED = 1000  # remembered releases
 _SETUP_DECODER: msgspec.json.Decoder[JoinOrder] = msgspec.json.Decoder(JoinOrder)
 _MARK_DECODER: msgspec.json.Decoder[Mark] = msgspec.json.Decoder(Mark)
 _RUNG_DECODER: msgspec.json.Decoder[RungOrder] = msgspec.json.Decoder(RungOrder)
@@ -43,36 +46,39 @@
 
 @dataclass(slots=True)
 class ServerFaults:
-    """What is wrong with a box now; all off by default."""
+    """The active faults of a server; all are off by default."""
 
-    hang: bool = False  # takes requests and never answers
+    hang: bool = False  # accepts requests and never responds
     slow_ms: float = 0.0
-    errors: bool = False  # answers 500 at once
-    reset: bool = False  # resets after the request was read
-    half: bool = False  # half an answer, then an end
-    garbage: bool = False
-    full: bool = False  # says duress, goes on accepting
-    lies: float | None = None  # the load it reports instead of the true one
-    mute: bool = False  # reports stop
+    errors: bool = False  # responds with status 500 at once
+    reset: bool = False  # resets the connection after reading the request
+    half: bool = False  # sends half of a response, then closes
+    garbage: bool = False  # responds with bytes that are not HTTP
+    full: bool = False  # reports overload, but still accepts set-ups
+    lies: float | None = None  # the load reported instead of the actual one
+    mute: bool = False  # sends no load reports
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """How long a set-up takes at a box; times in milliseconds."""
+    """The duration of set-ups at a server; times in milliseconds."""
 
     usual_ms: float = 0.0
     slow_ms: float = 0.0
     slow_titles: frozenset[str] = frozenset()
-    knee: int = 0  # set-ups at once, past which each takes longer in proportion
+    knee: int = 0  # concurrent set-ups above which the duration grows in proportion; 0 for no limit
 
     def duration_ms(self, title: str, at_once: int) -> float:
-        """For how long one is held that begins as one of so many."""
+        """Return the duration of a set-up that is one of `at_once` concurrent ones."""
         delay_ms = self.slow_ms if title in self.slow_titles else self.usual_ms
         return delay_ms * max(1.0, at_once / self.knee) if self.knee else delay_ms
 
 
 class StandInBox:
-    """One box on a loopback port."""
+    """One server on a loopback port.
+
+    `address` is the address used in the server list and in recordings; it may be that of a relay in front.
+    """
 
     def __init__(
         self, name: str, model: BoxModel, clock: Clock, recorder: Recorder, report_interval_s: float
@@ -91,7 +97,7 @@
         self.orders: dict[tuple[str, int], JoinOrder] = {}
         self.released_keys: OrderedDict[tuple[str, int], None] = (
             OrderedDict()
-        )  # a release may overtake its set-up
+        )  # a release may arrive before its set-up
         self.marks: dict[tuple[str, int], str] = {}
         self.has_title: Callable[[str], bool] = lambda title: True
         self.stopped = False
@@ -99,23 +105,23 @@
         self.address = self.server.address
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self.server.start()
 
     def stop(self) -> None:
-        """End everything."""
+        """Close all connections and stop listening."""
         with self.changed:
             self.stopped = True
             self.changed.notify_all()
         self.server.stop()
 
     def die(self) -> None:
-        """The process dies: nothing listens, all connections are cut, all that played is lost."""
+        """Emulate a process crash: stop listening, cut all connections and lose all sessions."""
         with self.lock:
             if not self.model.up:
                 return
             self.model.up = False
-        # The listener goes first: a process that is gone greets nobody once more.
+        # Close the listener first, so that no new event stream gets a hello from a crashed process.
         self.server.down()
         with self.changed:
             self.model.stop()
@@ -124,7 +130,7 @@
         self.recorder.note("box_died", box=self.address)
 
     def restart(self) -> None:
-        """A new process on the same port, cold."""
+        """Start a new, cold process on the same port."""
         with self.lock:
             self.incarnation += 1
             self.model.start(self.clock.now_us())
@@ -132,7 +138,7 @@
         self.server.up()
 
     def cmsd_value(self) -> str:
-        """The CMSD-Dynamic value of an answer."""
+        """Return the CMSD-Dynamic value of a response."""
         link = self.model.asked() if self.faults.lies is None else self.faults.lies
         values: dict[str, int | float | str | bool | bytes] = {
             cmsd.LINK_KEY: round(link, 3),
@@ -189,7 +195,7 @@
         with self.lock:
             self.setups_in_progress -= 1
         if is_abandoned:
-            # The front has given up; a box that is slow and not hung still does the work.
+            # The front has cancelled the request, but a slow server still completes the set-up.
             with self.lock:
                 if key not in self.released_keys:
                     self.model.set_up(key, order.rate_kb, self.clock.now_us())
@@ -206,7 +212,7 @@
             if result is SetUp.STARTED:
                 self.orders[key] = order
         if result is None:
-            # Begun after its release, it would play for nobody, and nobody would ever release it.
+            # The release came first: a session started now would have no client and never be released.
             self.recorder.note("set_up_over", **record_fields, how="taken_back")
             return peer.send(self._reply(410))
         if result is SetUp.FELL:
@@ -260,7 +266,7 @@
         return peer.send(self._reply(204))
 
     def _media(self, parts: list[str], query: dict[str, list[str]], peer: Peer) -> bool:
-        """A segment or an initialisation: a few bytes that stand for it."""
+        """Serve a segment or an initialization segment: a few bytes of placeholder content."""
         _, title, rung, name = parts
         record_fields = {"box": self.address, "media": title, "rung": int(rung), "name": name}
         session = query.get("subscription", [""])[0]
@@ -279,7 +285,7 @@
         return peer.send(self._reply(200, f"{title}/{rung}/{name}".encode()))
 
     def end_session(self, key: tuple[str, int]) -> None:
-        """A player is gone: its box notices and says so on the feeds."""
+        """End a session whose player has disappeared, and report it on the event streams."""
         with self.changed:
             if self.model.playing.pop(key, None) is not None:
                 self.orders.pop(key, None)
--- a/packages/emulators/src/fennelcove/emulators/model.py
+++ b/packages/emulators/src/fennelcove/emulators/model.py
@@ -1,4 +1,7 @@
-"""What a box is like inside: its link, its rack's uplink, its places, its warm-up. No sockets, no clock."""
+"""Capacity model of an emulated server: its link, its rack's uplink, its session slots and its warm-up.
+
+Pure state: no sockets and no clock.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class SetUp(Enum):
-    """What became of a set-up."""
+    """The result of a set-up: started, rejected, or the server crashed."""
 
     STARTED = auto()
     TURNED_AWAY = auto()
@@ -17,19 +20,23 @@
 
 @dataclass(slots=True, eq=False)
 class RackModel:
-    """The uplink that a rack's boxes share, in kB a second."""
+    """A rack whose servers share one uplink; the rate is in kB per second."""
 
     uplink_kb: float
     boxes: list[BoxModel] = field(default_factory=list)
 
     def asked(self) -> float:
-        """What is asked of the uplink over what it gives."""
+        """Return the demand on the uplink relative to its capacity."""
         return sum(box.demand_kb() for box in self.boxes if box.up) / self.uplink_kb
 
 
 @dataclass(slots=True, eq=False)
 class BoxModel:
-    """One box; rates in kB a second, times in microseconds."""
+    """One server; rates in kB per second, times in microseconds.
+
+    A server that is warming up crashes when more than `fall_multiple` times the set-ups it can take arrive
+    within `tip_after_us`. With a `guard` above 0 it rejects set-ups at that link utilization.
+    """
 
     link_kb: float
     streams: int
@@ -40,36 +47,36 @@
     tip_after_us: int
     guard: float = 0.0
     up: bool = True
-    started_us: int | None = None  # None: long ago
-    others_kb: float = 0.0  # another program on the same link
+    started_us: int | None = None  # None if it has been running for a long time
+    others_kb: float = 0.0  # traffic of another program on the same link
     playing: dict[tuple[str, int], float] = field(default_factory=dict)
     recent_setups_us: deque[int] = field(default_factory=deque)
 
     def demand_kb(self) -> float:
-        """The rates of all that plays, and of the other program."""
+        """Return the total rate of all sessions and of the other program."""
         return sum(self.playing.values()) + self.others_kb
 
     def asked(self) -> float:
-        """What is asked of the link over what it gives."""
+        """Return the demand on the link relative to its capacity."""
         return self.demand_kb() / self.link_kb
 
     def delivered(self) -> float:
-        """The share of its rate that each subscription gets."""
+        """Return the fraction of its rate that each session gets."""
         return min(1.0, 1 / max(self.asked(), self.rack.asked(), 1e-9))
 
     def warm_up_factor(self, now_us: int) -> float:
-        """The share of its pace of set-ups that it has reached."""
+        """Return the fraction of its full set-up rate that the server has reached."""
         if self.started_us is None or now_us - self.started_us >= self.ramp_us:
             return 1.0
         progress = (now_us - self.started_us) / self.ramp_us
         return self.start_capacity + (1 - self.start_capacity) * progress
 
     def is_cold(self, now_us: int) -> bool:
-        """It has not warmed up yet."""
+        """Whether the server is still warming up."""
         return self.started_us is not None and now_us - self.started_us < self.ramp_us
 
     def set_up(self, key: tuple[str, int], rate_kb: float, now_us: int) -> SetUp:
-        """Take one set-up."""
+        """Process one set-up."""
         if self.is_cold(now_us):
             self.recent_setups_us.append(now_us)
             while self.recent_setups_us[0] < now_us - self.tip_after_us:
@@ -85,12 +92,12 @@
         return SetUp.STARTED
 
     def start(self, now_us: int) -> None:
-        """The process starts: cold, and holding nothing."""
+        """Start the process: cold and without sessions."""
         self.up, self.started_us = True, now_us
         self.playing.clear()
         self.recent_setups_us.clear()
 
     def stop(self) -> None:
-        """The process is gone, with all that it played."""
+        """Stop the process; all its sessions are lost."""
         self.up = False
         self.playing.clear()
--- a/packages/emulators/src/fennelcove/emulators/players.py
+++ b/packages/emulators/src/fennelcove/emulators/players.py
@@ -1,4 +1,4 @@
-"""Stand-in players: HLS manifests read by a parser that is not ours, segments fetched, stalls noted."""
+"""Emulated HLS players: they parse manifests with a third-party parser, fetch segments and record stalls."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 INTERSTITIAL = "com.apple.hls.interstitial"
 START_SEGMENTS = 2
-BUFFER_SEGMENTS = 2.5  # segments that a player keeps ahead
+BUFFER_SEGMENTS = 2.5  # target buffer length in segments
 MAX_TRIES = 40
 RETRY_PAUSE_S = 0.05
 
 
 class StandInPlayer(StandInViewer):
-    """A viewer that plays what its manifests say, in real time."""
+    """A client that plays its HLS media playlist in real time."""
 
     def _watch(self, player: Player, session: dict[str, Any]) -> None:
         self.record_fields = {"viewer": self.name, "subscription": session["id"]}
@@ -28,8 +28,8 @@
         self.play_end_us = 0
         self.seams = 0
         self.last_server = ""
-        self.seen_changes: set[str] = set()  # changes seen in a manifest
-        self.played_interstitials: set[str] = set()  # clips told apart that were played
+        self.seen_changes: set[str] = set()  # identifiers of the date ranges seen in a manifest
+        self.played_interstitials: set[str] = set()  # identifiers of the interstitials already played
         ended = False
         until_us = self.clock.now_us() + round(self.behavior.watch_s * 1e6)
         try:
@@ -62,7 +62,7 @@
             return None
 
     def _poll_playlist(self) -> bool:
-        """One manifest and what is new in it; whether the lesson is over."""
+        """Fetch the playlist and play its new segments; return whether playback has ended."""
         query = "?interstitials=1" if self.behavior.apart else ""
         response = self._request("GET", f"{self.path}/media.m3u8{query}", self.cmcd_headers())
         if response is None:
@@ -89,12 +89,12 @@
                 self.next_seq += 1
         is_over = playlist.is_endlist and self.next_seq == first + len(playlist.segments)
         if self.next_seq == first_wanted and not is_over:
-            # Half a target duration where nothing is new (RFC 8216, section 6.3.4).
+            # Half a target duration if the playlist has no new segment (RFC 8216, section 6.3.4).
             self.stopping.wait(playlist.target_duration / 2)
         return bool(is_over)
 
     def _on_daterange(self, daterange: Any, is_reached: bool) -> bool:
-        """A change is seen for the first time; one told apart is played where its place is reached."""
+        """Record a new date range, and play an interstitial once its position is reached."""
         if daterange.id not in self.seen_changes:
             self.seen_changes.add(daterange.id)
             self.recorder.note("sees", **self.record_fields, change=daterange.id)
@@ -116,7 +116,7 @@
         return True
 
     def _segment(self, segment: Any) -> bool:
-        """Fetch one segment when the buffer has room for it; False where it can't be had."""
+        """Fetch one segment once the buffer has room; return False if it is not available."""
         ahead_s = (self.play_end_us - self.clock.now_us()) / 1e6 if self.play_end_us else 0.0
         room_s = BUFFER_SEGMENTS * self.target_s
         if ahead_s > room_s:
@@ -136,12 +136,12 @@
         return False
 
     def _fetch(self, uri: str) -> str:
-        """The box that served it whole; nothing where it must be tried again."""
+        """Return the address of the server that delivered the segment, or "" if the request failed."""
         response = self._request("GET", f"{self.path}/{uri}", self.cmcd_headers())
         if response is None:
             return ""
         if response.status == 410:
-            # The subscription has ended, and its front says so: a loss, and no segment denied.
+            # The front reports the end of the session: recorded as a lost session, not as a denied segment.
             self.recorder.note(
                 "lost", **self.record_fields, status=response.status, detail=response.body.get("detail")
             )
--- a/packages/emulators/src/fennelcove/emulators/recorder.py
+++ b/packages/emulators/src/fennelcove/emulators/recorder.py
@@ -1,4 +1,4 @@
-"""Writes down what passed on the stand-ins' sockets: one record an event, with the time it was seen."""
+"""Records the events that the emulators observe, each with its time."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 
 
 class Recorder:
-    """Collects records from every stand-in of one day, in one order."""
+    """Collects the records of all emulators of one scenario in one sequence."""
 
     def __init__(self, clock: Clock, keep: bool = True) -> None:
         self.clock = clock
-        self.keep = keep  # a stand-in that runs without end must not grow without end
+        self.keep = keep  # False for an emulator that runs indefinitely: its memory use must not grow
         self.began_us = clock.now_us()
         self.records: list[Record] = []
         self.lock = threading.Lock()
 
     def note(self, what: str, **fields: Any) -> None:
-        """Write one record down, now."""
+        """Add a record of kind `what` with the current time."""
         if not self.keep:
             return
         with self.lock:
             self.records.append({"t_us": self.clock.now_us() - self.began_us, "what": what, **fields})
 
     def count(self, what: str) -> int:
-        """How many records of one kind there are."""
+        """Return the number of records of one kind."""
         with self.lock:
             return sum(1 for record in self.records if record["what"] == what)
 
 
 def save(records: list[Record], path: str) -> None:
-    """One JSON object a line."""
+    """Write the records to a file, one JSON object per line."""
     Path(path).write_bytes(b"".join(msgspec.json.encode(record) + b"\n" for record in records))
 
 
 def load(path: str) -> list[Record]:
-    """The records of a file.
+    """Read the records of a file.
 
     Raises:
-        OSError: the file can't be read.
-        ValueError: a line is no record; its number is named.
+        OSError: The file can't be read.
+        ValueError: A line is not a record; the message names the line number.
     """
     records = []
     for number, line in enumerate(Path(path).read_bytes().splitlines(), 1):
@@ -54,6 +54,6 @@
         except msgspec.DecodeError as error:
             raise ValueError(f"{path}:{number}: {error}") from None
         if not isinstance(record, dict) or "what" not in record or "t_us" not in record:
-            raise ValueError(f"{path}:{number}: no record with `what` and `t_us`")
+            raise ValueError(f"{path}:{number}: not a record: `what` and `t_us` are required")
         records.append(record)
     return records
--- a/packages/emulators/src/fennelcove/emulators/server.py
+++ b/packages/emulators/src/fennelcove/emulators/server.py
@@ -1,4 +1,4 @@
-"""A small threaded server for stand-ins, on the project's own codec."""
+"""A small threaded HTTP server for the emulators, based on the project's own HTTP/1.1 codec."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class Peer:
-    """One connection as the handler sees it."""
+    """One connection, for use by a request handler."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
 
     def send(self, raw: bytes) -> bool:
-        """Send; False where the peer is gone."""
+        """Send data; return False if the connection is closed."""
         try:
             self.sock.sendall(raw)
             return True
@@ -29,7 +29,7 @@
             return False
 
     def wait_closed(self, seconds: float) -> bool:
-        """Wait until the peer closes or sends; whether it did in time."""
+        """Wait until the peer closes the connection or sends data, and return whether it did so in time."""
         self.sock.settimeout(seconds)
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -40,15 +40,16 @@
             return True
 
     def reset(self) -> None:
-        """Close so that the peer sees a reset."""
+        """Close the connection with a TCP reset."""
         with suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
 
 class StandInServer:
-    """Listens until `stop`; can `down` and `up` again on the same port. A handler returns whether to go
-    on.
+    """Listens on a loopback port until `stop`; `down` and `up` stop and resume listening on the same port.
+
+    The handler returns whether the connection stays open.
     """
 
     def __init__(self, handler: Handler, name: str) -> None:
@@ -63,7 +64,7 @@
         self.acceptor: threading.Thread | None = None
 
     def start(self) -> None:
-        """Start to accept."""
+        """Start accepting connections."""
         self.acceptor = threading.Thread(target=self._accept, args=(self.listener,), name=self.name)
         self.acceptor.start()
 
@@ -73,7 +74,7 @@
         self.start()
 
     def down(self) -> None:
-        """Stop listening and cut every connection: what a process that dies leaves."""
+        """Stop listening and shut down every connection, as when a process crashes."""
         with suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
@@ -86,7 +87,7 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
     def stop(self) -> None:
-        """End everything and wait for the threads."""
+        """Stop listening, shut down every connection and wait for the threads."""
         self.down()
         with self.lock:
             threads = list(self.threads)
--- a/packages/emulators/src/fennelcove/emulators/sockets.py
+++ b/packages/emulators/src/fennelcove/emulators/sockets.py
@@ -1,4 +1,4 @@
-"""A stand-in player's end of a WebSocket: our codec's client side on a blocking socket."""
+"""WebSocket client of the emulators, based on the project's own codec and a blocking socket."""
 
 from __future__ import annotations
 
@@ -22,7 +22,11 @@
 
 
 class SocketPlayer:
-    """One connection to a front; what it hears waits in `heard` until it is asked for."""
+    """One connection to a front; received messages are queued until they are read.
+
+    Raises:
+        Unanswered: The connection or the handshake failed.
+    """
 
     def __init__(
         self,
@@ -92,7 +96,11 @@
             self.sock.sendall(raw)
 
     def tell(self, type: str, **fields: Any) -> str:
-        """Send one message with a fresh ref; the ref."""
+        """Send one message with a new `ref`, and return the `ref`; reports are sent without it.
+
+        Raises:
+            Unanswered: The connection is closed.
+        """
         self.last_ref += 1
         ref = f"r{self.last_ref}"
         message = {"type": type, **({} if type == "report" else {"ref": ref}), **fields}
@@ -104,10 +112,10 @@
         return ref
 
     def next(self, timeout_s: float) -> dict[str, Any] | None:
-        """The next message; None when time is up.
+        """Return the next message, or None after the time-out.
 
         Raises:
-            Unanswered: the connection is over and nothing is left.
+            Unanswered: The connection is closed and no message is left.
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         while not self.heard:
@@ -133,15 +141,19 @@
         return self.heard.popleft()
 
     def ask(self, type: str, timeout_s: float = 5.0, **fields: Any) -> dict[str, Any]:
-        """One request and its answer; news that come before it wait their turn.
+        """Send a request and return its response; events received before it stay queued.
 
         Raises:
-            Unanswered: none came in time.
+            Unanswered: No response was received in time.
         """
         return self.answer(self.tell(type, **fields), timeout_s)
 
     def answer(self, ref: str, timeout_s: float) -> dict[str, Any]:
-        """The answer to a request sent before."""
+        """Return the response to an earlier request.
+
+        Raises:
+            Unanswered: No response was received in time.
+        """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         deferred: list[dict[str, Any]] = []
         try:
@@ -156,10 +168,10 @@
             self.heard.extendleft(reversed(deferred))
 
     def news(self, type: str, timeout_s: float = 5.0) -> dict[str, Any]:
-        """The next message of a type; others before it are dropped.
+        """Return the next message of a type and discard the others before it.
 
         Raises:
-            Unanswered: none came in time.
+            Unanswered: No such message was received in time.
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         while True:
@@ -170,10 +182,10 @@
                 return message
 
     def wait_closed(self, timeout_s: float = 5.0) -> Closed:
-        """Read until the connection is over.
+        """Read and discard messages until the connection is closed.
 
         Raises:
-            TimeoutError: it did not end in time.
+            TimeoutError: It was not closed in time.
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         while self.closed is None:
@@ -184,11 +196,11 @@
         return self.closed
 
     def hang_up(self) -> None:
-        """Gone without a word."""
+        """Close the TCP connection without a WebSocket close handshake."""
         self.sock.close()
 
     def close(self) -> None:
-        """Close as the protocol asks."""
+        """Send a WebSocket close frame and close the connection."""
         with suppress(OSError):
             self.conversation.close()
             self._flush()
--- a/packages/emulators/src/fennelcove/emulators/websocket_clients.py
+++ b/packages/emulators/src/fennelcove/emulators/websocket_clients.py
@@ -1,5 +1,6 @@
-"""Stand-in viewers of the second door: the same habits, over one WebSocket that they open again when it is
-lost.
+"""Emulated clients of the WebSocket API, with the same behavior as those of the HTTP API.
+
+A lost connection is opened again and the session resumed.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class StandInSocketViewer(StandInViewer):
-    """A viewer that is told and does not poll."""
+    """A client that receives events over a WebSocket instead of polling."""
 
     def _open(self) -> SocketPlayer:
         rng = random.Random(f"{self.name}/{self.clock.now_us()}")
@@ -39,7 +40,7 @@
         try:
             player = self._open()
         except Unanswered as error:
-            # No connection, no request: what was never asked is owed no answer.
+            # Without a connection no request was sent, so none must be recorded as left without a response.
             self.recorder.note("no_connection", **record_fields, how=error.how)
             return None
         record_fields["front"] = player.address
@@ -91,7 +92,7 @@
         return Heard(status, ResponseHead(status, []), response)
 
     def _play(self, player: SocketPlayer, state: dict[str, Any]) -> SocketPlayer:
-        """Watch until the lesson is over or lost; the connection that is left."""
+        """Watch until the end or until the session is lost; return the connection last used."""
         id = state["id"]
         record_fields = {"viewer": self.name, "subscription": id}
         until_us = self.clock.now_us() + round(self.behavior.watch_s * 1e6)
@@ -133,7 +134,7 @@
         return player
 
     def _resume(self, id: str, seen: int) -> tuple[SocketPlayer, dict[str, Any]] | None:
-        """Another connection, and what was played on it; None where it has ended."""
+        """Resume the session on a new connection; return both, or None if the session has ended."""
         record_fields = {"viewer": self.name, "subscription": id}
         for _ in range(RESUME_TRIES):
             self.stopping.wait(RESUME_PAUSE_S)
