--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -19,7 +19,7 @@
 OCTETS_PER_JOB = 8
 FIRST_OCTET = 16
 START_DELAY_S = 3.5
-MAX_SHOWN = 5
+MAX_SHOWN_VIOLATIONS = 5
 
 
 def run(plan: Plan, folder: Path) -> Verdict:
@@ -41,17 +41,17 @@
     parser.add_argument("--duration", type=float, default=20.0)
     parser.add_argument("--servers", type=int)
     parser.add_argument("--keep", type=Path, help="folder for the recordings of failed seeds")
-    words = parser.parse_args()
-    first, _, last = words.seeds.partition("..")
+    options = parser.parse_args()
+    first, _, last = options.seeds.partition("..")
     seeds = range(int(first), int(last or first) + 1)
-    root = words.keep or Path(tempfile.mkdtemp(prefix="soak-"))
-    slots = list(range(words.jobs))
+    root = options.keep or Path(tempfile.mkdtemp(prefix="soak-"))
+    slots = list(range(options.jobs))
 
-    def one(seed: int) -> bool:
+    def play_seed(seed: int) -> bool:
         slot = slots.pop()
         try:
             octet = FIRST_OCTET + slot * OCTETS_PER_JOB
-            plan = draw(seed, octet, free_port(), words.duration, words.servers)
+            plan = draw(seed, octet, free_port(), options.duration, options.servers)
             verdict = run(plan, root / f"seed-{seed}")
         finally:
             slots.append(slot)
@@ -60,9 +60,9 @@
         path.write_text(json.dumps(asdict(verdict), indent=1), encoding="utf-8")
         return not verdict.violations
 
-    with ThreadPoolExecutor(words.jobs) as pool:
-        passed = list(pool.map(one, seeds))
-    failed = [seed for seed, good in zip(seeds, passed, strict=True) if not good]
+    with ThreadPoolExecutor(options.jobs) as pool:
+        passed = list(pool.map(play_seed, seeds))
+    failed = [seed for seed, is_passed in zip(seeds, passed, strict=True) if not is_passed]
     print(f"{sum(passed)} passed, {len(failed)} failed: {failed}; recordings in {root}")
     return 1 if failed else 0
 
@@ -75,7 +75,7 @@
         f"{len(plan.changes)} changes, {'+'.join(kinds)}: {verdict.by_rule() or 'kept'} {verdict.figures}",
         flush=True,
     )
-    for each in verdict.violations[:MAX_SHOWN]:
+    for each in verdict.violations[:MAX_SHOWN_VIOLATIONS]:
         print(f"    {each.rule} at {each.at}: {each.what} {each.session}", flush=True)
 
 
--- a/tests/soak/checker.py
+++ b/tests/soak/checker.py
@@ -14,22 +14,22 @@
 from pathlib import Path
 from typing import Any
 
-from tests.soak.plan import DRAIN_GRACE_S, FALL_MULTIPLE, RAMP_S, START_CAPACITY, TIP_S, Plan
+from tests.soak.plan import DRAIN_GRACE_S, FALL_MULTIPLE, RAMP_S, START_CAPACITY, TIP_AFTER_S, Plan
 from tests.soak.recording import Event, read
 
 SLACK_S = 0.05
-LATE_S = 0.5  # an answer so much past its time earns nothing, but is not lost
-RELEASE_S = 1.0  # from a server's release to the one towards the client
-UNHEARD_RELEASE_S = 8.0  # from the end of a session whose server could not tell
-HANDOVER_S = 0.2
-BAD_CLIENT_S = 3.0
-READY_S = 10.0
-OUTAGE_TOLD_S = 6.0  # after a failed call a change counts as told, from when discovery could be reached
-MOVE_TOLD_S = 4.0
-MEMORY_MB = 192
+LATE_ANSWER_S = 0.5  # an answer so much past its time earns nothing, but is not lost
+MAX_RELEASE_S = 1.0  # from a server's release to the one towards the client
+UNREPORTED_END_S = 8.0  # from the end of a session whose server could not tell
+MAX_HANDOVER_S = 0.2
+MAX_BAD_CLIENT_S = 3.0
+MAX_START_S = 10.0
+OUTAGE_RECOVERY_S = 6.0  # after a failed call a change counts as told, from when discovery could be reached
+MOVE_RECOVERY_S = 4.0
+MAX_MEMORY_MB = 192
 LARGE_MEAN = 30  # from so many allowed set-ups on the slack is smaller
-HARMLESS = (453, 454, 503)
-PROOF = ("full", "moot")
+NOT_EXECUTED_STATUSES = (453, 454, 503)
+NOT_EXECUTED_KINDS = ("full", "moot")
 FAULTY_EVENTS = (
     "decision_failed",
     "timer_failed",
@@ -67,14 +67,14 @@
         self.folder = folder
         self.plan = Plan.load(folder / "plan.json")
         self.events = read(folder)
-        self.found: list[Violation] = []
+        self.violations: list[Violation] = []
         self.by_session: dict[str, list[Event]] = defaultdict(list)
         for event in self.events:
             if event.get("session"):
                 self.by_session[event["session"]].append(event)
         self.end = next((e["t"] for e in self.events if e["event"] == "finished"), 0.0)
-        self.downs = self._downs()
-        self.silences = self._silences()
+        self.outages = self._find_outages()
+        self.silences = self._find_silences()
 
     def check(self) -> Verdict:
         """Check everything."""
@@ -87,14 +87,14 @@
         self._check_drains()
         self._check_slow_starts()
         self._check_processes()
-        return Verdict(sorted(self.found, key=lambda each: each.at), self._figures())
+        return Verdict(sorted(self.violations, key=lambda each: each.at), self._figures())
 
     def _report(self, rule: str, at: float, what: str, session: str = "") -> None:
-        self.found.append(Violation(rule, round(at - self.plan.start, 3), what, session))
+        self.violations.append(Violation(rule, round(at - self.plan.start, 3), what, session))
 
-    def _downs(self) -> dict[int, list[tuple[float, float, bool]]]:
+    def _find_outages(self) -> dict[int, list[tuple[float, float, bool]]]:
         """From when to when each node had no process that serves, and whether it was killed outright."""
-        found: dict[int, list[tuple[float, float, bool]]] = defaultdict(list)
+        outages: dict[int, list[tuple[float, float, bool]]] = defaultdict(list)
         terminated: dict[int, float] = {}
         killed: dict[int, tuple[float, bool]] = {}
         for event in self.events:
@@ -105,33 +105,33 @@
             elif event["event"] == "stopped" and event["node"] not in killed:
                 killed[event["node"]] = (event["t"], False)
             elif event["event"] == "ready" and event["node"] in killed:
-                began, outright = killed.pop(event["node"])
+                started_at, is_killed = killed.pop(event["node"])
                 terminated.pop(event["node"], None)
-                found[event["node"]].append((began, event["t"], outright))
-        for node, (began, outright) in killed.items():
-            found[node].append((began, 1e18, outright))
-        return found
+                outages[event["node"]].append((started_at, event["t"], is_killed))
+        for node, (started_at, is_killed) in killed.items():
+            outages[node].append((started_at, 1e18, is_killed))
+        return outages
 
-    def _silences(self) -> dict[tuple[str, str], list[tuple[float, float]]]:
+    def _find_silences(self) -> dict[tuple[str, str], list[tuple[float, float]]]:
         """From when to when each stand-in server said and read nothing."""
-        found: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
-        begun: dict[tuple[str, str], float] = {}
+        silences: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
+        silent_since: dict[tuple[str, str], float] = {}
         for event in self.events:
             key = (event["by"], event.get("server", ""))
             if event["event"] == "silent":
-                begun.setdefault(key, event["t"])
-            elif event["event"] == "resumed" and key in begun:
-                found[key].append((begun.pop(key), event["t"]))
-        for key, began in begun.items():
-            found[key].append((began, 1e18))
-        return found
+                silent_since.setdefault(key, event["t"])
+            elif event["event"] == "resumed" and key in silent_since:
+                silences[key].append((silent_since.pop(key), event["t"]))
+        for key, started_at in silent_since.items():
+            silences[key].append((started_at, 1e18))
+        return silences
 
     def _was_silent(self, event: Event, begin: float, end: float) -> bool:
         spans = self.silences.get((event["by"], event["server"]), ())
         return any(a <= end and begin <= b for a, b in spans)
 
     def _was_killed(self, node: int, begin: float, end: float) -> bool:
-        return any(out and begin <= a <= end for a, _, out in self.downs[node])
+        return any(is_killed and begin <= a <= end for a, _, is_killed in self.outages[node])
 
     def _check_answer(self, id: str, events: list[Event]) -> None:
         """One answer, in time, that a server made."""
@@ -139,7 +139,7 @@
         if not sent:
             return
         first, node = sent[0], sent[0]["node"]
-        deadline = first["t"] + first["limit"] + LATE_S + SLACK_S
+        deadline = first["t"] + first["limit"] + LATE_ANSWER_S + SLACK_S
         answers = [e for e in events if e["event"] == "answer"]
         if len(answers) > 1:
             self._report("lost", answers[1]["t"], "a second answer", id)
@@ -165,12 +165,12 @@
 
     def _check_forwarding(self, id: str, events: list[Event]) -> None:
         """One attempt at a time, none after the end, no repeat of what may have run."""
-        over = next(
+        ended_at = next(
             (e["t"] for e in events if e["event"] in ("answer", "given_up") and e["by"] == "clients"), 1e18
         )
         attempts = [e for e in events if e["event"] == "set_up"]
         earlier_may_have_run = False
-        until, holder = 0.0, None
+        busy_until, previous_attempt = 0.0, None
         for number, attempt in enumerate(attempts):
             ends = [
                 e
@@ -182,23 +182,27 @@
             ]
             end = ends[0]["t"] if ends else attempt["t"]
             was_silent = self._was_silent(attempt, attempt["t"] - 10, attempt["t"])
-            if attempt["t"] > over + SLACK_S and not was_silent:
-                self._report("lost", attempt["t"], f"forwarded {attempt['t'] - over:.3f} s after its end", id)
-            overlap = until - attempt["t"]
-            was_held_silent = holder is not None and self._was_silent(holder, holder["t"], until)
+            if attempt["t"] > ended_at + SLACK_S and not was_silent:
+                self._report(
+                    "lost", attempt["t"], f"forwarded {attempt['t'] - ended_at:.3f} s after its end", id
+                )
+            overlap = busy_until - attempt["t"]
+            was_held_silent = previous_attempt is not None and self._was_silent(
+                previous_attempt, previous_attempt["t"], busy_until
+            )
             if overlap > SLACK_S and not was_silent and not was_held_silent:
                 self._report("overlap", attempt["t"], f"attempts overlap by {overlap:.3f} s", id)
             if number and earlier_may_have_run and attempt["service_class"] == "paid":
                 self._report("repeat", attempt["t"], "a single-shot set-up was repeated", id)
             kinds = [e.get("kind") for e in ends[:1] if e["event"] == "refused"]
-            earlier_may_have_run |= not any(kind in PROOF for kind in kinds)
-            until, holder = max(until, end), attempt
+            earlier_may_have_run |= not any(kind in NOT_EXECUTED_KINDS for kind in kinds)
+            busy_until, previous_attempt = max(busy_until, end), attempt
         answer = next((e for e in events if e["event"] == "answer"), None)
         was_paid = bool(attempts) and attempts[0]["service_class"] == "paid"
-        is_called_harmless = answer is not None and answer["status"] in HARMLESS
+        is_reported_not_executed = answer is not None and answer["status"] in NOT_EXECUTED_STATUSES
         if (
             answer
-            and is_called_harmless
+            and is_reported_not_executed
             and was_paid
             and earlier_may_have_run
             and attempts[0]["t"] < answer["t"]
@@ -220,43 +224,50 @@
         if not ends:
             return
         if any(e["event"] in ("released", "torn_down") for e in events if e["by"] == "clients"):
-            told = next(
+            released_at = next(
                 e["t"] for e in events if e["event"] in ("released", "torn_down") and e["by"] == "clients"
             )
         else:
-            told = 1e18
-        deadline = max(answer["t"], ends[0]["t"]) + UNHEARD_RELEASE_S + SLACK_S
+            released_at = 1e18
+        deadline = max(answer["t"], ends[0]["t"]) + UNREPORTED_END_S + SLACK_S
         releases = [e["t"] for e in events if e["event"] == "release_sent" and e["by"] == made["by"]]
         if ends[0]["event"] == "over" and releases:
-            deadline = max(answer["t"], *releases) + RELEASE_S + SLACK_S
+            deadline = max(answer["t"], *releases) + MAX_RELEASE_S + SLACK_S
             if any(e["event"] == "orphaned" and e["t"] <= deadline for e in events):
-                deadline = max(deadline, ends[0]["t"] + UNHEARD_RELEASE_S + SLACK_S)
+                deadline = max(deadline, ends[0]["t"] + UNREPORTED_END_S + SLACK_S)
         node = answer["node"]
-        for began, ready, _ in self.downs[node]:
-            if began - RELEASE_S - UNHEARD_RELEASE_S <= ends[0]["t"] <= ready or began <= deadline <= ready:
-                handed = [e["t"] for e in events if e["event"] == "handed_over" and e["t"] >= began]
-                if not handed:
+        for started_at, ready, _ in self.outages[node]:
+            if (
+                started_at - MAX_RELEASE_S - UNREPORTED_END_S <= ends[0]["t"] <= ready
+                or started_at <= deadline <= ready
+            ):
+                handovers = [e["t"] for e in events if e["event"] == "handed_over" and e["t"] >= started_at]
+                if not handovers:
                     return  # torn down meanwhile, or never handed over
-                deadline = max(deadline, handed[0] + HANDOVER_S + UNHEARD_RELEASE_S + SLACK_S)
-        if told > deadline and deadline < self.end:
-            how = "never released" if told > self.end else f"released {told - deadline:.3f} s too late"
+                deadline = max(deadline, handovers[0] + MAX_HANDOVER_S + UNREPORTED_END_S + SLACK_S)
+        if released_at > deadline and deadline < self.end:
+            outcome = (
+                "never released"
+                if released_at > self.end
+                else f"released {released_at - deadline:.3f} s too late"
+            )
             sent = f"release sent at {releases[0] - self.plan.start:.3f}" if releases else "no release sent"
-            self._report("lost", deadline, f"{how} ({ends[0]['event']}, {sent})", id)
+            self._report("lost", deadline, f"{outcome} ({ends[0]['event']}, {sent})", id)
 
-    def _told(self, node: int, at: float) -> float:
+    def _known_at(self, node: int, at: float) -> float:
         """When a change counts as told to a node at the latest; times from the run's start."""
-        told = at
+        known_at = at
         for fault in self.plan.discovery:
-            if fault.at - 1.0 <= at < fault.until or fault.at - 1.0 <= told < fault.until:
-                told = max(told, fault.until + OUTAGE_TOLD_S)
+            if fault.at - 1.0 <= at < fault.until or fault.at - 1.0 <= known_at < fault.until:
+                known_at = max(known_at, fault.until + OUTAGE_RECOVERY_S)
         for signal in self.plan.signals:
             if (
                 signal.node == node
                 and signal.kind == "move"
-                and signal.at - 0.2 <= told <= signal.at + MOVE_TOLD_S
+                and signal.at - 0.2 <= known_at <= signal.at + MOVE_RECOVERY_S
             ):
-                told = max(told, signal.at + MOVE_TOLD_S)
-        return told
+                known_at = max(known_at, signal.at + MOVE_RECOVERY_S)
+        return known_at
 
     def _check_drains(self) -> None:
         """Nothing new to a draining or removed server past the grace."""
@@ -268,7 +279,7 @@
             if event["event"] != "set_up" or event["server"] not in drained:
                 continue
             node = int(event["by"].partition("-")[2])
-            limit = self.plan.start + self._told(node, drained[event["server"]]) + DRAIN_GRACE_S + SLACK_S
+            limit = self.plan.start + self._known_at(node, drained[event["server"]]) + DRAIN_GRACE_S + SLACK_S
             if event["t"] > limit and not self._was_silent(event, limit - 1, event["t"]):
                 self._report(
                     "drain", event["t"], f"sent {event['t'] - limit:.3f} s past the grace", event["session"]
@@ -280,24 +291,28 @@
             if not change.born or change.health != "up":
                 continue
             born = self.plan.start + change.born
-            told = {node: self._told(node, change.at) + self.plan.start for node in range(self.plan.nodes)}
+            known_at = {
+                node: self._known_at(node, change.at) + self.plan.start for node in range(self.plan.nodes)
+            }
             set_ups = [e for e in self.events if e["event"] == "set_up" and e["server"] == change.name]
             set_ups = [e for e in set_ups if born <= e["t"] < born + RAMP_S]
             for number, first in enumerate(set_ups):
-                window = [e for e in set_ups[number:] if e["t"] < first["t"] + TIP_S]
+                window = [e for e in set_ups[number:] if e["t"] < first["t"] + TIP_AFTER_S]
                 allowed = self._allowed(first["t"] - born)
-                knowing = [e for e in window if e["t"] >= told[int(e["by"].partition("-")[2])]]
-                if len(window) > allowed and 3 * len(knowing) > 2 * len(window):
-                    what = f"{change.name} got {len(window)} set-ups in {TIP_S} s, {allowed:.1f} allowed"
+                informed = [e for e in window if e["t"] >= known_at[int(e["by"].partition("-")[2])]]
+                if len(window) > allowed and 3 * len(informed) > 2 * len(window):
+                    what = (
+                        f"{change.name} got {len(window)} set-ups in {TIP_AFTER_S} s, {allowed:.1f} allowed"
+                    )
                     self._report("failback", first["t"], what)
                     break
 
     def _allowed(self, age: float) -> float:
         """Set-ups that a server of this age may get in the time in which it would fall, with the slack."""
-        warmth = START_CAPACITY + (1 - START_CAPACITY) * min(1.0, (age + TIP_S / 2) / RAMP_S)
-        mean = FALL_MULTIPLE * self.plan.streams / RAMP_S * warmth * TIP_S
-        root = math.sqrt(mean)
-        return mean + (3 * root + 3 if mean < LARGE_MEAN else 2 * root + 2)
+        warm_up_factor = START_CAPACITY + (1 - START_CAPACITY) * min(1.0, (age + TIP_AFTER_S / 2) / RAMP_S)
+        mean = FALL_MULTIPLE * self.plan.streams / RAMP_S * warm_up_factor * TIP_AFTER_S
+        deviation = math.sqrt(mean)
+        return mean + (3 * deviation + 3 if mean < LARGE_MEAN else 2 * deviation + 2)
 
     def _check_processes(self) -> None:
         for event in self.events:
@@ -306,13 +321,13 @@
                 self._report("crash", event["t"], f"node {node} ended with {event['code']}")
             elif event["event"] == "stopped" and event["code"] not in (0, None):
                 self._report("crash", event["t"], f"node {node} stopped with {event['code']}")
-            elif event["event"] == "ready" and READY_S < event["after"] < 1e6:
+            elif event["event"] == "ready" and MAX_START_S < event["after"] < 1e6:
                 self._report("crash", event["t"], f"node {node} was ready after {event['after']:.1f} s")
             elif event["event"] == "sample" and event["descriptors"] > self.plan.sockets:
                 self._report("limits", event["t"], f"node {node} held {event['descriptors']} descriptors")
-            elif event["event"] == "sample" and event["memory_mb"] > MEMORY_MB:
+            elif event["event"] == "sample" and event["memory_mb"] > MAX_MEMORY_MB:
                 self._report("limits", event["t"], f"node {node} used {event['memory_mb']:.0f} MB")
-            elif event["event"] == "bad_client" and event["after"] > BAD_CLIENT_S + SLACK_S:
+            elif event["event"] == "bad_client" and event["after"] > MAX_BAD_CLIENT_S + SLACK_S:
                 self._report(
                     "bad_client", event["t"], f"node {node} let a bad client wait {event['after']:.2f} s"
                 )
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -19,33 +19,39 @@
 from tests.soak.recording import Recorder
 
 CLASSES = ("recorded", "live", "paid")
-NO_NEW_CONNECTIONS_S = (0.2, 0.4)  # after SIGTERM; then 0.2 s more where none is open
-FORCED_CONNECTIONS_S = 0.2
-UNUSED_S = 4.0  # after this a client closes a connection without sessions
-CROSSING_S = 0.05  # a set-up that crosses the end of a connection is sent once more
-NOTICE_DEATH_S = 1.0
+NEW_CONNECTIONS_END_S = (0.2, 0.4)  # after SIGTERM; then 0.2 s more where none is open
+LAST_CONNECTIONS_S = 0.2
+UNUSED_TIMEOUT_S = 4.0  # after this a client closes a connection without sessions
+RESEND_WINDOW_S = 0.05  # a set-up that crosses the end of a connection is sent once more
+DEATH_DETECTION_S = 1.0
 PROBE_S = 0.05
 DESCRIPTOR_SHARE = 3
 BAD_CLIENT_LIMIT_S = 3.0
-GIVE_UP_SHARE, LEAVE_SHARE, TEAR_DOWN_SHARE, HASTY_SHARE, PIECES_SHARE = 0.06, 0.03, 0.3, 0.2, 0.1
-MAX_TRIES = 4
-SHORT_SHARE, SHORT_LIMITS_MS = 0.05, (20, 200)  # set-ups with very little time left
+CANCEL_SHARE, DISCONNECT_SHARE, TEAR_DOWN_SHARE, IMMEDIATE_RETRY_SHARE, FRAGMENTED_SHARE = (
+    0.06,
+    0.03,
+    0.3,
+    0.2,
+    0.1,
+)
+MAX_RETRIES = 4
+SHORT_LIMIT_SHARE, SHORT_LIMITS_MS = 0.05, (20, 200)  # set-ups with very little time left
 
 
 class Session:
     """One set-up and what came of it."""
 
-    def __init__(self, id: str, node: int, service_class: str, tries: int) -> None:
+    def __init__(self, id: str, node: int, service_class: str, retries: int) -> None:
         self.id = id
         self.node = node
         self.service_class = service_class
-        self.tries = tries
+        self.retries = retries
         self.title = "7f3a"
         self.routing = ""
         self.connection: Connection | None = None
         self.sent = 0.0
         self.is_answered = False
-        self.is_given_up = False
+        self.is_cancelled = False
         self.server = ""  # where it plays
         self.answered = 0.0
         self.is_resent = False
@@ -64,14 +70,14 @@
         self.playing: dict[str, Session] = {}
         self.used = time.time()
         self.is_closed = False
-        self.held: list[bytes] | None = None  # what waits for the rest of a set-up that is sent in pieces
+        self.deferred: list[bytes] | None = None  # what waits for the rest of a set-up that is sent in pieces
 
     @property
     def is_unused(self) -> bool:
         return not self.waiting and not self.playing
 
 
-class NodeView:
+class NodeState:
     """What the clients know of one node."""
 
     def __init__(self, address: tuple[str, int]) -> None:
@@ -92,7 +98,7 @@
         self.record = record
         self.rng = Random(plan.seed * 7 + 1)
         self.loop = Loop()
-        self.nodes = [NodeView(address) for address in addresses]
+        self.nodes = [NodeState(address) for address in addresses]
         self.sessions = 0
         self.connections = 0
         for index in range(plan.nodes):
@@ -106,7 +112,7 @@
                 self.loop.at(when, lambda i=signal.node: self.on_killed(i))
             elif signal.kind == "kill":
                 self.loop.at(plan.start + signal.at, lambda i=signal.node: self.on_killed(i))
-        self.tidy()
+        self.close_unused()
 
     @property
     def now(self) -> float:
@@ -120,14 +126,14 @@
         """A node gets SIGTERM: new connections come for a little while."""
         node = self.nodes[index]
         node.terminated_at = time.time()
-        node.new_connections_until = node.terminated_at + self.rng.uniform(*NO_NEW_CONNECTIONS_S)
+        node.new_connections_until = node.terminated_at + self.rng.uniform(*NEW_CONNECTIONS_END_S)
 
     def on_killed(self, index: int) -> None:
         """A node is gone by now; after a while it is probed until it is there again."""
         node = self.nodes[index]
         node.is_up = False
         node.killed_at = time.time()
-        delay = 0.05 if node.terminated_at else NOTICE_DEATH_S
+        delay = 0.05 if node.terminated_at else DEATH_DETECTION_S
         self.loop.after(delay, lambda: self.probe(index))
 
     def probe(self, index: int) -> None:
@@ -149,22 +155,22 @@
         node.is_up = True
         node.terminated_at, node.new_connections_until, node.killed_at = 0.0, 1e18, 1e18
         for session in list(node.playing.values()):
-            if not self.has_lost_its_server(index, session):
+            if not self.has_server_restarted(index, session):
                 self.hand_over(index, session)
 
-    def has_lost_its_server(self, index: int, session: Session) -> bool:
+    def has_server_restarted(self, index: int, session: Session) -> bool:
         """Whether its server's process died with it and is back: handed over is what plays at its server."""
         return any(
             fault.kind in ("die", "restart")
             and session.server in fault.servers
             and index in fault.nodes
-            and self.plan.start + fault.at > session.answered - CROSSING_S
+            and self.plan.start + fault.at > session.answered - RESEND_WINDOW_S
             and fault.until < self.now
             for fault in self.plan.faults
         )
 
     def hand_over(self, index: int, session: Session) -> None:
-        connection = self.pick(index)
+        connection = self.pick_connection(index)
         if connection is None:
             return
         routing = f"{session.routing};at:{session.server}"
@@ -180,34 +186,34 @@
         begin, end, factor = self.plan.crowd
         rate = self.plan.rate * (factor if begin <= self.now < end else 1.0)
         self.loop.after(self.rng.expovariate(rate), lambda: self.next_set_up(index))
-        self.send_new(index, self.rng.choice(CLASSES), tries=0)
+        self.send_new(index, self.rng.choice(CLASSES), retries=0)
 
-    def send_new(self, index: int, service_class: str, tries: int) -> None:
+    def send_new(self, index: int, service_class: str, retries: int) -> None:
         """Set a new session up; each has a new id, a repeat too."""
-        if not self.nodes[index].is_up and time.time() > self.nodes[index].killed_at + NOTICE_DEATH_S:
+        if not self.nodes[index].is_up and time.time() > self.nodes[index].killed_at + DEATH_DETECTION_S:
             return
         self.sessions += 1
         id = f"{self.plan.seed & 0xFFFF:04x}{index:04x}{self.sessions:08x}"
-        session = Session(id, index, service_class, tries)
+        session = Session(id, index, service_class, retries)
         session.limit_ms = self.plan.hard_limits_ms[CLASSES.index(service_class)]
-        if self.rng.random() < SHORT_SHARE:
+        if self.rng.random() < SHORT_LIMIT_SHARE:
             session.limit_ms = min(session.limit_ms, self.rng.randint(*SHORT_LIMITS_MS))
         home = self.rng.randrange(self.plan.cells)
         session.routing = f"home:{home};copies:3;top:2;viewer:{self.rng.randrange(1 << 30):016x}"
-        connection = self.pick(index)
+        connection = self.pick_connection(index)
         if connection is not None:
             self.send(connection, session)
 
-    def pick(self, index: int) -> Connection | None:
+    def pick_connection(self, index: int) -> Connection | None:
         """An open connection, or a new one where the node still takes new ones."""
         node, now = self.nodes[index], time.time()
         usable = [each for each in list(node.connections) if not each.is_closed and not self.has_ended(each)]
-        may_open = now < node.new_connections_until and now < node.killed_at + NOTICE_DEATH_S
+        may_open = now < node.new_connections_until and now < node.killed_at + DEATH_DETECTION_S
         is_full = len(node.connections) >= self.plan.sockets // DESCRIPTOR_SHARE
         if usable and (not may_open or is_full or self.rng.random() < 0.8):
             return self.rng.choice(usable)
         if (may_open and not is_full) or (
-            not usable and now < node.new_connections_until + FORCED_CONNECTIONS_S
+            not usable and now < node.new_connections_until + LAST_CONNECTIONS_S
         ):
             return self.connect(index)
         return self.rng.choice(usable) if usable else None
@@ -239,7 +245,7 @@
         fields = [("CSeq", "1"), ("Session", session.id), ("Call-Kind", session.service_class)]
         if timed:
             fields.append(("Answer-Within", str(session.limit_ms)))
-        if session.tries:
+        if session.retries:
             routing += ";again:1"
         body = b"v=0\r\nc=IN IP4 10.4.7.9\r\n"
         return writer.request(
@@ -251,7 +257,7 @@
         data = self.set_up_message(session, session.routing)
         connection.waiting[session.id] = session
         session.connection = connection
-        if self.rng.random() < PIECES_SHARE and len(connection.waiting) == 1:
+        if self.rng.random() < FRAGMENTED_SHARE and len(connection.waiting) == 1:
             self._send_in_pieces(connection, session, data)
         else:
             self.write(connection, data)
@@ -260,18 +266,18 @@
     def _send_in_pieces(self, connection: Connection, session: Session, data: bytes) -> None:
         at = self.rng.randrange(1, len(data))
         self.write(connection, data[:at])
-        connection.held = []
+        connection.deferred = []
         # No other set-up may be written on it meanwhile.
         self.nodes[connection.node].connections.pop(connection, None)
 
         def finish() -> None:
             if connection.is_closed:
                 return
-            held, connection.held = connection.held or [], None
+            deferred, connection.deferred = connection.deferred or [], None
             self.write(connection, data[at:])
             self.nodes[connection.node].connections[connection] = None
             self.on_sent(connection, session)
-            for each in held:
+            for each in deferred:
                 self.write(connection, each)
 
         self.loop.after(self.rng.uniform(0.001, 0.3), finish)
@@ -288,33 +294,37 @@
             connection=connection.number,
             resent=session.is_resent,
         )
-        drawn = self.rng.random()
-        if drawn < GIVE_UP_SHARE:
-            self.loop.after(self.rng.uniform(0, 0.1), lambda: self.give_up(session))
-        elif drawn < GIVE_UP_SHARE + LEAVE_SHARE and len(connection.waiting) == 1 and not connection.playing:
-            self.loop.after(self.rng.uniform(0, 0.1), lambda: self.leave(connection))
+        fraction = self.rng.random()
+        if fraction < CANCEL_SHARE:
+            self.loop.after(self.rng.uniform(0, 0.1), lambda: self.cancel(session))
+        elif (
+            fraction < CANCEL_SHARE + DISCONNECT_SHARE
+            and len(connection.waiting) == 1
+            and not connection.playing
+        ):
+            self.loop.after(self.rng.uniform(0, 0.1), lambda: self.disconnect(connection))
 
-    def give_up(self, session: Session) -> None:
+    def cancel(self, session: Session) -> None:
         """Withdraw a set-up that is not answered yet."""
         connection = session.connection
         if connection is None or session.is_answered or connection.is_closed:
             return
         if self.nodes[session.node].connections.get(connection, 0) == 0:
             return
-        session.is_given_up = True
+        session.is_cancelled = True
         self.record("given_up", node=session.node, session=session.id)
         connection.waiting.pop(session.id, None)
         self.write(connection, self.tear_down_message(session))
 
-    def leave(self, connection: Connection) -> None:
+    def disconnect(self, connection: Connection) -> None:
         """Close a connection with whatever is open on it."""
         if connection.is_closed or connection.playing:
             return
         for session in list(connection.waiting.values()):
-            session.is_given_up = True
+            session.is_cancelled = True
             self.record("given_up", node=session.node, session=session.id)
         connection.waiting.clear()
-        self.drop(connection)
+        self.close_connection(connection)
 
     def tear_down_message(self, session: Session) -> bytes:
         fields = (("CSeq", "2"), ("Session", session.id), ("Reason", "cause=16"))
@@ -325,14 +335,14 @@
         node = self.nodes[session.node]
         if session.id not in node.playing or not node.is_up:
             return
-        connection = self.pick(session.node)
+        connection = self.pick_connection(session.node)
         if connection is None:
             return
-        self.forget(session)
+        self.remove(session)
         self.record("torn_down", node=session.node, session=session.id)
         self.write(connection, self.tear_down_message(session))
 
-    def forget(self, session: Session) -> None:
+    def remove(self, session: Session) -> None:
         self.nodes[session.node].playing.pop(session.id, None)
         if session.connection is not None:
             session.connection.playing.pop(session.id, None)
@@ -341,8 +351,8 @@
         if connection.is_closed:
             return
         connection.used = time.time()
-        if connection.held is not None:
-            connection.held.append(data)
+        if connection.deferred is not None:
+            connection.deferred.append(data)
             return
         try:
             sent = connection.sock.send(data)
@@ -383,7 +393,7 @@
             self.record("released", node=connection.node, session=id, method=message.method)
             session = self.nodes[connection.node].playing.get(id)
             if session is not None:
-                self.forget(session)
+                self.remove(session)
             fields = (("CSeq", message.fields.get("cseq", "2")), ("Session", id))
             self.write(connection, writer.response(200, *fields))
         elif message.fields.get("cseq") == "1":
@@ -403,42 +413,42 @@
             self.nodes[session.node].playing[id] = session
             if self.rng.random() < TEAR_DOWN_SHARE:
                 self.loop.after(self.rng.expovariate(0.3), lambda: self.tear_down(session))
-        elif session.tries < MAX_TRIES and not self.is_over:
+        elif session.retries < MAX_RETRIES and not self.is_over:
             wait_s = int(message.fields.get("come-back-ms", "200")) / 1000
-            delay = 0.0 if self.rng.random() < HASTY_SHARE else wait_s
-            again: Callable[[], None] = lambda: self.send_new(  # noqa: E731 - a deferred call
-                session.node, session.service_class, session.tries + 1
+            delay = 0.0 if self.rng.random() < IMMEDIATE_RETRY_SHARE else wait_s
+            retry: Callable[[], None] = lambda: self.send_new(  # noqa: E731 - a deferred call
+                session.node, session.service_class, session.retries + 1
             )
-            self.loop.after(delay, again)
+            self.loop.after(delay, retry)
 
     def on_ended(self, connection: Connection, was_reset: bool = False) -> None:
         """A connection has ended: what waits on it is lost, or is sent once more if it crossed the end."""
         if connection.is_closed:
             return
-        self.drop(connection)
+        self.close_connection(connection)
         now = time.time()
         self.record("ended", node=connection.node, connection=connection.number, reset=was_reset)
         for session in list(connection.waiting.values()):
-            is_crossing = now - session.sent <= CROSSING_S and not session.is_resent and session.sent
+            may_resend = now - session.sent <= RESEND_WINDOW_S and not session.is_resent and session.sent
             if not session.sent:
                 continue  # never sent whole
-            if is_crossing and len(connection.waiting) == 1:
+            if may_resend and len(connection.waiting) == 1:
                 session.is_resent = True
-                fresh = self.connect(connection.node)
-                if fresh is None:
+                replacement = self.connect(connection.node)
+                if replacement is None:
                     self.record("not_taken", node=connection.node, session=session.id)
                     continue
-                self.send(fresh, session)
+                self.send(replacement, session)
             else:
                 self.record("broken_off", node=connection.node, session=session.id)
         connection.waiting.clear()
 
-    def drop(self, connection: Connection) -> None:
+    def close_connection(self, connection: Connection) -> None:
         connection.is_closed = True
         for id in connection.playing:
             self.record("orphaned", node=connection.node, session=id)
         self.nodes[connection.node].connections.pop(connection, None)
-        self.loop.forget(connection.sock)
+        self.loop.unwatch(connection.sock)
         connection.sock.close()
 
     def bad_client(self, index: int) -> None:
@@ -467,32 +477,32 @@
         )
         with suppress(OSError):
             sock.send(data)
-        self.loop.watch(sock, lambda: self.on_bad_client_heard(index, sock, began))
-        self.loop.after(BAD_CLIENT_LIMIT_S + 2, lambda: self.on_bad_client_heard(index, sock, began))
+        self.loop.watch(sock, lambda: self.on_bad_client_answered(index, sock, began))
+        self.loop.after(BAD_CLIENT_LIMIT_S + 2, lambda: self.on_bad_client_answered(index, sock, began))
 
-    def on_bad_client_heard(self, index: int, sock: socket.socket, began: float) -> None:
+    def on_bad_client_answered(self, index: int, sock: socket.socket, began: float) -> None:
         if sock.fileno() < 0:
             return
-        self.loop.forget(sock)
+        self.loop.unwatch(sock)
         reset(sock)
         self.record("bad_client", node=index, after=time.time() - began)
 
-    def tidy(self) -> None:
+    def close_unused(self) -> None:
         """Close connections that have had no session for a while."""
-        oldest = time.time() - UNUSED_S
+        oldest = time.time() - UNUSED_TIMEOUT_S
         for node in self.nodes:
             for connection in list(node.connections):
                 if connection.is_unused and connection.used < oldest:
-                    self.drop(connection)
+                    self.close_connection(connection)
         self.record.flush()
-        self.loop.after(0.25, self.tidy)
+        self.loop.after(0.25, self.close_unused)
 
 
 def main(folder: Path, *addresses: str) -> None:
     plan = Plan.load(folder / "plan.json")
     record = Recorder(folder / "clients.rec", "clients")
-    places = [(host, int(port)) for host, _, port in (each.partition(":") for each in addresses)]
-    clients = Clients(plan, places, record)
+    node_addresses = [(host, int(port)) for host, _, port in (each.partition(":") for each in addresses)]
+    clients = Clients(plan, node_addresses, record)
     # After the last set-up all sessions end, and each end has its time to arrive.
     clients.loop.run(plan.start + plan.duration + tail_s(plan))
     record("finished")
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -19,21 +19,21 @@
 from tests.soak.recording import Recorder
 
 POLL_S = 0.01
-OLD_ADDRESS_S = 1.5  # how long an address that has been left keeps its open connections
-SLOW_BYTES, SLOW_PAUSE_S = 20_000, 0.05
+OLD_ADDRESS_LINGER_S = 1.5  # how long an address that has been left keeps its open connections
+SLOW_CHUNK_BYTES, SLOW_PAUSE_S = 20_000, 0.05
 
 
-class Board:
+class DiscoveryServer:
     """One address of one node's discovery service."""
 
-    def __init__(self, plan: Plan, node: int, number: int, record: Recorder) -> None:
-        self.plan, self.node, self.number, self.record = plan, node, number, record
-        self.address = board_address(plan, node, number)
+    def __init__(self, plan: Plan, node: int, sequence: int, record: Recorder) -> None:
+        self.plan, self.node, self.sequence, self.record = plan, node, sequence, record
+        self.address = discovery_address(plan, node, sequence)
         self.connections: set[socket.socket] = set()
         self.listener: socket.socket | None = None
         moves = [signal.at for signal in plan.signals if signal.node == node and signal.kind == "move"]
-        self.opens = moves[number - 1] - 0.1 if number else -100.0
-        self.closes = moves[number] if number < len(moves) else 1e9
+        self.opens_at = moves[sequence - 1] - 0.1 if sequence else -100.0
+        self.closes_at = moves[sequence] if sequence < len(moves) else 1e9
         threading.Thread(target=self._supervise, daemon=True).start()
 
     @property
@@ -47,7 +47,7 @@
     def _supervise(self) -> None:
         """Listen while the address is in use and the service is not down."""
         while True:
-            is_open = self.opens <= self.now < self.closes and self.fault() != "down"
+            is_open = self.opens_at <= self.now < self.closes_at and self.fault() != "down"
             if is_open and self.listener is None:
                 self._listen()
             elif not is_open and self.listener is not None:
@@ -67,8 +67,8 @@
         with suppress(OSError):
             listener.shutdown(socket.SHUT_RDWR)
         listener.close()
-        if self.now >= self.closes:
-            time.sleep(OLD_ADDRESS_S)
+        if self.now >= self.closes_at:
+            time.sleep(OLD_ADDRESS_LINGER_S)
         for sock in list(self.connections):
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -87,25 +87,25 @@
         with suppress(OSError):
             while data := sock.recv(4096):
                 requests.reader.feed(data)
-                while (whole := requests.next()) is not None:
-                    assert isinstance(whole.head, RequestHead)
-                    self._answer(sock, whole.head.target)
+                while (request := requests.next()) is not None:
+                    assert isinstance(request.head, RequestHead)
+                    self._answer(sock, request.head.target)
         self.connections.discard(sock)
         sock.close()
 
     def _answer(self, sock: socket.socket, target: str) -> None:
         fields = dict(part.split("=") for part in target.partition("?")[2].split("&"))
         watch, until = int(fields["watch"]), time.time() + int(fields["linger"]) / 1000
-        self.record("polled", node=self.node, watch=watch, board=self.number)
+        self.record("polled", node=self.node, watch=watch, board=self.sequence)
         if self.fault() == "crowded":
             time.sleep(0.8)
         while time.time() < until and self.plan.start > 0:
-            if self.plan.revision(self.now) > watch or self.now >= self.closes:
+            if self.plan.revision(self.now) > watch or self.now >= self.closes_at:
                 break
             time.sleep(POLL_S)
-        while self.fault() == "silent" or self.now >= self.closes:
+        while self.fault() == "silent" or self.now >= self.closes_at:
             time.sleep(POLL_S)
-            if self.now >= self.closes + OLD_ADDRESS_S:
+            if self.now >= self.closes_at + OLD_ADDRESS_LINGER_S:
                 raise OSError("left")
         now = self.now
         body = {"rev": self.plan.revision(now), "notices": self.plan.notices(self.node, now, after=watch)}
@@ -120,13 +120,13 @@
         if fault != "slow":
             sock.sendall(data)
             return
-        for at in range(0, len(data), SLOW_BYTES):
-            sock.sendall(data[at : at + SLOW_BYTES])
+        for at in range(0, len(data), SLOW_CHUNK_BYTES):
+            sock.sendall(data[at : at + SLOW_CHUNK_BYTES])
             time.sleep(SLOW_PAUSE_S)
 
 
-def board_address(plan: Plan, node: int, number: int) -> tuple[str, int]:
-    return f"127.{plan.octet + node}.250.{10 + number}", plan.port
+def discovery_address(plan: Plan, node: int, sequence: int) -> tuple[str, int]:
+    return f"127.{plan.octet + node}.250.{10 + sequence}", plan.port
 
 
 def main(folder: Path) -> None:
@@ -134,8 +134,8 @@
     record = Recorder(folder / "discovery.rec", "discovery")
     for node in range(plan.nodes):
         moves = sum(signal.node == node and signal.kind == "move" for signal in plan.signals)
-        for number in range(moves + 1):
-            Board(plan, node, number, record)
+        for sequence in range(moves + 1):
+            DiscoveryServer(plan, node, sequence, record)
     time.sleep(0.1)
     (folder / "discovery.ready").touch()
     while time.time() < plan.start + plan.duration + 60:
--- a/tests/soak/loop.py
+++ b/tests/soak/loop.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-MAX_WAIT_S = 0.05
+MAX_POLL_S = 0.05
 
 
 class Loop:
@@ -18,29 +18,29 @@
 
     def __init__(self) -> None:
         self.selector = selectors.DefaultSelector()
-        self.due: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
+        self.timers: list[tuple[float, int, Callable[[], None]]] = []
+        self.timer_count = 0
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.due, (when, self.count, call))
+    def at(self, when: float, callback: Callable[[], None]) -> None:
+        self.timer_count += 1
+        heapq.heappush(self.timers, (when, self.timer_count, callback))
 
-    def after(self, delay: float, call: Callable[[], None]) -> None:
-        self.at(time.time() + delay, call)
+    def after(self, delay: float, callback: Callable[[], None]) -> None:
+        self.at(time.time() + delay, callback)
 
-    def watch(self, sock: socket.socket, call: Callable[[], None], write: bool = False) -> None:
-        self.selector.register(sock, selectors.EVENT_WRITE if write else selectors.EVENT_READ, call)
+    def watch(self, sock: socket.socket, callback: Callable[[], None], write: bool = False) -> None:
+        self.selector.register(sock, selectors.EVENT_WRITE if write else selectors.EVENT_READ, callback)
 
-    def forget(self, sock: socket.socket) -> None:
+    def unwatch(self, sock: socket.socket) -> None:
         with suppress(KeyError, ValueError):
             self.selector.unregister(sock)
 
     def run(self, until: float) -> None:
         while (now := time.time()) < until:
-            while self.due and self.due[0][0] <= now:
-                heapq.heappop(self.due)[2]()
-            next_due = self.due[0][0] if self.due else now + MAX_WAIT_S
-            for key, _ in self.selector.select(max(0.0, min(MAX_WAIT_S, next_due - time.time()))):
+            while self.timers and self.timers[0][0] <= now:
+                heapq.heappop(self.timers)[2]()
+            next_due = self.timers[0][0] if self.timers else now + MAX_POLL_S
+            for key, _ in self.selector.select(max(0.0, min(MAX_POLL_S, next_due - time.time()))):
                 # An earlier call of this turn may have closed it.
                 if key.fd >= 0 and self.selector.get_map().get(key.fd) is key:
                     key.data()
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -15,10 +15,10 @@
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
 DRAIN_GRACE_S = 2.0
-RAMP_S, START_CAPACITY, FALL_MULTIPLE, TIP_S = 6.0, 0.5, 2.0, 2.0
+RAMP_S, START_CAPACITY, FALL_MULTIPLE, TIP_AFTER_S = 6.0, 0.5, 2.0, 2.0
 RACKS = 3
-IDLE_S = 6.0
-CONNECT_S = 1.0
+IDLE_TIMEOUT_S = 6.0
+CONNECT_TIMEOUT_S = 1.0
 SERVERS_PER_CELL = 2
 TOTAL_STREAMS = 6_000  # of all servers together, however many there are
 SERVER_FAULTS = (
@@ -157,17 +157,17 @@
                 "StartCapacity": START_CAPACITY,
                 "DrainGraceMs": DRAIN_GRACE_S * 1000,
                 "FallMultiple": FALL_MULTIPLE,
-                "TipAfterMs": TIP_S * 1000,
+                "TipAfterMs": TIP_AFTER_S * 1000,
             },
             "Allowed": {
-                "ConnectTimeoutMs": CONNECT_S * 1000,
-                "ConnIdleMs": IDLE_S * 1000,
+                "ConnectTimeoutMs": CONNECT_TIMEOUT_S * 1000,
+                "ConnIdleMs": IDLE_TIMEOUT_S * 1000,
                 "RetryAfter": True,
                 "MaxRetryAfterMs": 500,
             },
         }
 
-    def row(self, node: int, change: ListChange) -> dict[str, Any]:
+    def host_entry(self, node: int, change: ListChange) -> dict[str, Any]:
         """One server as the discovery service lists it to one node."""
         host, port = self.server_address(node, change.slot)
         return {
@@ -183,17 +183,17 @@
 
     def notices(self, node: int, until: float, after: int = 0) -> list[dict[str, Any]]:
         """The discovery service's events up to a time: first the whole list, then one for each change."""
-        found = []
+        notices = []
         if after < 1:
             listed = [
                 ListChange(0.0, self.server_name(i), "up", i, self.cell_of(i), 0.0)
                 for i in range(self.servers)
             ]
-            found.append(_notice(1, [self.row(node, each) for each in listed], whole=True))
+            notices.append(_notice(1, [self.host_entry(node, each) for each in listed], whole=True))
         for rev, change in enumerate(self.changes, 2):
             if change.at <= until and rev > after:
-                found.append(_notice(rev, [self.row(node, change)], whole=False))
-        return found
+                notices.append(_notice(rev, [self.host_entry(node, change)], whole=False))
+        return notices
 
     def revision(self, until: float) -> int:
         """The number of the last event at a time."""
@@ -204,16 +204,16 @@
 
     @classmethod
     def load(cls, path: Path) -> Plan:
-        tree = json.loads(path.read_text(encoding="utf-8"))
+        document = json.loads(path.read_text(encoding="utf-8"))
         for name, kind in (
             ("faults", ServerFault),
             ("changes", ListChange),
             ("discovery", DiscoveryFault),
             ("signals", NodeSignal),
         ):
-            tree[name] = [kind(**each) for each in tree[name]]
-        tree["crowd"] = tuple(tree["crowd"])
-        return cls(**tree)
+            document[name] = [kind(**each) for each in document[name]]
+        document["crowd"] = tuple(document["crowd"])
+        return cls(**document)
 
 
 def _notice(rev: int, hosts: list[dict[str, Any]], whole: bool) -> dict[str, Any]:
@@ -290,7 +290,7 @@
         until = at + rng.uniform(0.5, 6)
         if kind == "die":
             nodes = list(range(plan.nodes))
-            plan.changes.extend(_restart_told(plan, rng, index, until) for index in affected)
+            plan.changes.extend(_restart_listing(plan, rng, index, until) for index in affected)
         plan.faults.append(ServerFault(at, until, kind, names, nodes))
     _draw_server_restarts(plan, rng)
 
@@ -303,12 +303,12 @@
     for index in rng.sample(range(plan.servers), max(1, plan.servers // 20)):
         name, born = plan.server_name(index), at + rng.uniform(0.05, 1.5)
         plan.faults.append(ServerFault(at, born, "restart", [name], list(range(plan.nodes))))
-        plan.changes.append(_restart_told(plan, rng, index, born))
+        plan.changes.append(_restart_listing(plan, rng, index, born))
 
 
-def _restart_told(plan: Plan, rng: Random, index: int, born: float) -> ListChange:
-    told = born + rng.uniform(0.1, 1.5)
-    return ListChange(told, plan.server_name(index), "up", index, plan.cell_of(index), born)
+def _restart_listing(plan: Plan, rng: Random, index: int, born: float) -> ListChange:
+    listed_at = born + rng.uniform(0.1, 1.5)
+    return ListChange(listed_at, plan.server_name(index), "up", index, plan.cell_of(index), born)
 
 
 def _draw_list_changes(plan: Plan, rng: Random) -> None:
--- a/tests/soak/recording.py
+++ b/tests/soak/recording.py
@@ -29,8 +29,8 @@
 
 def read(folder: Path) -> list[Event]:
     """All events of all recordings in a folder, in the order of their times."""
-    found: list[Event] = []
+    events: list[Event] = []
     for path in sorted(folder.glob("*.rec")):
         lines = path.read_text(encoding="utf-8").split("\n")
-        found += [json.loads(line) for line in lines if line.endswith("}")]
-    return sorted(found, key=lambda each: each["t"])
+        events += [json.loads(line) for line in lines if line.endswith("}")]
+    return sorted(events, key=lambda each: each["t"])
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -16,16 +16,16 @@
 from fennelcove.isup.reader import Reader
 
 from tests.soak.loop import Loop, reset
-from tests.soak.plan import IDLE_S, ListChange, Plan, ServerFault
+from tests.soak.plan import IDLE_TIMEOUT_S, ListChange, Plan, ServerFault
 from tests.soak.recording import Recorder
 
 BACKLOG = 64
 NORMAL_DELAY_S = (0.002, 0.03)
 SLOW_DELAY_S = (0.3, 1.2)
-REMOVED_TO_EXIT_S = 0.5
+EXIT_DELAY_S = 0.5
 REPORT_S = 1.0
-SERVERS_A_TURN = 20  # of those that a fault begins or ends at
-DRIP_BYTES, DRIP_S = 7, 0.015  # an answer in pieces
+SERVERS_PER_BATCH = 20  # of those that a fault begins or ends at
+FRAGMENT_BYTES, FRAGMENT_INTERVAL_S = 7, 0.015  # an answer in pieces
 FAULT_SHARE = 0.5  # of the set-ups that come while a server is faulty in its answers
 SILENT_FAULTS = ("hang", "cut", "vanish", "late_connect")
 REFUSALS = {"full": Cause.FULL, "error": Cause.ERROR, "moot": Cause.NOT_EXECUTED}
@@ -43,7 +43,7 @@
         self.is_closed = False
         self.is_forgotten = False  # the next bytes are answered by a reset
         self.is_unusable = False  # an answer here was spoilt
-        self.held: list[bytes] | None = None  # what waits for the rest of an answer that goes out in pieces
+        self.queued: list[bytes] | None = None  # what waits for the rest of an answer that goes out in pieces
 
 
 class Server:
@@ -62,7 +62,7 @@
         self.answer_faults: dict[int, str] = {}
 
 
-class Farm:
+class ServerFleet:
     """All servers, on the side of one node."""
 
     def __init__(self, plan: Plan, node: int, record: Recorder) -> None:
@@ -79,16 +79,16 @@
             self._schedule(change)
         for number, fault in enumerate(plan.faults):
             if node in fault.nodes:
-                self.loop.at(plan.start + fault.at, lambda n=number, f=fault: self.begin(n, f))
-                self.loop.at(plan.start + fault.until, lambda n=number, f=fault: self.end(n, f))
+                self.loop.at(plan.start + fault.at, lambda n=number, f=fault: self.begin_fault(n, f))
+                self.loop.at(plan.start + fault.until, lambda n=number, f=fault: self.end_fault(n, f))
 
     def _schedule(self, change: ListChange) -> None:
         if change.health == "up" and change.name not in self.servers:
             when = self.plan.start + (change.born or change.at)
             self.loop.at(when, lambda: self.start(change.name, change.slot))
         elif change.health == "removed":
-            when = self.plan.start + change.at + REMOVED_TO_EXIT_S
-            self.loop.at(when, lambda: self.die(change.name))
+            when = self.plan.start + change.at + EXIT_DELAY_S
+            self.loop.at(when, lambda: self.stop(change.name))
 
     def start(self, name: str, slot: int) -> None:
         """Start a server's process."""
@@ -103,7 +103,7 @@
         listener.setblocking(False)
         self.loop.watch(listener, lambda: self._accept(server))
 
-    def die(self, name: str) -> None:
+    def stop(self, name: str) -> None:
         """End a server's process: its connections are reset, its sessions cut, new connections refused."""
         server = self.servers.get(name)
         if server is None or server.listener is None:
@@ -117,28 +117,28 @@
         for connection in list(server.connections):
             self.close(connection, is_reset=True)
         self._drop_fillers(server)
-        self.loop.forget(server.listener)
+        self.loop.unwatch(server.listener)
         server.listener.close()
         server.listener = None
 
-    def begin(self, number: int, fault: ServerFault) -> None:
+    def begin_fault(self, number: int, fault: ServerFault) -> None:
         """Begin a fault."""
         self.record("fault", kind=fault.kind, servers=len(fault.servers), until=fault.until)
-        self._in_turns(fault.servers, lambda name: self._begin_at(name, number, fault))
+        self._in_batches(fault.servers, lambda name: self._begin_on_server(name, number, fault))
 
-    def _in_turns(self, names: list[str], act: Callable[[str], None]) -> None:
+    def _in_batches(self, names: list[str], action: Callable[[str], None]) -> None:
         """Act on a few servers a turn of the loop: what is read meanwhile would get too late a time."""
-        for name in names[:SERVERS_A_TURN]:
-            act(name)
-        rest = names[SERVERS_A_TURN:]
+        for name in names[:SERVERS_PER_BATCH]:
+            action(name)
+        rest = names[SERVERS_PER_BATCH:]
         if rest:
-            self.loop.after(0.0, lambda: self._in_turns(rest, act))
+            self.loop.after(0.0, lambda: self._in_batches(rest, action))
 
-    def _begin_at(self, name: str, number: int, fault: ServerFault) -> None:
+    def _begin_on_server(self, name: str, number: int, fault: ServerFault) -> None:
         server = self.servers.get(name)
         if server is not None and server.listener is not None:
             if fault.kind in ("die", "restart"):
-                self.die(name)
+                self.stop(name)
             elif fault.kind in SILENT_FAULTS:
                 self._silence(server, number, fault.kind)
             elif fault.kind == "reset":
@@ -147,11 +147,11 @@
             else:
                 server.answer_faults[number] = fault.kind
 
-    def end(self, number: int, fault: ServerFault) -> None:
+    def end_fault(self, number: int, fault: ServerFault) -> None:
         """End a fault; a process that died starts anew, a machine that vanished stays away."""
-        self._in_turns(fault.servers, lambda name: self._end_at(name, number, fault))
+        self._in_batches(fault.servers, lambda name: self._end_on_server(name, number, fault))
 
-    def _end_at(self, name: str, number: int, fault: ServerFault) -> None:
+    def _end_on_server(self, name: str, number: int, fault: ServerFault) -> None:
         server = self.servers.get(name)
         if server is not None:
             server.answer_faults.pop(number, None)
@@ -171,10 +171,10 @@
         server.silent.add(number)
         self.record("silent", server=server.name)
         assert server.listener is not None
-        self.loop.forget(server.listener)
+        self.loop.unwatch(server.listener)
         if kind != "late_connect":
             for connection in server.connections:
-                self.loop.forget(connection.sock)
+                self.loop.unwatch(connection.sock)
         if kind == "vanish":
             for session in [*server.playing, *server.ended]:
                 self.record("cut", server=server.name, session=session.hex())
@@ -201,11 +201,11 @@
         server.listener.listen(BACKLOG)
         self.loop.watch(server.listener, lambda: self._accept(server))
         for connection in server.connections:
-            self.loop.forget(connection.sock)
+            self.loop.unwatch(connection.sock)
             self.loop.watch(connection.sock, lambda c=connection: self._read(c))
         deferred, server.deferred = server.deferred, []
         for connection, data in deferred:
-            self._hand_out(connection, data)
+            self._transmit(connection, data)
 
     def _accept(self, server: Server) -> None:
         while server.listener is not None:
@@ -298,7 +298,7 @@
         description = f"{server.name};{session.hex()};{self.rng.randrange(1 << 30):x}".encode()
         answer = writer.message(MessageKind.ANSWER, session, (Parameter.DESCRIPTION, description))
         if kind in ("noise", "truncated", "half", "huge"):
-            self._spoil(connection, session, answer, kind)
+            self._send_malformed(connection, session, answer, kind)
             return
         connection.open.discard(session)
         server.playing[session] = connection
@@ -325,16 +325,16 @@
 
     def _send_in_pieces(self, connection: Connection, answer: bytes) -> None:
         """Send an answer in pieces; whatever else is sent meanwhile follows behind it."""
-        parts = [answer[at : at + DRIP_BYTES] for at in range(0, len(answer), DRIP_BYTES)]
-        connection.held = []
+        parts = [answer[at : at + FRAGMENT_BYTES] for at in range(0, len(answer), FRAGMENT_BYTES)]
+        connection.queued = []
 
         def send_next() -> None:
-            self._hand_out(connection, parts.pop(0))
+            self._transmit(connection, parts.pop(0))
             if parts:
-                self.loop.after(DRIP_S, send_next)
+                self.loop.after(FRAGMENT_INTERVAL_S, send_next)
                 return
-            held, connection.held = connection.held or [], None
-            for each in held:
+            queued, connection.queued = connection.queued or [], None
+            for each in queued:
                 self.send(connection, each)
 
         send_next()
@@ -345,27 +345,27 @@
         if connection is None or connection.is_closed or connection.is_unusable:
             return
         for name in (b"nic", b"tor", b"quality"):
-            figure = b"%.2f" % self.rng.choice((0.3, 0.6, 0.9, 1.2))
-            note = writer.message(
+            value = b"%.2f" % self.rng.choice((0.3, 0.6, 0.9, 1.2))
+            report = writer.message(
                 MessageKind.SESSION_REPORT,
                 session,
                 (Parameter.REPORT_NAME, name),
-                (Parameter.REPORT_VALUE, figure),
+                (Parameter.REPORT_VALUE, value),
             )
-            self.send(connection, note)
+            self.send(connection, report)
         self.loop.after(REPORT_S, lambda: self._report_load(server, session))
 
-    def _spoil(self, connection: Connection, session: bytes, answer: bytes, kind: str) -> None:
+    def _send_malformed(self, connection: Connection, session: bytes, answer: bytes, kind: str) -> None:
         """Send an answer that can't be read; the request has run, and its session is cut."""
         connection.is_unusable = True
         self.record("spoilt", server=connection.server.name, session=session.hex(), kind=kind)
-        spoilt = {
+        malformed = {
             "noise": self.rng.randbytes(60),
             "truncated": answer[:-5],
             "half": answer[: len(answer) // 2],
             "huge": b"\xff\xf0" + answer[2:] * 4,
         }[kind]
-        self.send(connection, spoilt)
+        self.send(connection, malformed)
         if kind == "truncated":
             self.close(connection)
 
@@ -409,12 +409,12 @@
             self.loop.after(10.0, lambda: connection.server.ended.pop(session, None))
 
     def send(self, connection: Connection, data: bytes) -> None:
-        if connection.held is None:
-            self._hand_out(connection, data)
+        if connection.queued is None:
+            self._transmit(connection, data)
         else:
-            connection.held.append(data)
+            connection.queued.append(data)
 
-    def _hand_out(self, connection: Connection, data: bytes) -> None:
+    def _transmit(self, connection: Connection, data: bytes) -> None:
         if connection.server.silent:
             connection.server.deferred.append((connection, data))
         elif not connection.is_closed:
@@ -431,7 +431,7 @@
         for session in connection.open:
             self.record("given_up", server=connection.server.name, session=session.hex())
         connection.open.clear()
-        self.loop.forget(connection.sock)
+        self.loop.unwatch(connection.sock)
         if is_reset:
             reset(connection.sock)
         else:
@@ -441,7 +441,7 @@
 
     def close_idle(self) -> None:
         """Close, reset or forget connections that were idle for as long as the settings say."""
-        oldest = time.time() - IDLE_S
+        oldest = time.time() - IDLE_TIMEOUT_S
         for server in self.servers.values():
             for connection in list(server.connections):
                 if connection.open or connection.used > oldest or server.silent:
@@ -457,10 +457,10 @@
 def main(folder: Path, node: int) -> None:
     plan = Plan.load(folder / "plan.json")
     record = Recorder(folder / f"servers-{node}.rec", f"servers-{node}")
-    farm = Farm(plan, node, record)
-    farm.close_idle()
+    fleet = ServerFleet(plan, node, record)
+    fleet.close_idle()
     (folder / f"servers-{node}.ready").touch()
-    farm.loop.run(plan.start + plan.duration + 60)
+    fleet.loop.run(plan.start + plan.duration + 60)
 
 
 if __name__ == "__main__":
--- a/tests/soak/trial.py
+++ b/tests/soak/trial.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from tests.soak.clients import tail_s
-from tests.soak.discovery import board_address
+from tests.soak.discovery import discovery_address
 from tests.soak.plan import Plan
 from tests.soak.recording import Recorder
 
@@ -34,15 +34,15 @@
         self.record = record
         self.address = (f"127.{plan.octet + index}.252.1", plan.port)
         self.path = folder / f"node-{index}.json"
-        self.board = 0
+        self.discovery_sequence = 0
         self.starts = 0
         self.process: subprocess.Popen[bytes] | None = None
         self.is_expected_to_end = False
 
     def write_config(self, revision_at: float) -> None:
-        host, port = board_address(self.plan, self.index, self.board)
+        host, port = discovery_address(self.plan, self.index, self.discovery_sequence)
         notices = self.plan.notices(self.index, revision_at)
-        tree = {
+        document = {
             "name": f"n{self.index}",
             "listen": f"{self.address[0]}:{self.address[1]}",
             "seed": f"{self.plan.seed * 100 + self.index * 10 + self.starts:x}",
@@ -51,9 +51,9 @@
             "known": {"rev": notices[-1]["rev"], "notices": notices},
             "settings": self.plan.settings() | {"Index": self.index},
         }
-        fresh = self.path.with_suffix(".new")
-        fresh.write_text(json.dumps(tree), encoding="utf-8")
-        fresh.replace(self.path)
+        temporary = self.path.with_suffix(".new")
+        temporary.write_text(json.dumps(document), encoding="utf-8")
+        temporary.replace(self.path)
 
     def start(self) -> None:
         """Start a process with what the discovery service knows by now."""
@@ -70,13 +70,13 @@
         self.is_expected_to_end = False
         self.record("started", node=self.index)
 
-    def move(self) -> None:
+    def move_discovery(self) -> None:
         """Put a configuration with the next address of the discovery service, and send SIGHUP."""
-        self.board += 1
+        self.discovery_sequence += 1
         self.write_config(time.time() - self.plan.start)
         self._send(signal.SIGHUP)
 
-    def signal_again(self) -> None:
+    def repeat_signals(self) -> None:
         """Signals that say nothing new."""
         if self.process is not None and self.process.poll() is None:
             self._send(signal.SIGHUP)
@@ -152,29 +152,29 @@
     plan.save(folder / "plan.json")
     record = Recorder(folder / "runner.rec", "runner")
     nodes = [Node(plan, index, folder, record) for index in range(plan.nodes)]
-    stand_ins: list[subprocess.Popen[bytes]] = []
+    emulators: list[subprocess.Popen[bytes]] = []
     done = threading.Event()
     try:
         for index in range(plan.nodes):
-            stand_ins.append(_start("tests.soak.servers", folder, str(index)))
-        stand_ins.append(_start("tests.soak.discovery", folder))
+            emulators.append(_start("tests.soak.servers", folder, str(index)))
+        emulators.append(_start("tests.soak.discovery", folder))
         _wait_for(folder, [*(f"servers-{i}.ready" for i in range(plan.nodes)), "discovery.ready"])
         for node in nodes:
             node.start()
         addresses = [f"{host}:{port}" for host, port in (node.address for node in nodes)]
         clients = _start("tests.soak.clients", folder, *addresses)
-        stand_ins.append(clients)
-        watcher = threading.Thread(target=_watch, args=(nodes, record, done))
-        watcher.start()
+        emulators.append(clients)
+        sampler = threading.Thread(target=_sample_until_done, args=(nodes, record, done))
+        sampler.start()
         _send_signals(plan, nodes)
         clients.wait(timeout=plan.duration + tail_s(plan) + 30)
         done.set()
-        watcher.join()
+        sampler.join()
     finally:
         done.set()
-        for process in stand_ins:
+        for process in emulators:
             process.terminate()
-        for process in stand_ins:
+        for process in emulators:
             process.wait()
         for node in nodes:
             node.end()
@@ -182,9 +182,11 @@
         record.flush()
 
 
-def _start(module: str, folder: Path, *words: str) -> subprocess.Popen[bytes]:
+def _start(module: str, folder: Path, *arguments: str) -> subprocess.Popen[bytes]:
     with (folder / "stand-ins.log").open("ab") as log:
-        return subprocess.Popen([sys.executable, "-m", module, str(folder), *words], stdout=log, stderr=log)
+        return subprocess.Popen(
+            [sys.executable, "-m", module, str(folder), *arguments], stdout=log, stderr=log
+        )
 
 
 def _wait_for(folder: Path, names: list[str]) -> None:
@@ -200,11 +202,11 @@
     for each in plan.signals:
         time.sleep(max(0.0, plan.start + each.at - time.time()))
         node = nodes[each.node]
-        actions = {"move": node.move, "kill": node.kill, "restart": node.terminate}
+        actions = {"move": node.move_discovery, "kill": node.kill, "restart": node.terminate}
         if each.kind == "move":
-            node.move()
+            node.move_discovery()
         elif each.kind == "again":
-            node.signal_again()
+            node.repeat_signals()
         else:
             threads.append(threading.Thread(target=actions[each.kind]))
             threads[-1].start()
@@ -212,13 +214,13 @@
         thread.join()
 
 
-def _watch(nodes: list[Node], record: Recorder, done: threading.Event) -> None:
+def _sample_until_done(nodes: list[Node], record: Recorder, done: threading.Event) -> None:
     """Sample the nodes, and record when this machine gave a sleeping thread no time."""
     while not done.is_set():
         for node in nodes:
             node.sample()
         before = time.time()
         time.sleep(SAMPLE_S)
-        late = time.time() - before - SAMPLE_S
-        if late > STALL_S:
-            record("machine_stalled", begin=before + SAMPLE_S, seconds=late)
+        late_s = time.time() - before - SAMPLE_S
+        if late_s > STALL_S:
+            record("machine_stalled", begin=before + SAMPLE_S, seconds=late_s)
