--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,5 +1,5 @@
-"""Randomized soak of front nodes: real processes on loopback, overlapping faults, invariants as the oracle.
+"""Randomized soak test of front nodes: real processes on loopback, overlapping faults, and invariant checks.
 
-Run by hand: `python -m tests.soak --seeds 1..50 --jobs 3`. Each process gets the plan as a file and acts on
-its own part of it by the Unix clock; each writes a recording, and `checker` reads the recordings alone.
+Run it with `python -m tests.soak --seeds 1..50 --jobs 3`. Each process reads the plan from a file, executes
+its own part of it by the Unix clock and writes a recording; `checker` uses the recordings only.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,7 @@
-"""Plays many seeds: `python -m tests.soak --seeds 1..50 --jobs 3`. Exit status 1 where a rule was broken."""
+"""Run the soak test for many seeds, for example `python -m tests.soak --seeds 1..50 --jobs 3`.
+
+The exit status is 1 if a rule was violated.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +26,14 @@
 
 
 def run(plan: Plan, folder: Path) -> Verdict:
-    """Play a plan now, and check it."""
+    """Execute a plan now and check its recordings."""
     plan = replace(plan, start=time.time() + START_DELAY_S)
     play(plan, folder)
     return Checker(folder).check()
 
 
 def free_port() -> int:
-    """A port for this process's stand-ins, below those that the kernel gives out."""
+    """Return a port for this process's emulators, below the kernel's ephemeral range."""
     return 20_000 + os.getpid() % 10_000
 
 
@@ -68,11 +71,11 @@
 
 
 def report(seed: int, plan: Plan, verdict: Verdict) -> None:
-    """Print a line for a seed, and its first violations."""
+    """Print one line for a seed, and its first violations."""
     kinds = sorted({fault.kind for fault in plan.faults} | {each.kind for each in plan.discovery})
     print(
         f"seed {seed}: {plan.nodes} nodes, {plan.servers} servers, {plan.sockets} descriptors, "
-        f"{len(plan.changes)} changes, {'+'.join(kinds)}: {verdict.by_rule() or 'kept'} {verdict.figures}",
+        f"{len(plan.changes)} changes, {'+'.join(kinds)}: {verdict.by_rule() or 'passed'} {verdict.figures}",
         flush=True,
     )
     for each in verdict.violations[:MAX_SHOWN_VIOLATIONS]:
--- a/tests/soak/checker.py
+++ b/tests/soak/checker.py
@@ -1,8 +1,13 @@
-"""Checks the rules on sockets by the recordings alone.
+"""Checks the recordings of one run against the rules.
 
-Each time limit has the 50 ms of the protocol page on top. Rules: `lost` (answers, releases, forwarding after
-the end), `overlap` (one attempt at a time), `repeat` (single-shot classes), `drain`, `failback`,
-`bad_client`, `limits`, `crash`.
+The protocol specification allows 50 ms on top of each time limit. Rules:
+
+- `lost`: answers and releases are sent in time, and nothing is forwarded after the end of a session
+- `overlap`: one attempt of a session at a time
+- `repeat`: a single-shot set-up that may have been executed is not repeated
+- `drain`: no set-up to a draining or removed server after the grace period
+- `failback`: a server that is warming up is not overloaded
+- `bad_client`, `limits`, `crash`, `log`: invalid clients are disconnected; resources, processes, log entries
 """
 
 from __future__ import annotations
@@ -18,16 +23,16 @@
 from tests.soak.recording import Event, read
 
 SLACK_S = 0.05
-LATE_ANSWER_S = 0.5  # an answer so much past its time earns nothing, but is not lost
-MAX_RELEASE_S = 1.0  # from a server's release to the one towards the client
-UNREPORTED_END_S = 8.0  # from the end of a session whose server could not tell
+LATE_ANSWER_S = 0.5  # an answer this late has no value, but is not lost
+MAX_RELEASE_S = 1.0  # from the release by a server to the one sent to the client
+UNREPORTED_END_S = 8.0  # release time after a session end that the server could not report
 MAX_HANDOVER_S = 0.2
 MAX_BAD_CLIENT_S = 3.0
 MAX_START_S = 10.0
-OUTAGE_RECOVERY_S = 6.0  # after a failed call a change counts as told, from when discovery could be reached
+OUTAGE_RECOVERY_S = 6.0  # after a failed poll, a change must be known this long after discovery is reachable
 MOVE_RECOVERY_S = 4.0
 MAX_MEMORY_MB = 192
-LARGE_MEAN = 30  # from so many allowed set-ups on the slack is smaller
+LARGE_MEAN = 30  # from this expected number of set-ups on the tolerance is smaller
 NOT_EXECUTED_STATUSES = (453, 454, 503)
 NOT_EXECUTED_KINDS = ("full", "moot")
 FAULTY_EVENTS = (
@@ -41,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """One broken rule."""
+    """One violation of a rule."""
 
     rule: str
     at: float
@@ -51,7 +56,7 @@
 
 @dataclass
 class Verdict:
-    """What one run showed."""
+    """The result of one run."""
 
     violations: list[Violation] = field(default_factory=list)
     figures: dict[str, Any] = field(default_factory=dict)
@@ -61,7 +66,7 @@
 
 
 class Checker:
-    """All rules over one run's recordings."""
+    """Checks all rules on the recordings of one run."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -77,7 +82,7 @@
         self.silences = self._find_silences()
 
     def check(self) -> Verdict:
-        """Check everything."""
+        """Check all rules."""
         if not self.end:
             self._report("crash", 0.0, "the clients did not finish")
         for id, events in self.by_session.items():
@@ -93,7 +98,7 @@
         self.violations.append(Violation(rule, round(at - self.plan.start, 3), what, session))
 
     def _find_outages(self) -> dict[int, list[tuple[float, float, bool]]]:
-        """From when to when each node had no process that serves, and whether it was killed outright."""
+        """Return when each node had no serving process, and whether it was killed without SIGTERM."""
         outages: dict[int, list[tuple[float, float, bool]]] = defaultdict(list)
         terminated: dict[int, float] = {}
         killed: dict[int, tuple[float, bool]] = {}
@@ -113,7 +118,7 @@
         return outages
 
     def _find_silences(self) -> dict[tuple[str, str], list[tuple[float, float]]]:
-        """From when to when each stand-in server said and read nothing."""
+        """Return when each emulated server neither sent nor read anything."""
         silences: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
         silent_since: dict[tuple[str, str], float] = {}
         for event in self.events:
@@ -134,7 +139,7 @@
         return any(is_killed and begin <= a <= end for a, _, is_killed in self.outages[node])
 
     def _check_answer(self, id: str, events: list[Event]) -> None:
-        """One answer, in time, that a server made."""
+        """Check that there is one answer, in time, with a description sent by a server."""
         sent = [e for e in events if e["event"] == "sent"]
         if not sent:
             return
@@ -146,7 +151,7 @@
         if answers and answers[0]["status"] == 200:
             made = [e["description"] for e in events if e["event"] == "answered"]
             if answers[0]["body"] not in made:
-                self._report("lost", answers[0]["t"], "served with what no server made", id)
+                self._report("lost", answers[0]["t"], "the description was not sent by any server", id)
         if any(e["event"] in ("given_up", "not_taken") and e["by"] == "clients" for e in events):
             return
         if answers:
@@ -164,7 +169,7 @@
             self._report("lost", broken or deadline, what, id)
 
     def _check_forwarding(self, id: str, events: list[Event]) -> None:
-        """One attempt at a time, none after the end, no repeat of what may have run."""
+        """Check for overlapping attempts, attempts after the end, and repeats of an executed set-up."""
         ended_at = next(
             (e["t"] for e in events if e["event"] in ("answer", "given_up") and e["by"] == "clients"), 1e18
         )
@@ -207,10 +212,12 @@
             and earlier_may_have_run
             and attempts[0]["t"] < answer["t"]
         ):
-            self._report("repeat", answer["t"], "called harmless though it may have run", id)
+            self._report(
+                "repeat", answer["t"], "reported as not executed although it may have been executed", id
+            )
 
     def _check_release(self, id: str, events: list[Event]) -> None:
-        """What stood and is over is released towards its client."""
+        """Check that the client is notified of the end of an established session."""
         answer = next((e for e in events if e["event"] == "answer" and e["status"] == 200), None)
         if answer is None:
             return
@@ -243,7 +250,7 @@
             ):
                 handovers = [e["t"] for e in events if e["event"] == "handed_over" and e["t"] >= started_at]
                 if not handovers:
-                    return  # torn down meanwhile, or never handed over
+                    return  # torn down in the meantime, or never handed over
                 deadline = max(deadline, handovers[0] + MAX_HANDOVER_S + UNREPORTED_END_S + SLACK_S)
         if released_at > deadline and deadline < self.end:
             outcome = (
@@ -255,7 +262,7 @@
             self._report("lost", deadline, f"{outcome} ({ends[0]['event']}, {sent})", id)
 
     def _known_at(self, node: int, at: float) -> float:
-        """When a change counts as told to a node at the latest; times from the run's start."""
+        """Return when a node must know a change at the latest; times since the start of the run."""
         known_at = at
         for fault in self.plan.discovery:
             if fault.at - 1.0 <= at < fault.until or fault.at - 1.0 <= known_at < fault.until:
@@ -270,7 +277,7 @@
         return known_at
 
     def _check_drains(self) -> None:
-        """Nothing new to a draining or removed server past the grace."""
+        """Check that a draining or removed server gets no set-up after the grace period."""
         drained: dict[str, float] = {}
         for change in self.plan.changes:
             if change.health != "up":
@@ -282,11 +289,14 @@
             limit = self.plan.start + self._known_at(node, drained[event["server"]]) + DRAIN_GRACE_S + SLACK_S
             if event["t"] > limit and not self._was_silent(event, limit - 1, event["t"]):
                 self._report(
-                    "drain", event["t"], f"sent {event['t'] - limit:.3f} s past the grace", event["session"]
+                    "drain",
+                    event["t"],
+                    f"sent {event['t'] - limit:.3f} s after the grace period",
+                    event["session"],
                 )
 
     def _check_slow_starts(self) -> None:
-        """No cold server gets more than the settings allow from nodes that were told of its start."""
+        """Check that nodes that know of a server's start keep its allowed set-up rate during warm-up."""
         for change in self.plan.changes:
             if not change.born or change.health != "up":
                 continue
@@ -308,7 +318,7 @@
                     break
 
     def _allowed(self, age: float) -> float:
-        """Set-ups that a server of this age may get in the time in which it would fall, with the slack."""
+        """Return the allowed set-ups for a server of this age in the overload window, with tolerance."""
         warm_up_factor = START_CAPACITY + (1 - START_CAPACITY) * min(1.0, (age + TIP_AFTER_S / 2) / RAMP_S)
         mean = FALL_MULTIPLE * self.plan.streams / RAMP_S * warm_up_factor * TIP_AFTER_S
         deviation = math.sqrt(mean)
@@ -329,10 +339,12 @@
                 self._report("limits", event["t"], f"node {node} used {event['memory_mb']:.0f} MB")
             elif event["event"] == "bad_client" and event["after"] > MAX_BAD_CLIENT_S + SLACK_S:
                 self._report(
-                    "bad_client", event["t"], f"node {node} let a bad client wait {event['after']:.2f} s"
+                    "bad_client",
+                    event["t"],
+                    f"node {node} took {event['after']:.2f} s to disconnect an invalid client",
                 )
             elif event["event"] == "unreadable":
-                self._report("lost", event["t"], f"node {node} sent what can't be read")
+                self._report("lost", event["t"], f"node {node} sent an unreadable message")
         for node in range(self.plan.nodes):
             path = self.folder / f"node-{node}.log"
             for line in path.read_text(encoding="utf-8").splitlines():
@@ -343,7 +355,7 @@
                     self._report("log", entry["at"], f"node {node}: {line[:300]}", str(entry.get("id", "")))
 
     def _was_in_time(self, entry: Event) -> bool:
-        """Whether what the node logs as answered late was answered within the slack all the same."""
+        """Whether an answer that the node logged as late was within the tolerance."""
         events = self.by_session.get(str(entry.get("id", "")), ())
         sent = next((e for e in events if e["event"] == "sent"), None)
         answer = next((e for e in events if e["event"] == "answer"), None)
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of all nodes: they set sessions up, leave, try again, and hand sessions over to restarted nodes."""
+"""Emulated clients of all nodes: they set up, cancel, retry and hand over sessions."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from tests.soak.recording import Recorder
 
 CLASSES = ("recorded", "live", "paid")
-NEW_CONNECTIONS_END_S = (0.2, 0.4)  # after SIGTERM; then 0.2 s more where none is open
-LAST_CONNECTIONS_S = 0.2
-UNUSED_TIMEOUT_S = 4.0  # after this a client closes a connection without sessions
-RESEND_WINDOW_S = 0.05  # a set-up that crosses the end of a connection is sent once more
+NEW_CONNECTIONS_END_S = (0.2, 0.4)  # after SIGTERM clients stop opening connections within this range
+LAST_CONNECTIONS_S = 0.2  # additional time for clients without an open connection
+UNUSED_TIMEOUT_S = 4.0  # a client closes a connection without sessions after this time
+RESEND_WINDOW_S = 0.05  # a set-up sent this shortly before the connection ended is resent once
 DEATH_DETECTION_S = 1.0
 PROBE_S = 0.05
 DESCRIPTOR_SHARE = 3
@@ -35,11 +35,11 @@
     0.1,
 )
 MAX_RETRIES = 4
-SHORT_LIMIT_SHARE, SHORT_LIMITS_MS = 0.05, (20, 200)  # set-ups with very little time left
+SHORT_LIMIT_SHARE, SHORT_LIMITS_MS = 0.05, (20, 200)  # set-ups with a very short time limit
 
 
 class Session:
-    """One set-up and what came of it."""
+    """One set-up and its session."""
 
     def __init__(self, id: str, node: int, service_class: str, retries: int) -> None:
         self.id = id
@@ -52,10 +52,10 @@
         self.sent = 0.0
         self.is_answered = False
         self.is_cancelled = False
-        self.server = ""  # where it plays
+        self.server = ""  # the server that plays it
         self.answered = 0.0
         self.is_resent = False
-        self.limit_ms = 0  # how long its client waits
+        self.limit_ms = 0  # time for which its client waits for an answer
 
 
 class Connection:
@@ -70,7 +70,7 @@
         self.playing: dict[str, Session] = {}
         self.used = time.time()
         self.is_closed = False
-        self.deferred: list[bytes] | None = None  # what waits for the rest of a set-up that is sent in pieces
+        self.deferred: list[bytes] | None = None  # writes queued behind a partially sent set-up
 
     @property
     def is_unused(self) -> bool:
@@ -78,7 +78,7 @@
 
 
 class NodeState:
-    """What the clients know of one node."""
+    """The clients' knowledge of one node."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
@@ -91,7 +91,7 @@
 
 
 class Clients:
-    """The clients of all nodes."""
+    """The clients of all nodes, on one event loop."""
 
     def __init__(self, plan: Plan, addresses: list[tuple[str, int]], record: Recorder) -> None:
         self.plan = plan
@@ -123,13 +123,13 @@
         return self.now >= self.plan.duration
 
     def on_terminated(self, index: int) -> None:
-        """A node gets SIGTERM: new connections come for a little while."""
+        """Handle SIGTERM to a node: clients open new connections for a short time only."""
         node = self.nodes[index]
         node.terminated_at = time.time()
         node.new_connections_until = node.terminated_at + self.rng.uniform(*NEW_CONNECTIONS_END_S)
 
     def on_killed(self, index: int) -> None:
-        """A node is gone by now; after a while it is probed until it is there again."""
+        """Handle the end of a node process: it is probed until the next one is ready."""
         node = self.nodes[index]
         node.is_up = False
         node.killed_at = time.time()
@@ -137,7 +137,7 @@
         self.loop.after(delay, lambda: self.probe(index))
 
     def probe(self, index: int) -> None:
-        """Test a node; as soon as it passes, sessions are handed over and set-ups come."""
+        """Probe a node; once it responds, hand over its sessions and send set-ups."""
         node = self.nodes[index]
         sock = socket.socket()
         sock.settimeout(0.3)
@@ -159,7 +159,7 @@
                 self.hand_over(index, session)
 
     def has_server_restarted(self, index: int, session: Session) -> bool:
-        """Whether its server's process died with it and is back: handed over is what plays at its server."""
+        """Whether the server restarted and lost the session, which is then not handed over."""
         return any(
             fault.kind in ("die", "restart")
             and session.server in fault.servers
@@ -180,7 +180,7 @@
         self.write(connection, self.set_up_message(session, routing, timed=False))
 
     def next_set_up(self, index: int) -> None:
-        """Send one set-up, and plan the next."""
+        """Send one set-up and schedule the next."""
         if self.is_over:
             return
         begin, end, factor = self.plan.crowd
@@ -189,7 +189,7 @@
         self.send_new(index, self.rng.choice(CLASSES), retries=0)
 
     def send_new(self, index: int, service_class: str, retries: int) -> None:
-        """Set a new session up; each has a new id, a repeat too."""
+        """Set up a new session; a retry gets a new identifier too."""
         if not self.nodes[index].is_up and time.time() > self.nodes[index].killed_at + DEATH_DETECTION_S:
             return
         self.sessions += 1
@@ -205,7 +205,7 @@
             self.send(connection, session)
 
     def pick_connection(self, index: int) -> Connection | None:
-        """An open connection, or a new one where the node still takes new ones."""
+        """Return an open connection, or a new one if the node still accepts connections."""
         node, now = self.nodes[index], time.time()
         usable = [each for each in list(node.connections) if not each.is_closed and not self.has_ended(each)]
         may_open = now < node.new_connections_until and now < node.killed_at + DEATH_DETECTION_S
@@ -219,7 +219,10 @@
         return self.rng.choice(usable) if usable else None
 
     def has_ended(self, connection: Connection) -> bool:
-        """Read what has come by now: a client knows of an end that its kernel has seen."""
+        """Read pending data and return whether the connection has ended.
+
+        A client must not use a connection whose end its kernel has already received.
+        """
         self.read(connection)
         return connection.is_closed
 
@@ -253,7 +256,7 @@
         )
 
     def send(self, connection: Connection, session: Session) -> None:
-        """Send a set-up, at times in pieces, and plan the client's change of mind."""
+        """Send a set-up, sometimes in two fragments, and schedule its cancellation if one is drawn."""
         data = self.set_up_message(session, session.routing)
         connection.waiting[session.id] = session
         session.connection = connection
@@ -267,7 +270,7 @@
         at = self.rng.randrange(1, len(data))
         self.write(connection, data[:at])
         connection.deferred = []
-        # No other set-up may be written on it meanwhile.
+        # No other set-up may be written on it in the meantime.
         self.nodes[connection.node].connections.pop(connection, None)
 
         def finish() -> None:
@@ -305,7 +308,7 @@
             self.loop.after(self.rng.uniform(0, 0.1), lambda: self.disconnect(connection))
 
     def cancel(self, session: Session) -> None:
-        """Withdraw a set-up that is not answered yet."""
+        """Cancel a set-up that is not answered yet."""
         connection = session.connection
         if connection is None or session.is_answered or connection.is_closed:
             return
@@ -317,7 +320,7 @@
         self.write(connection, self.tear_down_message(session))
 
     def disconnect(self, connection: Connection) -> None:
-        """Close a connection with whatever is open on it."""
+        """Close a connection with unanswered set-ups on it."""
         if connection.is_closed or connection.playing:
             return
         for session in list(connection.waiting.values()):
@@ -331,7 +334,7 @@
         return writer.request("TEARDOWN", f"rtsp://media/{session.title}", *fields)
 
     def tear_down(self, session: Session) -> None:
-        """End a session that plays, on any connection."""
+        """Tear down a playing session, on any connection to its node."""
         node = self.nodes[session.node]
         if session.id not in node.playing or not node.is_up:
             return
@@ -422,7 +425,7 @@
             self.loop.after(delay, retry)
 
     def on_ended(self, connection: Connection, was_reset: bool = False) -> None:
-        """A connection has ended: what waits on it is lost, or is sent once more if it crossed the end."""
+        """Handle the end of a connection: unanswered set-ups are lost, or resent if sent just before."""
         if connection.is_closed:
             return
         self.close_connection(connection)
@@ -431,7 +434,7 @@
         for session in list(connection.waiting.values()):
             may_resend = now - session.sent <= RESEND_WINDOW_S and not session.is_resent and session.sent
             if not session.sent:
-                continue  # never sent whole
+                continue  # never sent completely
             if may_resend and len(connection.waiting) == 1:
                 session.is_resent = True
                 replacement = self.connect(connection.node)
@@ -452,7 +455,7 @@
         connection.sock.close()
 
     def bad_client(self, index: int) -> None:
-        """A client that sends what can't be read, or a set-up that is cut short by a reset."""
+        """Start an invalid client: it sends unreadable or incomplete data and expects to be disconnected."""
         if self.is_over:
             return
         self.loop.after(self.rng.uniform(0.5, 3), lambda: self.bad_client(index))
@@ -488,7 +491,7 @@
         self.record("bad_client", node=index, after=time.time() - began)
 
     def close_unused(self) -> None:
-        """Close connections that have had no session for a while."""
+        """Close connections that had no session for a while."""
         oldest = time.time() - UNUSED_TIMEOUT_S
         for node in self.nodes:
             for connection in list(node.connections):
@@ -503,14 +506,14 @@
     record = Recorder(folder / "clients.rec", "clients")
     node_addresses = [(host, int(port)) for host, _, port in (each.partition(":") for each in addresses)]
     clients = Clients(plan, node_addresses, record)
-    # After the last set-up all sessions end, and each end has its time to arrive.
+    # After the last set-up, sessions get time to end and their ends to be received.
     clients.loop.run(plan.start + plan.duration + tail_s(plan))
     record("finished")
     record.flush()
 
 
 def tail_s(plan: Plan) -> float:
-    """How long clients listen on after the last set-up, in seconds."""
+    """Return how long clients keep running after the last set-up, in seconds."""
     return max(plan.hard_limits_ms) / 1000 + 2.0
 
 
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's discovery service for all nodes: each has addresses of its own, and a new one at SIGHUP."""
+"""Emulated discovery service; each node has addresses of its own, and gets a new one with SIGHUP."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tests.soak.recording import Recorder
 
 POLL_S = 0.01
-OLD_ADDRESS_LINGER_S = 1.5  # how long an address that has been left keeps its open connections
+OLD_ADDRESS_LINGER_S = 1.5  # time for which a replaced address keeps its open connections
 SLOW_CHUNK_BYTES, SLOW_PAUSE_S = 20_000, 0.05
 
 
 class DiscoveryServer:
-    """One address of one node's discovery service."""
+    """One address of the discovery service of one node."""
 
     def __init__(self, plan: Plan, node: int, sequence: int, record: Recorder) -> None:
         self.plan, self.node, self.sequence, self.record = plan, node, sequence, record
@@ -41,11 +41,11 @@
         return time.time() - self.plan.start
 
     def fault(self) -> str:
-        """The fault that is on now."""
+        """Return the kind of the active fault, or ""."""
         return next((each.kind for each in self.plan.discovery if each.at <= self.now < each.until), "")
 
     def _supervise(self) -> None:
-        """Listen while the address is in use and the service is not down."""
+        """Listen while the address is in use and no fault has the service down."""
         while True:
             is_open = self.opens_at <= self.now < self.closes_at and self.fault() != "down"
             if is_open and self.listener is None:
@@ -106,7 +106,7 @@
         while self.fault() == "silent" or self.now >= self.closes_at:
             time.sleep(POLL_S)
             if self.now >= self.closes_at + OLD_ADDRESS_LINGER_S:
-                raise OSError("left")
+                raise OSError("address is no longer in use")
         now = self.now
         body = {"rev": self.plan.revision(now), "notices": self.plan.notices(self.node, now, after=watch)}
         self._send(sock, http.response(200, [], json.dumps(body).encode()))
@@ -116,7 +116,7 @@
         if fault == "broken":
             sock.sendall(data[: len(data) * 2 // 3])
             reset(sock)
-            raise OSError("broken off")
+            raise OSError("reset by a fault")
         if fault != "slow":
             sock.sendall(data)
             return
--- a/tests/soak/loop.py
+++ b/tests/soak/loop.py
@@ -1,4 +1,4 @@
-"""A loop over sockets and timers in one thread, for stand-ins with thousands of sockets."""
+"""A single-threaded event loop with sockets and timers, for emulators with thousands of sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Loop:
-    """Calls back on readable sockets and at given Unix times."""
+    """Runs callbacks for ready sockets and at given Unix times."""
 
     def __init__(self) -> None:
         self.selector = selectors.DefaultSelector()
@@ -22,6 +22,7 @@
         self.timer_count = 0
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
+        """Run a callback at a Unix time; callbacks of the same time run in the order of the calls."""
         self.timer_count += 1
         heapq.heappush(self.timers, (when, self.timer_count, callback))
 
@@ -29,9 +30,11 @@
         self.at(time.time() + delay, callback)
 
     def watch(self, sock: socket.socket, callback: Callable[[], None], write: bool = False) -> None:
+        """Run a callback whenever the socket is readable, or writable with `write`."""
         self.selector.register(sock, selectors.EVENT_WRITE if write else selectors.EVENT_READ, callback)
 
     def unwatch(self, sock: socket.socket) -> None:
+        """Stop watching a socket; no error if it is not watched."""
         with suppress(KeyError, ValueError):
             self.selector.unregister(sock)
 
@@ -41,13 +44,13 @@
                 heapq.heappop(self.timers)[2]()
             next_due = self.timers[0][0] if self.timers else now + MAX_POLL_S
             for key, _ in self.selector.select(max(0.0, min(MAX_POLL_S, next_due - time.time()))):
-                # An earlier call of this turn may have closed it.
+                # An earlier callback of this iteration may have closed the socket.
                 if key.fd >= 0 and self.selector.get_map().get(key.fd) is key:
                     key.data()
 
 
 def reset(sock: socket.socket) -> None:
-    """Close with a reset."""
+    """Close the connection with a TCP reset."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,7 +1,7 @@
-"""What one run plays: processes, limits, traffic and a schedule of overlapping faults, drawn from a seed.
+"""The plan of one run: processes, limits, traffic and a schedule of overlapping faults, drawn from a seed.
 
-Figures come from the platform's pages: limits of 256 to 1,024 descriptors, SIGKILL at the earliest the
-longest deadline (counted as 3 s where it is longer) plus 0.7 s after SIGTERM, up to 3,200 servers.
+The values follow the platform specification: limits of 256 to 1,024 descriptors, up to 3,200 servers, and
+SIGKILL no earlier after SIGTERM than the longest deadline (at most 3 s of it) plus 0.7 s.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 IDLE_TIMEOUT_S = 6.0
 CONNECT_TIMEOUT_S = 1.0
 SERVERS_PER_CELL = 2
-TOTAL_STREAMS = 6_000  # of all servers together, however many there are
+TOTAL_STREAMS = 6_000  # of all servers together, independent of their number
 SERVER_FAULTS = (
     "hang", "cut", "vanish", "die", "late_connect", "full", "error", "moot", "reset", "reset_unread",
     "reset_under_request", "noise", "truncated", "half", "huge", "never", "slow", "double", "ahead", "bytes",
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class ServerFault:
-    """A fault of some servers, towards the nodes named or all."""
+    """A fault of some servers towards the listed nodes."""
 
     at: float
     until: float
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True)
 class ListChange:
-    """One event of the discovery service. A server that is removed ends its process soon after."""
+    """One event of the discovery service; a removed server stops its process soon after."""
 
     at: float
     name: str
     health: str
     slot: int
     cell: int
-    born: float  # 0 for long ago
+    born: float  # start time of the process; 0 if it has been running for a long time
 
 
 @dataclass(frozen=True)
@@ -63,9 +63,10 @@
 
 @dataclass(frozen=True)
 class NodeSignal:
-    """`restart`: SIGTERM, then SIGKILL; `kill`: SIGKILL alone; `move`: SIGHUP with a new address.
+    """A signal to a node.
 
-    `again` is one more SIGTERM or SIGHUP that says nothing new, as of an impatient supervisor.
+    `restart` is SIGTERM followed by SIGKILL, `kill` is SIGKILL alone, `move` is SIGHUP with a new address of
+    the discovery service, and `again` is a redundant SIGHUP and SIGTERM, as from an impatient supervisor.
     """
 
     at: float
@@ -75,19 +76,19 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One run; times in seconds from its start."""
+    """One run; times in seconds since its start."""
 
     seed: int
     duration: float
     nodes: int
     servers: int
     sockets: int
-    rate: float  # set-ups a second at each node
-    crowd: tuple[float, float, float]  # from, until, factor
+    rate: float  # set-ups per second at each node
+    crowd: tuple[float, float, float]  # start, end, factor of a peak in the set-up rate
     hard_limits_ms: list[int]
     idle_policy: str
     play_mean_s: float
-    octet: int  # second octet of the servers' addresses
+    octet: int  # second octet of the IP addresses of node 0; each further node adds one
     port: int
     faults: list[ServerFault] = field(default_factory=list)
     changes: list[ListChange] = field(default_factory=list)
@@ -97,7 +98,7 @@
 
     @property
     def kill_after(self) -> float:
-        """From SIGTERM to SIGKILL at the earliest, in seconds."""
+        """Minimum time from SIGTERM to SIGKILL, in seconds."""
         return min(MAX_COUNTED_DEADLINE_S, max(self.hard_limits_ms) / 1000) + KILL_MARGIN_S
 
     @property
@@ -112,14 +113,14 @@
         return f"s-{index:05d}"
 
     def server_address(self, node: int, slot: int) -> tuple[str, int]:
-        """Each node reaches each server at an address of its own."""
+        """Return the address at which a node reaches the server; it differs by node."""
         return f"127.{self.octet + node}.{slot // 200}.{1 + slot % 200}", self.port
 
     def cell_of(self, slot: int) -> int:
         return slot % self.cells
 
     def settings(self) -> dict[str, Any]:
-        """The settings of each node's configuration."""
+        """Return the settings in the configuration of each node."""
         kinds = (("recorded", "free"), ("live", "guarded"), ("paid", "single_shot"))
         lanes = [
             {
@@ -168,7 +169,7 @@
         }
 
     def host_entry(self, node: int, change: ListChange) -> dict[str, Any]:
-        """One server as the discovery service lists it to one node."""
+        """Return one server as the discovery service lists it to a node."""
         host, port = self.server_address(node, change.slot)
         return {
             "host": change.name,
@@ -182,7 +183,7 @@
         }
 
     def notices(self, node: int, until: float, after: int = 0) -> list[dict[str, Any]]:
-        """The discovery service's events up to a time: first the whole list, then one for each change."""
+        """Return the discovery events up to a time: first the full list, then one per change."""
         notices = []
         if after < 1:
             listed = [
@@ -196,7 +197,7 @@
         return notices
 
     def revision(self, until: float) -> int:
-        """The number of the last event at a time."""
+        """Return the revision of the last event at a time."""
         return 1 + sum(change.at <= until for change in self.changes)
 
     def save(self, path: Path) -> None:
@@ -221,7 +222,7 @@
 
 
 def draw(seed: int, octet: int, port: int, duration: float = 20.0, servers: int | None = None) -> Plan:
-    """Draw a run; the same seed gives the same run."""
+    """Draw a plan; the same seed gives the same plan."""
     rng = Random(seed)
     count = servers or rng.choice((60, 200, 200, 800, 3200))
     nodes = rng.randint(2, 5)
@@ -252,7 +253,7 @@
 
 
 def release(servers: int, octet: int, port: int) -> Plan:
-    """Without chance: two nodes, and a release that replaces six in ten servers within 4 s; nothing else."""
+    """Return a fixed plan: two nodes, a release that replaces 60 % of the servers within 4 s, no faults."""
     plan = Plan(
         seed=servers,
         duration=10.0,
@@ -284,7 +285,7 @@
         share = rng.choice((0.02, 0.1, 0.3))
         affected = rng.sample(range(plan.servers), max(1, round(plan.servers * share)))
         names = [plan.server_name(i) for i in affected]
-        # A partition may cut some nodes' paths alone.
+        # A partition may affect the paths of one node only.
         nodes = list(range(plan.nodes)) if rng.random() < 0.6 else rng.sample(range(plan.nodes), 1)
         kind = rng.choice(SERVER_FAULTS)
         until = at + rng.uniform(0.5, 6)
@@ -296,7 +297,7 @@
 
 
 def _draw_server_restarts(plan: Plan, rng: Random) -> None:
-    """Processes that die and are back soon, maybe before a second dial; the list tells of the new start."""
+    """Add servers that restart soon, maybe before a reconnect; the list then has the new start time."""
     if rng.random() < 0.5:
         return
     at = rng.uniform(1, plan.duration / 2)
@@ -312,7 +313,7 @@
 
 
 def _draw_list_changes(plan: Plan, rng: Random) -> None:
-    """A release of servers: replacements come up, then the old ones drain and are removed, one by one."""
+    """Add a release of servers: replacements start, and the old servers drain and are removed, one by one."""
     share = rng.choice((0.0, 0.1, 0.3, 0.6))
     at, span = rng.uniform(1, plan.duration / 2), rng.uniform(3, 7)
     replaced = rng.sample(range(plan.servers), round(plan.servers * share))
@@ -322,7 +323,7 @@
     for number, index in enumerate(replaced):
         when = at + span * number / max(1, len(replaced))
         cell = plan.cell_of(index)
-        takes_over = rng.random() < 0.3  # the new server has the address of the one that has gone
+        takes_over = rng.random() < 0.3  # the new server has the address of the removed one
         slot = index if takes_over else plan.servers + number
         born = when + (2.0 if takes_over else 0.0)
         changes.append(ListChange(when, plan.server_name(index), "draining", index, cell, 0.0))
@@ -344,7 +345,7 @@
         if kind == "restart" and rng.random() < 0.5:
             plan.signals.append(NodeSignal(at + rng.uniform(0.01, 1), node, "again"))
         if kind in ("restart", "kill") and rng.random() < 0.4:
-            # Soon after the new process has started, or while it starts.
+            # Kill the new process while it starts or soon afterwards.
             later = at + (plan.kill_after if kind == "restart" else 0.0) + rng.uniform(0.1, 3)
             plan.signals.append(NodeSignal(later, node, "kill"))
     plan.signals.sort(key=lambda each: each.at)
--- a/tests/soak/recording.py
+++ b/tests/soak/recording.py
@@ -1,4 +1,4 @@
-"""Recordings of one process: a JSON line an event, with its Unix time in seconds."""
+"""Recordings: one JSON object per line for each event, with its Unix time in seconds."""
 
 from __future__ import annotations
 
@@ -11,14 +11,17 @@
 
 
 class Recorder:
-    """Appends events to a file; buffered, since a write an event would slow the stand-ins down."""
+    """Appends the events of one process to a file.
+
+    The file is buffered, because one write per event would slow down the emulators.
+    """
 
     def __init__(self, path: Path, source: str) -> None:
         self.file = path.open("w", encoding="utf-8", buffering=1 << 16)
         self.source = source
 
     def __call__(self, event: str, **fields: Any) -> float:
-        """Record an event that happens now, and return its time."""
+        """Record an event with the current time, and return the time."""
         now = time.time()
         self.file.write(json.dumps({"t": now, "by": self.source, "event": event, **fields}) + "\n")
         return now
@@ -28,7 +31,7 @@
 
 
 def read(folder: Path) -> list[Event]:
-    """All events of all recordings in a folder, in the order of their times."""
+    """Read all recordings in a folder; events are sorted by time, incomplete lines skipped."""
     events: list[Event] = []
     for path in sorted(folder.glob("*.rec")):
         lines = path.read_text(encoding="utf-8").split("\n")
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -1,4 +1,4 @@
-"""The platform's servers as one node reaches them: thousands of stand-ins in one process."""
+"""Emulated servers of one node: thousands of them in one process."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 SLOW_DELAY_S = (0.3, 1.2)
 EXIT_DELAY_S = 0.5
 REPORT_S = 1.0
-SERVERS_PER_BATCH = 20  # of those that a fault begins or ends at
-FRAGMENT_BYTES, FRAGMENT_INTERVAL_S = 7, 0.015  # an answer in pieces
-FAULT_SHARE = 0.5  # of the set-ups that come while a server is faulty in its answers
+SERVERS_PER_BATCH = 20  # servers at which a fault begins or ends in one loop iteration
+FRAGMENT_BYTES, FRAGMENT_INTERVAL_S = 7, 0.015  # an answer sent in fragments
+FAULT_SHARE = 0.5  # fraction of set-ups affected while an answer fault is active
 SILENT_FAULTS = ("hang", "cut", "vanish", "late_connect")
 REFUSALS = {"full": Cause.FULL, "error": Cause.ERROR, "moot": Cause.NOT_EXECUTED}
 
@@ -41,13 +41,13 @@
         self.open: set[bytes] = set()  # set-ups without an answer
         self.used = time.time()
         self.is_closed = False
-        self.is_forgotten = False  # the next bytes are answered by a reset
-        self.is_unusable = False  # an answer here was spoilt
-        self.queued: list[bytes] | None = None  # what waits for the rest of an answer that goes out in pieces
+        self.is_forgotten = False  # the next received data is answered with a reset
+        self.is_unusable = False  # a malformed answer was sent on it
+        self.queued: list[bytes] | None = None  # messages queued behind an answer sent in fragments
 
 
 class Server:
-    """One server process; a name has one process at a time."""
+    """One server; it has at most one process at a time."""
 
     def __init__(self, name: str, address: tuple[str, int]) -> None:
         self.name = name
@@ -56,14 +56,14 @@
         self.fillers: list[socket.socket] = []
         self.connections: dict[Connection, None] = {}
         self.playing: dict[bytes, Connection] = {}
-        self.ended: dict[bytes, Cause] = {}  # ended with no connection open; told on the next
+        self.ended: dict[bytes, Cause] = {}  # ended sessions, released on each new connection
         self.deferred: list[tuple[Connection, bytes]] = []
-        self.silent: set[int] = set()  # the faults that keep it silent
+        self.silent: set[int] = set()  # numbers of the faults that keep it silent
         self.answer_faults: dict[int, str] = {}
 
 
 class ServerFleet:
-    """All servers, on the side of one node."""
+    """All servers as seen by one node."""
 
     def __init__(self, plan: Plan, node: int, record: Recorder) -> None:
         self.plan = plan
@@ -91,7 +91,7 @@
             self.loop.at(when, lambda: self.stop(change.name))
 
     def start(self, name: str, slot: int) -> None:
-        """Start a server's process."""
+        """Start the process of a server."""
         server = self.servers[name] = Server(name, self.plan.server_address(self.node, slot))
         self._listen(server)
 
@@ -104,7 +104,7 @@
         self.loop.watch(listener, lambda: self._accept(server))
 
     def stop(self, name: str) -> None:
-        """End a server's process: its connections are reset, its sessions cut, new connections refused."""
+        """Stop the process of a server: reset its connections, cut its sessions, refuse new connections."""
         server = self.servers.get(name)
         if server is None or server.listener is None:
             return
@@ -127,7 +127,10 @@
         self._in_batches(fault.servers, lambda name: self._begin_on_server(name, number, fault))
 
     def _in_batches(self, names: list[str], action: Callable[[str], None]) -> None:
-        """Act on a few servers a turn of the loop: what is read meanwhile would get too late a time."""
+        """Apply an action to a few servers per loop iteration.
+
+        A longer iteration would record the events read after it with too late a time.
+        """
         for name in names[:SERVERS_PER_BATCH]:
             action(name)
         rest = names[SERVERS_PER_BATCH:]
@@ -148,7 +151,7 @@
                 server.answer_faults[number] = fault.kind
 
     def end_fault(self, number: int, fault: ServerFault) -> None:
-        """End a fault; a process that died starts anew, a machine that vanished stays away."""
+        """End a fault; a crashed process is restarted, a vanished machine stays unreachable."""
         self._in_batches(fault.servers, lambda name: self._end_on_server(name, number, fault))
 
     def _end_on_server(self, name: str, number: int, fault: ServerFault) -> None:
@@ -167,7 +170,7 @@
         return self.removed.get(name, math.inf) <= time.time() - self.plan.start
 
     def _silence(self, server: Server, number: int, kind: str) -> None:
-        """Read and send nothing from now on; but for a hang no new connection comes up either."""
+        """Stop reading and sending; unless the fault is a hang, new connections are not completed either."""
         server.silent.add(number)
         self.record("silent", server=server.name)
         assert server.listener is not None
@@ -183,7 +186,7 @@
         if kind != "hang" and not server.fillers:
             self._accept(server)
             server.listener.listen(0)
-            for _ in range(2):  # the queue of a listener with a backlog of 0 holds one
+            for _ in range(2):  # the accept queue of a listener with a backlog of 0 holds one connection
                 filler = socket.socket()
                 filler.setblocking(False)
                 filler.connect_ex(server.address)
@@ -281,7 +284,7 @@
         self.loop.after(delay, lambda: self._answer(connection, message, kind))
 
     def _answer(self, connection: Connection, message: Message, kind: str) -> None:
-        """Answer a set-up, by the fault that was drawn for it."""
+        """Answer a set-up according to the fault drawn for it."""
         server, session = connection.server, message.session
         if connection.is_closed or session not in connection.open:
             return
@@ -324,7 +327,7 @@
         self.loop.after(self.rng.random() * REPORT_S, lambda: self._report_load(server, session))
 
     def _send_in_pieces(self, connection: Connection, answer: bytes) -> None:
-        """Send an answer in pieces; whatever else is sent meanwhile follows behind it."""
+        """Send an answer in fragments; other messages are queued behind it."""
         parts = [answer[at : at + FRAGMENT_BYTES] for at in range(0, len(answer), FRAGMENT_BYTES)]
         connection.queued = []
 
@@ -340,7 +343,7 @@
         send_next()
 
     def _report_load(self, server: Server, session: bytes) -> None:
-        """Report the loads of the server's link and of its rack's uplink, at times over their size."""
+        """Report the load of the server's link and of its rack's uplink, sometimes above their capacity."""
         connection = server.playing.get(session)
         if connection is None or connection.is_closed or connection.is_unusable:
             return
@@ -356,7 +359,7 @@
         self.loop.after(REPORT_S, lambda: self._report_load(server, session))
 
     def _send_malformed(self, connection: Connection, session: bytes, answer: bytes, kind: str) -> None:
-        """Send an answer that can't be read; the request has run, and its session is cut."""
+        """Send a malformed answer; the request was executed, and its session is lost."""
         connection.is_unusable = True
         self.record("spoilt", server=connection.server.name, session=session.hex(), kind=kind)
         malformed = {
@@ -372,7 +375,7 @@
     def _end_session(self, server: Server, session: bytes) -> None:
         if session not in server.playing:
             return
-        if server.silent:  # a process that hangs goes on later, and one that is cut off tells later
+        if server.silent:  # a hung or unreachable process reports the end later
             self.loop.after(0.2, lambda: self._end_session(server, session))
             return
         connection = server.playing.pop(session)
@@ -388,7 +391,7 @@
             self._send_release(connection, session, cause)
 
     def _is_open(self, connection: Connection) -> bool:
-        """Whether a release can be sent: the node may have closed the connection while the server hung."""
+        """Whether the connection is open; the node may have closed it while the server was silent."""
         if connection.is_closed:
             return False
         try:
@@ -405,7 +408,7 @@
         self.record("release_sent", server=connection.server.name, session=session.hex())
         self.send(connection, writer.release(session, cause))
         if not connection.is_closed:
-            # It is repeated on the next connection, for a while.
+            # The release is repeated on new connections for 10 s.
             self.loop.after(10.0, lambda: connection.server.ended.pop(session, None))
 
     def send(self, connection: Connection, data: bytes) -> None:
@@ -440,7 +443,7 @@
             connection.sock.close()
 
     def close_idle(self) -> None:
-        """Close, reset or forget connections that were idle for as long as the settings say."""
+        """Close, reset or forget connections after the configured idle time."""
         oldest = time.time() - IDLE_TIMEOUT_S
         for server in self.servers.values():
             for connection in list(server.connections):
--- a/tests/soak/trial.py
+++ b/tests/soak/trial.py
@@ -1,4 +1,4 @@
-"""Plays one plan: starts the stand-ins and the nodes, sends the signals, measures the nodes' resources."""
+"""Executes one plan: starts the emulators and the nodes, sends the signals and samples the resource usage."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Node:
-    """One front node's processes, one after another at one address."""
+    """A front node: its successive processes at one address."""
 
     def __init__(self, plan: Plan, index: int, folder: Path, record: Recorder) -> None:
         self.plan = plan
@@ -56,7 +56,7 @@
         temporary.replace(self.path)
 
     def start(self) -> None:
-        """Start a process with what the discovery service knows by now."""
+        """Start a process that knows the current list of the discovery service."""
         self.write_config(time.time() - self.plan.start)
         self.starts += 1
         with (self.folder / f"node-{self.index}.log").open("ab") as log:
@@ -71,20 +71,20 @@
         self.record("started", node=self.index)
 
     def move_discovery(self) -> None:
-        """Put a configuration with the next address of the discovery service, and send SIGHUP."""
+        """Write a configuration with the next address of the discovery service, and send SIGHUP."""
         self.discovery_sequence += 1
         self.write_config(time.time() - self.plan.start)
         self._send(signal.SIGHUP)
 
     def repeat_signals(self) -> None:
-        """Signals that say nothing new."""
+        """Send a redundant SIGHUP and SIGTERM."""
         if self.process is not None and self.process.poll() is None:
             self._send(signal.SIGHUP)
             self._send(signal.SIGTERM)
 
     def kill(self) -> None:
         if self.is_expected_to_end:
-            return  # another signal ends it already
+            return  # it is being stopped already
         self.is_expected_to_end = True
         self._send(signal.SIGKILL)
         assert self.process is not None
@@ -92,7 +92,7 @@
         self.start()
 
     def terminate(self) -> None:
-        """SIGTERM, then SIGKILL at the earliest that the pages allow, then a new process."""
+        """Send SIGTERM, then SIGKILL as early as the platform allows, and start a new process."""
         if self.is_expected_to_end:
             return
         self.is_expected_to_end = True
@@ -112,7 +112,7 @@
         self.start()
 
     def sample(self) -> None:
-        """Record the process's memory and descriptors, and its end if nobody asked for it."""
+        """Record the memory, descriptors and CPU time of the process, or that it crashed."""
         process = self.process
         if process is None:
             return
@@ -147,7 +147,7 @@
 
 
 def play(plan: Plan, folder: Path) -> None:
-    """Play the plan; the recordings are in the folder afterwards."""
+    """Execute the plan and write the recordings to the folder."""
     folder.mkdir(parents=True, exist_ok=True)
     plan.save(folder / "plan.json")
     record = Recorder(folder / "runner.rec", "runner")
@@ -193,7 +193,7 @@
     until = time.monotonic() + START_LIMIT_S
     while not all((folder / name).exists() for name in names):
         if time.monotonic() > until:
-            raise TimeoutError(f"stand-ins did not start: {folder}")
+            raise TimeoutError(f"emulators did not start within {START_LIMIT_S} s: {folder}")
         time.sleep(POLL_S)
 
 
@@ -215,7 +215,7 @@
 
 
 def _sample_until_done(nodes: list[Node], record: Recorder, done: threading.Event) -> None:
-    """Sample the nodes, and record when this machine gave a sleeping thread no time."""
+    """Sample the nodes, and record when this thread was woken late by the machine."""
     while not done.is_set():
         for node in nodes:
             node.sample()
