--- a/packages/emulators/src/fennelcove/emulators/sockets.py
+++ b/packages/emulators/src/fennelcove/emulators/sockets.py
@@ -88,9 +88,9 @@
                     self.witness.message(self.heard[-1])
             elif isinstance(event, Closed):
                 self.closed = event
-        self._flush()
+        self._send()
 
-    def _flush(self) -> None:
+    def _send(self) -> None:
         raw = self.conversation.take()
         if raw:
             self.sock.sendall(raw)
@@ -106,7 +106,7 @@
         message = {"type": type, **({} if type == "report" else {"ref": ref}), **fields}
         try:
             self.conversation.send(msgspec.json.encode(message).decode())
-            self._flush()
+            self._send()
         except OSError:
             raise Unanswered("reset") from None
         return ref
@@ -203,5 +203,5 @@
         """Send a WebSocket close frame and close the connection."""
         with suppress(OSError):
             self.conversation.close()
-            self._flush()
+            self._send()
         self.sock.close()
