--- a/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
+++ b/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
@@ -10,7 +10,7 @@
 import msgspec
 from fennelcove.clock import Clock
 from fennelcove.emulators.recorder import Recorder
-from fennelcove.emulators.server import Peer, StandInServer
+from fennelcove.emulators.server import LoopbackServer, Peer
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import RequestHead
 from fennelcove.wire.events import BEAT, write_event
@@ -50,7 +50,7 @@
         self.raw_events: list[
             bytes
         ] = []  # event bodies sent unchanged, once per stream, for tests of invalid lists
-        self.server = StandInServer(self._handle, "lists")
+        self.server = LoopbackServer(self._handle, "lists")
         self.address = self.server.address
 
     def start(self) -> None:
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/gauge.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/gauge.py
@@ -14,7 +14,7 @@
 from fennelcove.emulators.clients import Player, Unanswered
 from fennelcove.emulators.fault_proxy.relay import Relays
 from fennelcove.emulators.recorder import Recorder
-from fennelcove.emulators.server import Peer, StandInServer
+from fennelcove.emulators.server import LoopbackServer, Peer
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import RequestHead
 
@@ -31,7 +31,7 @@
         self.recorder = recorder
         self.probes_sent = 0
         self.stopping = threading.Event()
-        self.server = StandInServer(_answer_empty, "gauge")
+        self.server = LoopbackServer(_answer_empty, "gauge")
         self.address = relays.door(self.server.address, frozenset({"gauge"}))
         self.thread = threading.Thread(target=self._run, name="gauge-asks")
 
--- a/packages/emulators/src/fennelcove/emulators/media_server.py
+++ b/packages/emulators/src/fennelcove/emulators/media_server.py
@@ -15,7 +15,7 @@
 from fennelcove.clock import Clock
 from fennelcove.emulators.model import BoxModel, SetUp
 from fennelcove.emulators.recorder import Recorder
-from fennelcove.emulators.server import Peer, StandInServer
+from fennelcove.emulators.server import LoopbackServer, Peer
 from fennelcove.hints import cmsd
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import RequestHead
@@ -101,7 +101,7 @@
         self.marks: dict[tuple[str, int], str] = {}
         self.has_title: Callable[[str], bool] = lambda title: True
         self.stopped = False
-        self.server = StandInServer(self._handle, f"box-{name}")
+        self.server = LoopbackServer(self._handle, f"box-{name}")
         self.address = self.server.address
 
     def start(self) -> None:
--- a/packages/emulators/src/fennelcove/emulators/server.py
+++ b/packages/emulators/src/fennelcove/emulators/server.py
@@ -46,7 +46,7 @@
         self.sock.close()
 
 
-class StandInServer:
+class LoopbackServer:
     """Listens on a loopback port until `stop`; `down` and `up` stop and resume listening on the same port.
 
     The handler returns whether the connection stays open.
