--- a/packages/emulators/src/fennelcove/emulators/disk.py
+++ b/packages/emulators/src/fennelcove/emulators/disk.py
@@ -18,9 +18,8 @@
 
     synced: bytes = b""
     is_name_durable: bool = False  # its directory entry is synced
-    pending: list[tuple[int, bytes | None]] = field(
-        default_factory=list
-    )  # offset and data; None truncates the file there
+    # offset and data; None truncates the file there
+    pending: list[tuple[int, bytes | None]] = field(default_factory=list)
 
     def current(self) -> bytes:
         """Return the content that the running process reads."""
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/relay.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/relay.py
@@ -47,9 +47,8 @@
     sock: socket.socket
     party: Party
     peer: _Endpoint | None = None
-    queue: deque[tuple[int, bytes]] = field(
-        default_factory=deque
-    )  # data to send to this endpoint, each with its due time
+    # data to send to this endpoint, each with its due time
+    queue: deque[tuple[int, bytes]] = field(default_factory=deque)
     queued_bytes: int = 0  # size of the data in `queue`
     has_finished: bool = False  # it has shut down its sending side
     next_send_us: int = 0  # earliest time of the next send on a throttled direction
@@ -98,9 +97,8 @@
         self.rules = Rules()
         self.endpoints: set[_Endpoint] = set()
         self.pending: list[_PendingConnection] = []
-        self.backlogged: set[_Endpoint] = (
-            set()
-        )  # endpoints with queued data, so that others need not be checked
+        # endpoints with queued data, so that others need not be checked
+        self.backlogged: set[_Endpoint] = set()
         self.delayed_datagrams: list[tuple[int, int, socket.socket, bytes, tuple[str, int]]] = []
         self.sequence_numbers = count()
         self.counts: Counter[str] = Counter()  # for example "connections fronts boxes"
@@ -348,9 +346,8 @@
             due_us, data = endpoint.queue[0]
             try:
                 if data:
-                    chunk = (
-                        data if rate_kb is None else data[: max(1, round(rate_kb * 50))]
-                    )  # 50 ms worth of data
+                    # 50 ms worth of data
+                    chunk = data if rate_kb is None else data[: max(1, round(rate_kb * 50))]
                     sent = endpoint.sock.send(chunk)
                 else:
                     sent = 0
--- a/packages/emulators/src/fennelcove/emulators/media_server.py
+++ b/packages/emulators/src/fennelcove/emulators/media_server.py
@@ -95,9 +95,8 @@
         self.lock = threading.Lock()
         self.changed = threading.Condition(self.lock)
         self.orders: dict[tuple[str, int], JoinOrder] = {}
-        self.released_keys: OrderedDict[tuple[str, int], None] = (
-            OrderedDict()
-        )  # a release may arrive before its set-up
+        # a release may arrive before its set-up
+        self.released_keys: OrderedDict[tuple[str, int], None] = OrderedDict()
         self.marks: dict[tuple[str, int], str] = {}
         self.has_title: Callable[[str], bool] = lambda title: True
         self.stopped = False
--- a/packages/emulators/src/fennelcove/emulators/stall_monitor.py
+++ b/packages/emulators/src/fennelcove/emulators/stall_monitor.py
@@ -1,7 +1,7 @@
-"""Measures whether the machine itself stood still while a scenario ran.
+"""Measures stalls of the machine itself during a scenario.
 
-A process of its own does nothing but sleep and write down each wake that came late. It shares neither the
-interpreter nor the sockets of the scenario, so that what it measures is the machine's and nobody else's.
+A separate process only sleeps and reports each late wake-up. It shares neither the interpreter nor the sockets
+of the scenario, so a delay that it measures is caused by the machine.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from fennelcove.emulators.recorder import Recorder
 
 SLEEP_S = 0.01
-STALL_S = 0.1  # a wake this late: the machine stood still, or gave an idle process no time at all
+STALL_S = 0.1  # a wake-up this late means that the machine did not schedule even an idle process
 STOP_S = 5.0
 
 
 class StallMonitor:
-    """Owns the sleeping process from `start` to `stop`, and records its stalls at the end."""
+    """Runs the sleeping process from `start` to `stop`, and then records the stalls."""
 
     def __init__(self, recorder: Recorder) -> None:
         self.recorder = recorder
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Begin to measure."""
+        """Start measuring."""
         command = [sys.executable, "-m", __name__]
         self.process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
 
     def stop(self) -> None:
-        """End the process and record each stall, in microseconds since the recording began."""
+        """End the process and record each stall, in microseconds since the start of the recording."""
         if self.process is None:
             return
         process, self.process = self.process, None
@@ -46,7 +46,7 @@
 
 
 def measure() -> None:
-    """Sleep until standard input is closed; print a line a stall: begin and end on the monotonic clock."""
+    """Sleep until standard input is closed, and print the start and end of each stall in microseconds."""
     slept_ns = time.monotonic_ns()
     while not select.select([sys.stdin], [], [], SLEEP_S)[0]:
         woken_ns = time.monotonic_ns()
