--- a/packages/emulators/src/fennelcove/emulators/stall_monitor.py
+++ b/packages/emulators/src/fennelcove/emulators/stall_monitor.py
@@ -1,7 +1,7 @@
 """Measures stalls of the machine itself during a scenario.
 
-A separate process only sleeps and reports each late wake-up. It shares neither the interpreter nor the sockets
-of the scenario, so a delay that it measures is caused by the machine.
+A separate process only sleeps and reports each late wake-up. It shares neither the interpreter nor the
+sockets of the scenario, so a delay that it measures is caused by the machine.
 """
 
 from __future__ import annotations
