--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/faults.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/faults.py
@@ -1,4 +1,7 @@
-"""What goes wrong between two parties, by rule. No sockets, no clock, no chance but what is handed in."""
+"""Network fault rules between two parties.
+
+Pure functions and data: no sockets, no clock, and randomness only from the given source.
+"""
 
 from __future__ import annotations
 
@@ -6,90 +9,95 @@
 from dataclasses import dataclass
 from enum import Enum
 
-Party = frozenset[str]  # every name that a party goes by: its own, its kind's, its hall's
+Party = frozenset[str]  # all names of a party: its own, that of its kind, that of its zone
 
 
 class How(Enum):
-    """What a fault does to one direction between two parties."""
+    """The effect of a fault on one direction between two parties; scenario scripts name the values."""
 
-    SILENT = "silent"  # bytes stay where they are until it heals; datagrams are gone
-    RESET = "reset"  # open connections are reset, and so are new ones
-    REFUSE = "refuse"  # new connections are reset at once; open ones go on
-    DELAY = "delay"  # value: milliseconds, and up to half as much again
-    THROTTLE = "throttle"  # value: kB a second on each connection
-    CUT = "cut"  # each connection is reset in the middle of the next that is sent on it
-    LOSE = "lose"  # share: of datagrams
-    DOUBLE = "double"  # share: of datagrams, the second up to value milliseconds later
-    REORDER = "reorder"  # share: of datagrams, each up to value milliseconds late
+    SILENT = "silent"  # data is held back until the fault ends; datagrams are lost
+    RESET = "reset"  # open and new connections are reset
+    REFUSE = "refuse"  # new connections are reset; open ones are unaffected
+    DELAY = "delay"  # value: milliseconds, plus a random 0 to 50 %
+    THROTTLE = "throttle"  # value: kB per second on each connection
+    CUT = "cut"  # each connection is reset halfway through the next data sent on it
+    DROP = "lose"  # share: fraction of datagrams lost
+    DUPLICATE = "double"  # share: fraction of datagrams sent twice, the copy up to `value` milliseconds later
+    REORDER = "reorder"  # share: fraction of datagrams delayed, each by up to `value` milliseconds
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One rule: what `sender` sends to `taker` suffers. Either names a party or a group of them."""
+    """A rule for the traffic from `sender` to `receiver`.
+
+    Each is "all", or the name of a party or of a group of parties, or several names separated by "|".
+    """
 
     sender: str
-    taker: str
-    how: How
+    receiver: str
+    kind: How
     value: float = 0.0
     share: float = 1.0
 
-    def hits(self, sender: Party, taker: Party) -> bool:
-        """Whether it concerns this direction."""
-        return _named(self.sender, sender) and _named(self.taker, taker)
+    def applies_to(self, sender: Party, receiver: Party) -> bool:
+        """Whether the rule applies to traffic from this sender to this receiver."""
+        return _matches(self.sender, sender) and _matches(self.receiver, receiver)
 
 
-def _named(name: str, party: Party) -> bool:
+def _matches(name: str, party: Party) -> bool:
     return name == "all" or any(part in party for part in name.split("|"))
 
 
 class Rules:
-    """The faults in force. What they mean for one direction is worked out once: it is asked several times for
-    each piece that passes, and with four faults that was a quarter of what a report cost.
+    """The active faults, with the effects on each direction cached.
+
+    The effects are looked up several times for each chunk of data; without the cache and with four faults
+    this was a quarter of the cost of relaying a report.
     """
 
     def __init__(self, faults: Iterable[Fault] = ()) -> None:
         self.faults = tuple(faults)
-        self.found: dict[tuple[Party, Party], tuple[list[Fault], set[How]]] = {}
+        self.effects_by_direction: dict[tuple[Party, Party], tuple[list[Fault], set[How]]] = {}
 
-    def on(self, sender: Party, taker: Party) -> list[Fault]:
-        """The faults in one direction."""
-        return self._both(sender, taker)[0]
+    def between(self, sender: Party, receiver: Party) -> list[Fault]:
+        """Return the faults that apply to one direction."""
+        return self._effects(sender, receiver)[0]
 
-    def hows(self, sender: Party, taker: Party) -> set[How]:
-        """What they do, taken together."""
-        return self._both(sender, taker)[1]
+    def kinds(self, sender: Party, receiver: Party) -> set[How]:
+        """Return the kinds of the faults that apply to one direction."""
+        return self._effects(sender, receiver)[1]
 
-    def _both(self, sender: Party, taker: Party) -> tuple[list[Fault], set[How]]:
-        found = self.found.get((sender, taker))
-        if found is None:
-            faults = [fault for fault in self.faults if fault.hits(sender, taker)]
-            found = self.found[sender, taker] = faults, {fault.how for fault in faults}
-        return found
+    def _effects(self, sender: Party, receiver: Party) -> tuple[list[Fault], set[How]]:
+        effects = self.effects_by_direction.get((sender, receiver))
+        if effects is None:
+            faults = [fault for fault in self.faults if fault.applies_to(sender, receiver)]
+            effects = self.effects_by_direction[sender, receiver] = faults, {fault.kind for fault in faults}
+        return effects
 
 
-def late_us(faults: Iterable[Fault], chance: Callable[[], float]) -> int:
-    """How late the faults make what passes now, in microseconds."""
-    delays = [fault for fault in faults if fault.how is How.DELAY]
-    return round(sum(fault.value * (1 + chance() / 2) for fault in delays) * 1000)
+def total_delay_us(faults: Iterable[Fault], draw: Callable[[], float]) -> int:
+    """Return the delay for data sent now, in microseconds; several delays add up."""
+    delays = [fault for fault in faults if fault.kind is How.DELAY]
+    return round(sum(fault.value * (1 + draw() / 2) for fault in delays) * 1000)
 
 
-def datagram(faults: Iterable[Fault], chance: Callable[[], float]) -> list[int]:
-    """When each copy of a datagram arrives, in microseconds from now; none where it is lost."""
+def datagram_delays_us(faults: Iterable[Fault], draw: Callable[[], float]) -> list[int]:
+    """Return the delay of each copy of a datagram in microseconds; empty if it is lost."""
     faults = list(faults)
-    base_us, copies = late_us(faults, chance), 1
+    base_us, copies = total_delay_us(faults, draw), 1
     extra_us = 0
     for fault in faults:
-        struck = chance() < fault.share
-        if fault.how in (How.SILENT, How.RESET, How.REFUSE) or (fault.how is How.LOSE and struck):
+        is_affected = draw() < fault.share
+        if fault.kind in (How.SILENT, How.RESET, How.REFUSE) or (fault.kind is How.DROP and is_affected):
             return []
-        if fault.how is How.DOUBLE and struck:
+        if fault.kind is How.DUPLICATE and is_affected:
             copies = 2
-        if fault.how is How.REORDER and struck:
-            extra_us = round(fault.value * 1000 * chance())
-    again_us = max((round(f.value * 1000 * chance()) for f in faults if f.how is How.DOUBLE), default=0)
-    return [base_us + extra_us, base_us + extra_us + again_us][:copies]
+        if fault.kind is How.REORDER and is_affected:
+            extra_us = round(fault.value * 1000 * draw())
+    duplicate_us = max((round(f.value * 1000 * draw()) for f in faults if f.kind is How.DUPLICATE), default=0)
+    return [base_us + extra_us, base_us + extra_us + duplicate_us][:copies]
 
 
-def pace_kb(faults: Iterable[Fault]) -> float | None:
-    """The least rate that a direction is throttled to, in kB a second; None where it is not."""
-    return min((fault.value for fault in faults if fault.how is How.THROTTLE), default=None)
+def throttle_kb(faults: Iterable[Fault]) -> float | None:
+    """Return the lowest rate that a direction is throttled to, in kB per second, or None."""
+    return min((fault.value for fault in faults if fault.kind is How.THROTTLE), default=None)
--- a/packages/emulators/src/fennelcove/emulators/sockets.py
+++ b/packages/emulators/src/fennelcove/emulators/sockets.py
@@ -1,4 +1,4 @@
-"""A stand-in player's end of a WebSocket: our codec's client side on a blocking socket."""
+"""WebSocket client of the emulators, based on the project's own codec and a blocking socket."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import msgspec
 from fennelcove.clock import Clock
-from fennelcove.emulators.clients import Unanswered, Witness
+from fennelcove.emulators.clients import ResponseObserver, Unanswered
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits, ProtocolError, ResponseHead
 from fennelcove.http1.reader import Gatherer, Reader
@@ -22,38 +22,42 @@
 
 
 class SocketPlayer:
-    """One connection to a front; what it hears waits in `heard` until it is asked for."""
+    """One connection to a front; received messages are queued until they are read.
+
+    Raises:
+        Unanswered: The connection or the handshake failed.
+    """
 
     def __init__(
         self,
         address: str,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         fields: list[tuple[str, str]] | None = None,
         context: ssl.SSLContext | None = None,
         deflates: bool = False,
         timeout_s: float = 5.0,
-        witness: Witness | None = None,
+        witness: ResponseObserver | None = None,
     ) -> None:
         self.address = address
         self.witness = witness
         self.clock = clock
-        self.refs = 0
+        self.last_ref = 0
         self.heard: deque[dict[str, Any]] = deque()
         self.closed: Closed | None = None
         self.sock = self._connect(timeout_s, context)
-        key = chance.randbytes(16)
-        asked = [*handshake.client(key, [SUBPROTOCOL], deflates), *(fields or [])]
+        key = rng.randbytes(16)
+        request_headers = [*handshake.client(key, [SUBPROTOCOL], deflates), *(fields or [])]
         gatherer = Gatherer(Reader(False, CodecLimits()))
         try:
-            self.sock.sendall(writer.request("GET", PATH, address, asked))
-            while (whole := gatherer.next()) is None:
+            self.sock.sendall(writer.request("GET", PATH, address, request_headers))
+            while (response := gatherer.next()) is None:
                 data = self.sock.recv(4096)
                 gatherer.reader.feed(data)
                 if not data:
                     raise Unanswered("reset")
-            assert isinstance(whole.head, ResponseHead)
-            opened = handshake.opened(whole.head, key, [SUBPROTOCOL], deflates)
+            assert isinstance(response.head, ResponseHead)
+            accepted = handshake.opened(response.head, key, [SUBPROTOCOL], deflates)
         except handshake.Refused as error:
             self.sock.close()
             raise Unanswered(f"refused with {error.status}") from None
@@ -63,8 +67,8 @@
         except (OSError, ProtocolError):
             self.sock.close()
             raise Unanswered("reset") from None
-        self.conversation = Conversation(Bounds(), opened.deflates, lambda: chance.randbytes(4))
-        self._take(bytes(gatherer.reader.buffer))
+        self.conversation = Conversation(Bounds(), accepted.deflates, lambda: rng.randbytes(4))
+        self._receive(bytes(gatherer.reader.buffer))
 
     def _connect(self, timeout_s: float, context: ssl.SSLContext | None) -> socket.socket:
         host, _, port = self.address.rpartition(":")
@@ -76,7 +80,7 @@
         except OSError:
             raise Unanswered("refused") from None
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         for event in self.conversation.receive(data) if data else []:
             if isinstance(event, Message) and isinstance(event.data, str):
                 self.heard.append(msgspec.json.decode(event.data))
@@ -92,9 +96,13 @@
             self.sock.sendall(raw)
 
     def tell(self, type: str, **fields: Any) -> str:
-        """Send one message with a fresh ref; the ref."""
-        self.refs += 1
-        ref = f"r{self.refs}"
+        """Send one message with a new `ref`, and return the `ref`; reports are sent without it.
+
+        Raises:
+            Unanswered: The connection is closed.
+        """
+        self.last_ref += 1
+        ref = f"r{self.last_ref}"
         message = {"type": type, **({} if type == "report" else {"ref": ref}), **fields}
         try:
             self.conversation.send(msgspec.json.encode(message).decode())
@@ -104,10 +112,10 @@
         return ref
 
     def next(self, timeout_s: float) -> dict[str, Any] | None:
-        """The next message; None when time is up.
+        """Return the next message, or None after the time-out.
 
         Raises:
-            Unanswered: the connection is over and nothing is left.
+            Unanswered: The connection is closed and no message is left.
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         while not self.heard:
@@ -127,53 +135,57 @@
                 self.closed = self.closed or Closed(CloseCode.ABNORMAL, "", False)
                 continue
             try:
-                self._take(data)
+                self._receive(data)
             except OSError:
                 self.closed = Closed(CloseCode.ABNORMAL, "", False)
         return self.heard.popleft()
 
     def ask(self, type: str, timeout_s: float = 5.0, **fields: Any) -> dict[str, Any]:
-        """One request and its answer; news that come before it wait their turn.
+        """Send a request and return its response; events received before it stay queued.
 
         Raises:
-            Unanswered: none came in time.
+            Unanswered: No response was received in time.
         """
         return self.answer(self.tell(type, **fields), timeout_s)
 
     def answer(self, ref: str, timeout_s: float) -> dict[str, Any]:
-        """The answer to a request sent before."""
+        """Return the response to an earlier request.
+
+        Raises:
+            Unanswered: No response was received in time.
+        """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
-        passed: list[dict[str, Any]] = []
+        deferred: list[dict[str, Any]] = []
         try:
             while True:
-                heard = self.next((until_us - self.clock.now_us()) / 1e6)
-                if heard is None:
+                message = self.next((until_us - self.clock.now_us()) / 1e6)
+                if message is None:
                     raise Unanswered("timeout")
-                if heard.get("ref") == ref:
-                    return heard
-                passed.append(heard)
+                if message.get("ref") == ref:
+                    return message
+                deferred.append(message)
         finally:
-            self.heard.extendleft(reversed(passed))
+            self.heard.extendleft(reversed(deferred))
 
     def news(self, type: str, timeout_s: float = 5.0) -> dict[str, Any]:
-        """The next message of a type; others before it are dropped.
+        """Return the next message of a type and discard the others before it.
 
         Raises:
-            Unanswered: none came in time.
+            Unanswered: No such message was received in time.
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         while True:
-            heard = self.next((until_us - self.clock.now_us()) / 1e6)
-            if heard is None:
+            message = self.next((until_us - self.clock.now_us()) / 1e6)
+            if message is None:
                 raise Unanswered("timeout")
-            if heard["type"] == type:
-                return heard
+            if message["type"] == type:
+                return message
 
     def wait_closed(self, timeout_s: float = 5.0) -> Closed:
-        """Read until the connection is over.
+        """Read and discard messages until the connection is closed.
 
         Raises:
-            TimeoutError: it did not end in time.
+            TimeoutError: It was not closed in time.
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         while self.closed is None:
@@ -184,11 +196,11 @@
         return self.closed
 
     def hang_up(self) -> None:
-        """Gone without a word."""
+        """Close the TCP connection without a WebSocket close handshake."""
         self.sock.close()
 
     def close(self) -> None:
-        """Close as the protocol asks."""
+        """Send a WebSocket close frame and close the connection."""
         with suppress(OSError):
             self.conversation.close()
             self._send()
