--- a/packages/api/src/fennelcove/api/asyncapi.py
+++ b/packages/api/src/fennelcove/api/asyncapi.py
@@ -19,7 +19,7 @@
 
 def told() -> list[type[msgspec.Struct]]:
     """Everything that the front may say."""
-    return sorted(wire.Told.__args__, key=tag)
+    return sorted(wire.FrontMessage.__args__, key=tag)
 
 
 def asked() -> list[type[msgspec.Struct]]:
@@ -40,7 +40,7 @@
         }
     operations: dict[str, Any] = {}
     for request in asked():
-        answers = wire.ANSWERS[request]
+        answers = wire.RESPONSE_TYPES[request]
         operation: dict[str, Any] = {
             "action": "receive",
             "channel": {"$ref": "#/channels/session"},
@@ -56,7 +56,7 @@
         "action": "send",
         "channel": {"$ref": "#/channels/session"},
         "summary": "Said without being asked",
-        "messages": [_in_channel(kind) for kind in sorted(wire.NEWS, key=tag)],
+        "messages": [_in_channel(kind) for kind in sorted(wire.NOTIFICATION_TYPES, key=tag)],
     }
     return {
         "asyncapi": "3.0.0",
--- a/packages/api/src/fennelcove/api/openapi.py
+++ b/packages/api/src/fennelcove/api/openapi.py
@@ -77,7 +77,7 @@
 def _schemas() -> dict[str, Any]:
     _, schemas = msgspec.json.schema_components(_bodies(), ref_template=REF)
     schemas["Problem"]["properties"]["type"]["enum"] = [
-        f"urn:fennelcove:problem:{kind}" for kind in sorted(sessions.KINDS)
+        f"urn:fennelcove:problem:{kind}" for kind in sorted(sessions.PROBLEM_KINDS)
     ]
     return schemas
 
@@ -131,7 +131,7 @@
     for kind in dict.fromkeys(
         (*operation.problems, *GENERAL, *(("not-json",) if operation.body or operation.sealed else ()))
     ):
-        for status in sessions.STATUSES.get(kind, (sessions.KINDS[kind][0],)):
+        for status in sessions.PROBLEM_STATUSES.get(kind, (sessions.PROBLEM_KINDS[kind][0],)):
             kinds.setdefault(status, []).append(kind)
     for status, names in sorted(kinds.items()):
         told = {"description": ", ".join(names), "content": {PROBLEM: {"schema": _schema(sessions.Problem)}}}
--- a/packages/api/src/fennelcove/api/operations.py
+++ b/packages/api/src/fennelcove/api/operations.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One operation; `problems` are kinds of `wire.sessions.KINDS`."""
+    """One operation; `problems` are kinds of `wire.sessions.PROBLEM_KINDS`."""
 
     summary: str
     answers: dict[int, Answer]
--- a/packages/cli/src/fennelcove/cli/api.py
+++ b/packages/cli/src/fennelcove/cli/api.py
@@ -11,7 +11,7 @@
 from fennelcove.api import asyncapi, openapi
 from fennelcove.api.diff import Comparison, stepped
 from fennelcove.cli.telling import FileUnusable, fail
-from fennelcove.ingress.routes import LINES
+from fennelcove.ingress.routes import ROUTE_TABLE
 
 BREAKS = 1
 
@@ -32,7 +32,7 @@
 @click.option("--out", type=click.Path(), help="Write to this file.")
 def openapi_(out: str | None) -> None:
     """The HTTP door as OpenAPI 3.1."""
-    _write(openapi.text(LINES), out)
+    _write(openapi.text(ROUTE_TABLE), out)
 
 
 @api.command("asyncapi")
--- a/packages/daemon/src/fennelcove/daemon/front_daemon.py
+++ b/packages/daemon/src/fennelcove/daemon/front_daemon.py
@@ -406,7 +406,7 @@
             self.core, self.clock, CommandAuthorizer(self.settings.name, keys), AuditFile(told.audit).tell
         )
         if self.releases is not None:
-            found.orders = OperatorRoutes(self.settings.name, self.releases.book)
+            found.rollout_commands = OperatorRoutes(self.settings.name, self.releases.book)
         return found
 
     def start(self) -> None:
--- a/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
+++ b/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
@@ -13,7 +13,7 @@
 from fennelcove.emulators.server import LoopbackServer, Peer
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import RequestHead
-from fennelcove.wire.events import BEAT, write_event
+from fennelcove.wire.events import HEARTBEAT, write_event
 from fennelcove.wire.lists import ListedBox, ListMessage
 
 JSON = ("Content-Type", "application/json")
@@ -152,7 +152,7 @@
             if message is not None:
                 version = message.version
                 messages.insert(0, msgspec.json.encode(message))
-            events = b"".join(write_event("list", body) for body in messages) or BEAT
+            events = b"".join(write_event("list", body) for body in messages) or HEARTBEAT
             if not peer.send(writer.chunk(events)):
                 return
             if message is not None:
--- a/packages/ingress/src/fennelcove/ingress/control.py
+++ b/packages/ingress/src/fennelcove/ingress/control.py
@@ -36,7 +36,7 @@
         self.clock = clock
         self.authorizer = authorizer
         self.write_audit_record = write_audit_record
-        self.orders: OperatorRoutes | None = None  # set if the settings have a releases section
+        self.rollout_commands: OperatorRoutes | None = None  # set if the settings have a releases section
         self.lock = threading.Lock()
 
     def handle(self, header: str | None, path: str, command: str, body: bytes) -> Reply:
@@ -64,6 +64,6 @@
                 [replies.JSON],
                 msgspec.json.encode(self.core.admission.change_state(ADMISSION_EVENTS[command])),
             )
-        if self.orders is None:
+        if self.rollout_commands is None:
             return replies.fault("not-carried-out", "this front's settings have no releases section")
-        return self.orders.execute(command, body)
+        return self.rollout_commands.execute(command, body)
--- a/packages/ingress/src/fennelcove/ingress/routes.py
+++ b/packages/ingress/src/fennelcove/ingress/routes.py
@@ -121,7 +121,7 @@
             )
             reply.fields.append(("WWW-Authenticate", 'Bearer realm="subscriptions"'))
             return reply
-        found = asked_for(self.core, body, hints, presented)
+        found = build_session_request(self.core, body, hints, presented)
         return found if isinstance(found, SessionRequest) else replies.fault(*found)
 
     def state(self, request: RouteRequest) -> Reply:
@@ -235,7 +235,7 @@
         """Answer with the OpenAPI description."""
         from fennelcove.api import openapi
 
-        return Reply(200, [replies.JSON], openapi.text(LINES).encode())
+        return Reply(200, [replies.JSON], openapi.text(ROUTE_TABLE).encode())
 
     def asyncapi(self, request: RouteRequest) -> Reply:
         """Answer with the AsyncAPI description."""
@@ -263,7 +263,7 @@
     return access_tokens.verify_access_token(bearer(authorization), core.token_keys, core.clock.wall_us())
 
 
-def asked_for(
+def build_session_request(
     core: Core, body: SetUp, hints: Cmcd, presented: PresentedToken
 ) -> SessionRequest | tuple[str, str]:
     """Build the session request of a set-up, from either protocol.
@@ -331,7 +331,7 @@
 
 # The server and the API description (fennelcove/api) share this table, so neither can have a path that the
 # other lacks.
-LINES: tuple[tuple[str, str, Handler, str], ...] = (
+ROUTE_TABLE: tuple[tuple[str, str, Handler, str], ...] = (
     ("POST", "/v1/subscriptions", Routes.set_up, "setUp"),
     ("GET", "/v1/subscriptions/{id}", Routes.state, "state"),
     ("DELETE", "/v1/subscriptions/{id}", Routes.release, "release"),
@@ -354,5 +354,5 @@
 )
 ROUTES: tuple[Route, ...] = tuple(
     Route(method, path, compile_path(path), handler, method in ("POST", "PUT"), name)
-    for method, path, handler, name in LINES
+    for method, path, handler, name in ROUTE_TABLE
 )
--- a/packages/ingress/src/fennelcove/ingress/tls.py
+++ b/packages/ingress/src/fennelcove/ingress/tls.py
@@ -31,10 +31,10 @@
         self.settings = settings
         self.log_event = log_event
         self.lock = threading.Lock()
-        self.seen = self._stamp()
+        self.loaded_stamp = self._file_stamp()
         self.context = self._load()
 
-    def _stamp(self) -> tuple[tuple[int, int, int], ...]:
+    def _file_stamp(self) -> tuple[tuple[int, int, int], ...]:
         stamps = []
         for path in (self.settings.certificate, self.settings.key):
             try:
@@ -64,10 +64,10 @@
         While a pair doesn't match, as between the writing of its two files, the previous one stays in use.
         """
         with self.lock:
-            stamp = self._stamp()
-            if stamp == self.seen:
+            stamp = self._file_stamp()
+            if stamp == self.loaded_stamp:
                 return False
-            self.seen = stamp
+            self.loaded_stamp = stamp
             try:
                 context = self._load()
             except TlsError as error:
--- a/packages/ingress/src/fennelcove/ingress/websocket_routes.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_routes.py
@@ -12,7 +12,7 @@
 from fennelcove.decisions.servers.load_signals import ClientHints
 from fennelcove.hints import cmcd
 from fennelcove.ingress.replies import playing_state
-from fennelcove.ingress.routes import asked_for, client_hints
+from fennelcove.ingress.routes import build_session_request, client_hints
 from fennelcove.wire import socket as wire
 
 if TYPE_CHECKING:
@@ -95,7 +95,7 @@
         session.fault(ref, "not-permitted", f"{max_sessions} subscriptions at a time; release one")
         return
     hints = cmcd.read({}, {}, message.ask.cmcd)
-    setup = asked_for(session.core, message.ask, hints, session.presented)
+    setup = build_session_request(session.core, message.ask, hints, session.presented)
     if isinstance(setup, SessionRequest):
         session.start_setup(ref, setup)
     else:
--- a/packages/ingress/src/fennelcove/ingress/websocket_session.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_session.py
@@ -37,7 +37,7 @@
 from fennelcove.websocket.conversation import Closed, Conversation, Message, Pinged, State
 from fennelcove.websocket.terms import CloseCode
 from fennelcove.wire import socket as wire
-from fennelcove.wire.sessions import KINDS
+from fennelcove.wire.sessions import PROBLEM_KINDS
 
 _ENCODER = msgspec.json.Encoder()
 
@@ -278,7 +278,7 @@
 
     def fault(self, ref: str | None, kind: str, detail: str = "") -> None:
         """Answer a request that can't be processed."""
-        self.send(wire.Fault(ref=ref, kind=kind, title=KINDS[kind][1], detail=detail))
+        self.send(wire.Fault(ref=ref, kind=kind, title=PROBLEM_KINDS[kind][1], detail=detail))
 
     def pass_for_ms(self) -> float:
         """Return how long the access token remains valid, in milliseconds."""
--- a/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
+++ b/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
@@ -7,7 +7,7 @@
 from fennelcove.api import asyncapi, openapi
 from fennelcove.api.described import Described
 from fennelcove.emulators.recorder import Recorder
-from fennelcove.ingress.routes import LINES
+from fennelcove.ingress.routes import ROUTE_TABLE
 
 
 class ConformanceWitness:
@@ -15,7 +15,7 @@
 
     def __init__(self, recorder: Recorder) -> None:
         self.recorder = recorder
-        self.http = Described(openapi.document(LINES))
+        self.http = Described(openapi.document(ROUTE_TABLE))
         self.socket = Described(asyncapi.document())
 
     def answer(self, method: str, path: str, status: int, media: str, body: Any) -> None:
--- a/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
+++ b/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
@@ -18,7 +18,7 @@
 from fennelcove.upstream.connection_pool import DialLimits, dial
 from fennelcove.upstream.event_stream import Broken, EventStream, Refused
 from fennelcove.wire.events import EventError, ServerEvent
-from fennelcove.wire.lists import ListMessage, news
+from fennelcove.wire.lists import ListMessage, to_endpoint_list_update
 
 LIST_BYTES = 4 * 1024 * 1024
 _MESSAGE: msgspec.json.Decoder[ListMessage] = msgspec.json.Decoder(ListMessage)
@@ -144,7 +144,7 @@
                     "endpoint_list_rejected", **EndpointListUnreadableError(str(error), self.address).fields()
                 )
                 raise EventError(f"a list that is not as agreed: {error}") from None
-            discovery.on_list(news(message, self.clock.now_us()))
+            discovery.on_list(to_endpoint_list_update(message, self.clock.now_us()))
 
     def _fetches(self, discovery: EndpointDiscovery) -> None:
         failures = 0
@@ -159,7 +159,7 @@
                 return
             try:
                 message = self._fetch()
-                discovery.on_list(news(message, self.clock.now_us()))
+                discovery.on_list(to_endpoint_list_update(message, self.clock.now_us()))
                 failures = 0
             except (OSError, ProtocolError, msgspec.MsgspecError) as error:
                 failures += 1
--- a/packages/wire/src/fennelcove/wire/events.py
+++ b/packages/wire/src/fennelcove/wire/events.py
@@ -69,4 +69,4 @@
     return b"event: %b\ndata: %b\n\n" % (name.encode(), data)
 
 
-BEAT = b": beat\n\n"
+HEARTBEAT = b": beat\n\n"
--- a/packages/wire/src/fennelcove/wire/lists.py
+++ b/packages/wire/src/fennelcove/wire/lists.py
@@ -33,7 +33,7 @@
     base: Annotated[int, Meta(ge=0)] | None = None
 
 
-def news(message: ListMessage, now_us: int) -> EndpointListUpdate:
+def to_endpoint_list_update(message: ListMessage, now_us: int) -> EndpointListUpdate:
     """Convert the message, with start times on the front's own clock.
 
     Ages are relative to the time of sending, so clocks of different machines are never compared. A transit
--- a/packages/wire/src/fennelcove/wire/sessions.py
+++ b/packages/wire/src/fennelcove/wire/sessions.py
@@ -92,7 +92,7 @@
     place: str | None = None
 
 
-KINDS: dict[str, tuple[int, str]] = {
+PROBLEM_KINDS: dict[str, tuple[int, str]] = {
     "throttled": (503, "No room now; come back later"),
     "terminated": (504, "The subscription could not be set up"),
     "malformed": (400, "The request can't be read"),
@@ -122,7 +122,7 @@
 
 
 # Kinds that also occur with other statuses than their default.
-STATUSES: dict[str, tuple[int, ...]] = {
+PROBLEM_STATUSES: dict[str, tuple[int, ...]] = {
     "terminated": (502, 504),
     "malformed": (400, 411, 413, 417, 431, 501, 503, 505),
     "refused-change": (409, 422),
@@ -138,8 +138,8 @@
     retry_after_ms: float | None = None,
     may_have_run: bool | None = None,
 ) -> Problem:
-    """Problem details of one of `KINDS`."""
-    default_status, title = KINDS[kind]
+    """Problem details of one of `PROBLEM_KINDS`."""
+    default_status, title = PROBLEM_KINDS[kind]
     return Problem(
         type=f"urn:fennelcove:problem:{kind}",
         title=title,
--- a/packages/wire/src/fennelcove/wire/socket.py
+++ b/packages/wire/src/fennelcove/wire/socket.py
@@ -251,7 +251,7 @@
     reconnect_before_ms: float
 
 
-Told = (
+FrontMessage = (
     Welcome
     | Renewed
     | ToldPlaying
@@ -273,7 +273,7 @@
 )
 
 # The answers that each request may have; for the descriptions, and for players generated from them.
-ANSWERS: dict[type[Struct], tuple[type[Struct], ...]] = {
+RESPONSE_TYPES: dict[type[Struct], tuple[type[Struct], ...]] = {
     Hello: (Welcome, Fault),
     Renew: (Renewed, Fault),
     AskSetUp: (ToldPlaying, Throttled, Terminated, Fault),
@@ -283,7 +283,7 @@
     RenewSeat: (SeatKept, Fault),
     Report: (),
 }
-NEWS: tuple[type[Struct], ...] = (
+NOTIFICATION_TYPES: tuple[type[Struct], ...] = (
     Welcome,
     RungChanged,
     Moved,
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -17,7 +17,7 @@
 from fennelcove.api.diff import Comparison, stepped
 from fennelcove.cli.main import main
 from fennelcove.emulators.sockets import SocketPlayer
-from fennelcove.ingress.routes import LINES
+from fennelcove.ingress.routes import ROUTE_TABLE
 from fennelcove.ingress.websocket_routes import HANDLERS
 from fennelcove.settings.schema import Author, MediaSettings, StitchSettings, Title
 from fennelcove.wire import sessions
@@ -35,14 +35,14 @@
 class KeptTest(unittest.TestCase):
     def test_the_files_are_what_the_code_says(self) -> None:
         cure = "the interface changed: fennelcove api openapi --out docs/api/openapi.json, asyncapi alike"
-        assert (KEPT / "openapi.json").read_text() == openapi.text(LINES), cure
+        assert (KEPT / "openapi.json").read_text() == openapi.text(ROUTE_TABLE), cure
         assert (KEPT / "asyncapi.json").read_text() == asyncapi.text(), cure
 
     def test_a_validator_that_is_not_ours_takes_them(self) -> None:
-        validate(openapi.document(LINES))
+        validate(openapi.document(ROUTE_TABLE))
 
     def test_each_reference_leads_somewhere_and_each_word_is_checked(self) -> None:
-        for document in (openapi.document(LINES), asyncapi.document()):
+        for document in (openapi.document(ROUTE_TABLE), asyncapi.document()):
             described = Described(document)
             for node in nodes(document):
                 if "$ref" in node:
@@ -85,23 +85,23 @@
         assert Described(document).message(moved)
 
     def test_tables_and_messages_are_the_same_sets(self) -> None:
-        assert set(HANDLERS) == set(wire.ANSWERS)
+        assert set(HANDLERS) == set(wire.RESPONSE_TYPES)
         assert set(HANDLERS) == set(asyncapi.asked())
-        answered = {kind for kinds in wire.ANSWERS.values() for kind in kinds}
-        assert answered | set(wire.NEWS) == set(asyncapi.told())
+        answered = {kind for kinds in wire.RESPONSE_TYPES.values() for kind in kinds}
+        assert answered | set(wire.NOTIFICATION_TYPES) == set(asyncapi.told())
         with self.assertRaises(ValueError):
-            openapi.document(LINES[1:])
+            openapi.document(ROUTE_TABLE[1:])
 
     def test_each_problem_kind_is_described_where_it_can_come(self) -> None:
         described = {
             kind.strip()
-            for item in openapi.document(LINES)["paths"].values()
+            for item in openapi.document(ROUTE_TABLE)["paths"].values()
             for operation in item.values()
             for response in operation["responses"].values()
             for kind in response["description"].split(",")
         }
         general = {"unknown-path", "wrong-method", "not-yours"}  # of no operation
-        assert set(sessions.KINDS) - described == general
+        assert set(sessions.PROBLEM_KINDS) - described == general
 
 
 def nodes(tree: Any) -> Any:
@@ -209,7 +209,7 @@
     """Each kind of change, by what it does to a client of the older description."""
 
     def http(self) -> Document:
-        return json.loads(openapi.text(LINES))
+        return json.loads(openapi.text(ROUTE_TABLE))
 
     def differ(self, old: Document, new: Document) -> list[bool]:
         return [item.breaks for item in Comparison(old, new).run()]
@@ -314,7 +314,7 @@
         new["components"]["schemas"]["Playing"]["properties"].pop("box")
         with tempfile.TemporaryDirectory() as folder:
             one, two = Path(folder) / "one.json", Path(folder) / "two.json"
-            one.write_text(openapi.text(LINES))
+            one.write_text(openapi.text(ROUTE_TABLE))
             two.write_text(json.dumps(new))
             run = CliRunner().invoke(main, ["api", "diff", str(one), str(two)])
             assert run.exit_code == 1
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -68,7 +68,7 @@
 
     def taken(self) -> bool:
         tls = self.front.tls
-        return tls is not None and tls.seen == tls._stamp()
+        return tls is not None and tls.loaded_stamp == tls._file_stamp()
 
     def test_handshakes_while_certificates_change(self) -> None:
         failed: list[str] = []
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -211,11 +211,11 @@
         assert AccessToken("v", 0, 1).titles == ()
         from fennelcove.decisions.clients.access_tokens import PresentedToken, TokenStatus
         from fennelcove.hints import cmcd
-        from fennelcove.ingress.routes import asked_for
+        from fennelcove.ingress.routes import build_session_request
         from fennelcove.wire.sessions import SetUp
 
         token = AccessToken("v", 0, 1, 8, ("other",))
-        rejection = asked_for(
+        rejection = build_session_request(
             self.front.core,
             SetUp(room_type="free", title="t1"),
             cmcd.read({}, {}, None),
