--- a/benchmarks/front_load.py
+++ b/benchmarks/front_load.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from fennelcove.clock import SystemClock
-from fennelcove.emulators.endpoint_list_service import Known, StandInLists
+from fennelcove.emulators.endpoint_list_service import EmulatedListService, ListedServer
 from fennelcove.emulators.recorder import Recorder
 from hdrh.histogram import HdrHistogram
 
@@ -212,7 +212,7 @@
         self.folder = folder
         self.processes: list[subprocess.Popen[bytes]] = []
         clock = SystemClock()
-        self.lists = StandInLists(clock, Recorder(clock, keep=False))
+        self.lists = EmulatedListService(clock, Recorder(clock, retain=False))
         addresses = []
         for i in range(BOXES):
             config = folder / f"box-{i}.sexp"
@@ -223,7 +223,7 @@
             self.processes.append(process)
             assert process.stdout is not None
             addresses.append(process.stdout.readline().decode().strip())
-        self.lists.publish(*[Known(address, "zone", "k", 0, 1.0) for address in addresses])
+        self.lists.publish(*[ListedServer(address, "zone", "k", 0, 1.0) for address in addresses])
         self.lists.start()
         config = folder / "front.sexp"
         config.write_text(FRONT.format(lists=self.lists.address))
--- a/benchmarks/power_sim.py
+++ b/benchmarks/power_sim.py
@@ -24,7 +24,7 @@
 
 import msgspec
 from fennelcove.decisions.fleet.membership import Heartbeat, Membership, MembershipSettings
-from fennelcove.emulators.model import BoxModel, RackModel, SetUp
+from fennelcove.emulators.model import RackModel, ServerModel, SetUpResult
 from fennelcove.interface import (
     AttemptCompleted,
     ListEntry,
@@ -60,7 +60,7 @@
     """A box of the stand-ins, as the list names it."""
 
     entry: ListEntry
-    model: BoxModel
+    model: ServerModel
 
     def listed(self) -> ListEntry:
         standing = ServerState.ACTIVE if self.model.up else ServerState.LEFT
@@ -175,7 +175,7 @@
                 ListEntry(
                     f"b{i}-{n}", line.zone, line.kind, line.cell + i * fleet.cells, ServerState.ACTIVE, 1, 0
                 ),
-                BoxModel(
+                ServerModel(
                     line.link_kb,
                     streams[line.kind],
                     RackModel(1e12),
@@ -279,22 +279,22 @@
             return
         self.joins += 1
         box = self.boxes[server].model
-        found = SetUp.FELL
+        found = SetUpResult.CRASHED
         if box.up:
-            self.used += box.is_cold(self.now_us)
+            self.used += box.is_warming_up(self.now_us)
             rate_kb = front.rate_kb(front.sessions[id], side.rungs[id])
             found = box.set_up((id, join), rate_kb, self.now_us)
-            if found is SetUp.FELL:
+            if found is SetUpResult.CRASHED:
                 box.stop()
                 self.pushed += 1
-        if found is not SetUp.STARTED:
-            outcome = Outcome.REJECTED if found is SetUp.TURNED_AWAY else Outcome.NO_CONNECTION
+        if found is not SetUpResult.STARTED:
+            outcome = Outcome.REJECTED if found is SetUpResult.REJECTED else Outcome.NO_CONNECTION
             front.handle(AttemptCompleted(id, join, outcome, False, None), self.now_us)
             return
         side.asking.pop(id, None)
         self.played[self.second()] += 1
         front.handle(SessionStarted(id, join, 20_000), self.now_us)
-        front.handle(SessionReport(id, server, ReportKind.LINK, box.asked()), self.now_us)
+        front.handle(SessionReport(id, server, ReportKind.LINK, box.utilization()), self.now_us)
         self.after(self.chance.expovariate(1 / WATCH_US), partial(self.over, side, front, id, join, box))
 
     def given_up(self, side: Side, front: PlacementPolicy, id: str, join: int) -> None:
@@ -302,9 +302,9 @@
             self.joins += 1
             front.handle(AttemptCompleted(id, join, Outcome.NO_ANSWER, False, None), self.now_us)
 
-    def over(self, side: Side, front: PlacementPolicy, id: str, join: int, box: BoxModel) -> None:
+    def over(self, side: Side, front: PlacementPolicy, id: str, join: int, box: ServerModel) -> None:
         if box.playing.pop((id, join), None) is not None and side.front is front and id in front.sessions:
-            report = LoadReport(box.asked(), None)
+            report = LoadReport(box.utilization(), None)
             front.handle(AttemptCompleted(id, join, Outcome.SERVED, True, report), self.now_us)
 
     # The loss.
--- a/benchmarks/seats.py
+++ b/benchmarks/seats.py
@@ -21,7 +21,7 @@
 from fennelcove import log
 from fennelcove.clock import SystemClock
 from fennelcove.daemon.front_daemon import FrontDaemon
-from fennelcove.emulators.clients import Player, Unanswered
+from fennelcove.emulators.clients import HttpClient, Unanswered
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.scenarios.rig import Rig
 from fennelcove.scenarios.script import read
@@ -57,7 +57,7 @@
     def run(self, number: int) -> None:
         """One client."""
         chance, mine = Random(number), list[str]()
-        player = Player(self.address, self.clock)
+        player = HttpClient(self.address, self.clock)
 
         def ask(what: str, method: str, path: str, body: dict[str, Any] | None) -> dict[str, Any]:
             raw = msgspec.json.encode(body) if body is not None else b""
--- a/benchmarks/sockets.py
+++ b/benchmarks/sockets.py
@@ -25,9 +25,9 @@
 from fennelcove.clock import SystemClock
 from fennelcove.daemon import certificates
 from fennelcove.daemon.key_file import rotate
-from fennelcove.emulators.clients import Player, Unanswered
+from fennelcove.emulators.clients import HttpClient, Unanswered
 from fennelcove.emulators.recorder import Recorder
-from fennelcove.emulators.sockets import SocketPlayer
+from fennelcove.emulators.sockets import WebSocketClient
 from fennelcove.scenarios.fronts import FrontProcess
 from fennelcove.scenarios.rig import Rig
 from fennelcove.scenarios.script import Scenario, read
@@ -72,16 +72,16 @@
 
 def open_connections(
     process: FrontProcess, count: int, clock: SystemClock, threads: int = 8
-) -> list[SocketPlayer]:
+) -> list[WebSocketClient]:
     """Open connections from several threads."""
-    players: list[SocketPlayer] = []
+    players: list[WebSocketClient] = []
     lock = threading.Lock()
 
     def worker(number: int) -> None:
         rng = random.Random(number)
         for _ in range(count // threads):
             try:
-                player = SocketPlayer(process.address, clock, rng, timeout_s=30.0)
+                player = WebSocketClient(process.address, clock, rng, timeout_s=30.0)
             except Unanswered as error:
                 print(f"  stopped after {len(players)} connections: {error.how}")
                 return
@@ -110,7 +110,7 @@
         flush=True,
     )
     for player in players:
-        player.news("welcome", 10.0)
+        player.next_of_type("welcome", 10.0)
     started_s = time.perf_counter()
     assert process.process is not None
     process.process.terminate()
@@ -147,14 +147,14 @@
             number: int, name: str = name, counts: list[int] = counts, ready: threading.Barrier = ready
         ) -> None:
             count = 0
-            player: Player | None = None
-            sockets: list[SocketPlayer] = []
+            player: HttpClient | None = None
+            sockets: list[WebSocketClient] = []
             if name == "http":
-                player = Player(process.address, clock)
+                player = HttpClient(process.address, clock)
             else:
                 # Used in turn, because a connection may send only 20 messages per second.
                 sockets = [
-                    SocketPlayer(
+                    WebSocketClient(
                         process.address,
                         clock,
                         random.Random(number),
@@ -218,7 +218,7 @@
                 id = remaining.pop()
             while True:
                 try:
-                    player = SocketPlayer(process.address, clock, rng)
+                    player = WebSocketClient(process.address, clock, rng)
                     message = player.ask("resume", 5.0, subscription=id)
                     player.close()
                 except Unanswered:
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -19,7 +19,7 @@
 from fennelcove import log
 from fennelcove.clock import SystemClock
 from fennelcove.daemon.front_daemon import FrontDaemon
-from fennelcove.emulators.clients import Player
+from fennelcove.emulators.clients import HttpClient
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.scenarios.rig import Rig
 from fennelcove.scenarios.script import read
@@ -42,7 +42,7 @@
 def measured(folder: str | None, slow: bool, seconds: float, rate: float) -> list[float]:
     """How long set-ups took, in milliseconds."""
     day, clock = read("drain"), SystemClock()
-    rig = Rig(day, clock, Recorder(clock, keep=False))
+    rig = Rig(day, clock, Recorder(clock, retain=False))
     front = msgspec.structs.replace(
         day.front,
         lists=msgspec.structs.replace(day.front.lists, address=rig.lists.address),
@@ -59,7 +59,7 @@
     times: list[float] = []
 
     def client() -> None:
-        player, due = Player(program.door.address, clock), time.perf_counter()
+        player, due = HttpClient(program.door.address, clock), time.perf_counter()
         until = due + seconds
         body = msgspec.json.encode({"room_type": "recorded", "title": "knee-1"})
         while due < until:
--- a/packages/cli/src/fennelcove/cli/serve.py
+++ b/packages/cli/src/fennelcove/cli/serve.py
@@ -13,8 +13,8 @@
 from fennelcove.clock import SystemClock
 from fennelcove.daemon.front_daemon import FrontDaemon
 from fennelcove.daemon.key_file import KeyFileError
-from fennelcove.emulators.media_server import StandInBox
-from fennelcove.emulators.model import BoxModel, RackModel
+from fennelcove.emulators.media_server import EmulatedServer
+from fennelcove.emulators.model import RackModel, ServerModel
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.ingress.tls import TlsError
 from fennelcove.settings.checks import load_front
@@ -93,7 +93,7 @@
         return USAGE
     clock = SystemClock()
     rack = RackModel(settings.uplink_kb)
-    model = BoxModel(
+    model = ServerModel(
         settings.link_kb,
         settings.streams,
         rack,
@@ -102,9 +102,9 @@
         2.0,
         3_000_000,
     )
-    rack.boxes.append(model)
-    box = StandInBox(
-        settings.name, model, clock, Recorder(clock, keep=False), settings.reports_every_ms / 1000
+    rack.servers.append(model)
+    box = EmulatedServer(
+        settings.name, model, clock, Recorder(clock, retain=False), settings.reports_every_ms / 1000
     )
     asked = _until_signal()
     box.start()
--- a/packages/emulators/src/fennelcove/emulators/clients.py
+++ b/packages/emulators/src/fennelcove/emulators/clients.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class ClientBehavior:
     """The behavior of one client; times in seconds, rates in kilobits per second.
 
     `temper` is the reaction to Retry-After: "obeys" waits as long as asked, "half" waits half of
@@ -40,7 +40,7 @@
     watch_s: float
     top_rung: int | None = None
     retries: int = 0
-    honours: bool = True  # waits for the time given in Retry-After
+    respects_retry_after: bool = True  # waits for the time given in Retry-After
     hangs_up_after_s: float | None = None  # closes the connection while the set-up is in progress
     vanishes: bool = False  # disappears without releasing its session
     top_kbit: int | None = None
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class Response:
     """A response: status, header, decoded JSON body, and the body as text."""
 
     status: int
@@ -84,20 +84,20 @@
         """Handle a WebSocket message."""
 
 
-class Player:
+class HttpClient:
     """An HTTP client with one connection, opened when needed and reused between requests."""
 
     def __init__(
         self,
         address: str,
         clock: Clock,
-        witness: ResponseObserver | None = None,
+        observer: ResponseObserver | None = None,
         context: ssl.SSLContext | None = None,
     ) -> None:
         self.address = address
         self.context = context
         self.clock = clock
-        self.witness = witness
+        self.observer = observer
         self.sock: socket.socket | None = None
         self.answers = Gatherer(Reader(False, LIMITS))
 
@@ -109,7 +109,7 @@
         body: bytes,
         timeout_s: float,
         hangs_up: bool = False,
-    ) -> Heard:
+    ) -> Response:
         """Send a request and return the response; a time-out with `hangs_up` is reported as `hung_up`.
 
         Raises:
@@ -151,12 +151,16 @@
         except msgspec.DecodeError:
             decoded = {}
         text = received.body.decode("utf-8", "replace")
-        if self.witness is not None:
+        if self.observer is not None:
             media = (received.head.get(b"content-type") or b"").decode("latin-1")
-            self.witness.answer(method, path, received.head.status, media, decoded if received.body else None)
-        return Heard(received.head.status, received.head, decoded if isinstance(decoded, dict) else {}, text)
+            self.observer.answer(
+                method, path, received.head.status, media, decoded if received.body else None
+            )
+        return Response(
+            received.head.status, received.head, decoded if isinstance(decoded, dict) else {}, text
+        )
 
-    def stray(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether unrequested data was received on the connection."""
         if self.sock is None:
             return False
@@ -173,7 +177,7 @@
             self.sock = None
 
 
-class StandInViewer:
+class EmulatedClient:
     """One client on a thread of its own: its set-up attempts, then its session.
 
     `address` returns the front to use for the next attempt, and `share_of` the fraction of its rate
@@ -183,7 +187,7 @@
     def __init__(
         self,
         name: str,
-        behavior: Habits,
+        behavior: ClientBehavior,
         address: Callable[[], str],
         clock: Clock,
         recorder: Recorder,
@@ -198,7 +202,7 @@
         self.share_of = share_of
         self.stopping = stopping
         self.queue_token: str | None = None
-        self.witness: ResponseObserver | None = None
+        self.observer: ResponseObserver | None = None
         self.thread = threading.Thread(target=self.run, name=name)
 
     def run(self) -> None:
@@ -214,7 +218,7 @@
             if number < behavior.retries and self.stopping.wait(wait_s):
                 return
 
-    def _retry_delay_s(self, response: Heard | None) -> float:
+    def _retry_delay_s(self, response: Response | None) -> float:
         """Return the delay before the next attempt, and keep the queue token for it."""
         behavior, self.queue_token = self.behavior, None
         if behavior.temper == "forges":
@@ -222,7 +226,7 @@
         if (
             response is None
             or response.status != 503
-            or not behavior.honours
+            or not behavior.respects_retry_after
             or behavior.temper in ("hasty", "forges")
         ):
             return behavior.retry_pause_s
@@ -252,9 +256,9 @@
         values["bs"], values["su"] = starved, startup
         return cmcd.write_headers(values)
 
-    def _attempt(self, number: int) -> Heard | None:
+    def _attempt(self, number: int) -> Response | None:
         behavior = self.behavior
-        player = Player(self.address(), self.clock, self.witness)
+        player = HttpClient(self.address(), self.clock, self.observer)
         body: dict[str, Any] = {
             "room_type": behavior.room_type,
             "client_timeout_ms": behavior.timeout_s * 1000,
@@ -307,12 +311,12 @@
         )
         if response.status == 201:
             self._watch(player, session)
-        if player.stray():
+        if player.has_unread_data():
             self.recorder.note("stray", **record_fields)
         player.close()
         return response
 
-    def _watch(self, player: Player, session: dict[str, Any]) -> None:
+    def _watch(self, player: HttpClient, session: dict[str, Any]) -> None:
         """Poll the session for its current rung until the watch time is over or the session is lost."""
         behavior, path = self.behavior, f"/v1/subscriptions/{session['id']}"
         until_us = self.clock.now_us() + round(behavior.watch_s * 1e6)
--- a/packages/emulators/src/fennelcove/emulators/dishonest_front.py
+++ b/packages/emulators/src/fennelcove/emulators/dishonest_front.py
@@ -20,7 +20,7 @@
 SLOW_HISTOGRAM, FAST_HISTOGRAM = ((55, 250),), ((1, 250),)  # all attempts took 10 s, or 1 ms
 
 
-class SlotLiar:
+class DishonestFront:
     """Sends false messages from the address of a front to all others until it is stopped."""
 
     def __init__(
--- a/packages/emulators/src/fennelcove/emulators/disk.py
+++ b/packages/emulators/src/fennelcove/emulators/disk.py
@@ -37,16 +37,16 @@
     return raw
 
 
-class StandInDisk:
+class EmulatedDisk:
     """One directory; counts the calls and raises `PowerCut` after `cut_at` of them."""
 
     def __init__(
-        self, files: dict[str, bytes] | None = None, cut_at: int | None = None, most: int = 10**9
+        self, files: dict[str, bytes] | None = None, cut_at: int | None = None, capacity_bytes: int = 10**9
     ) -> None:
         self.files = {name: FileState(raw, True) for name, raw in (files or {}).items()}
         self.removed: dict[str, FileState] = {}  # removed, but the directory is not synced yet
         self.cut_at = cut_at
-        self.most = most
+        self.capacity_bytes = capacity_bytes
         self.calls = 0
 
     def _count_call(self) -> None:
@@ -67,7 +67,7 @@
         self._count_call()
         file = self.files.setdefault(name, FileState())
         offset = len(file.current())
-        room = self.most - sum(len(item.current()) for item in self.files.values())
+        room = self.capacity_bytes - sum(len(item.current()) for item in self.files.values())
         if raw[:room]:
             file.pending.append((offset, raw[: max(0, room)]))
         if len(raw) > room:
--- a/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
+++ b/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
@@ -18,11 +18,11 @@
 
 JSON = ("Content-Type", "application/json")
 HEARTBEAT_INTERVAL_S = 0.5
-State = Literal["active", "leaving", "left"]
+ListingState = Literal["active", "leaving", "left"]
 
 
 @dataclass(slots=True)
-class Known:
+class ListedServer:
     """One server in the list; `started_us` is None if it has been running for a long time."""
 
     address: str
@@ -30,11 +30,11 @@
     kind: str
     cell: int
     weight: float
-    state: State = "active"
+    state: ListingState = "active"
     started_us: int | None = None
 
 
-class StandInLists:
+class EmulatedListService:
     """Serves the versions of one list.
 
     `publish` creates a version; each event stream sends the changes that its client does not have yet.
@@ -43,8 +43,8 @@
     def __init__(self, clock: Clock, recorder: Recorder) -> None:
         self.clock = clock
         self.recorder = recorder
-        self.servers: dict[str, Known] = {}
-        self.versions: list[dict[str, Known]] = [{}]
+        self.servers: dict[str, ListedServer] = {}
+        self.versions: list[dict[str, ListedServer]] = [{}]
         self.changed = threading.Condition()
         self.stopped = False
         self.raw_events: list[
@@ -64,7 +64,7 @@
             self.changed.notify_all()
         self.server.stop()
 
-    def publish(self, *servers: Known) -> None:
+    def publish(self, *servers: ListedServer) -> None:
         """Create a version with these servers added or changed; state "left" is listed a last time."""
         with self.changed:
             for server in servers:
@@ -72,7 +72,7 @@
             self.versions.append({server.address: server for server in servers})
             self.changed.notify_all()
 
-    def forget(self) -> None:
+    def restore_first_version(self) -> None:
         """Go back to the first published version and its number, as after a restore from a backup."""
         with self.changed:
             self.versions = self.versions[:2]
@@ -89,7 +89,7 @@
         """The number of the latest version."""
         return len(self.versions) - 1
 
-    def _list_entries(self, servers: list[Known]) -> list[ListedBox]:
+    def _list_entries(self, servers: list[ListedServer]) -> list[ListedBox]:
         now_us = self.clock.now_us()
         return [
             ListedBox(
@@ -109,7 +109,7 @@
         return ListMessage(version=self.version, boxes=self._list_entries(listed))
 
     def _changes_since(self, version: int) -> ListMessage:
-        changed: dict[str, Known] = {}
+        changed: dict[str, ListedServer] = {}
         for servers in self.versions[version + 1 :]:
             changed.update(servers)
         return ListMessage(
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/faults.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/faults.py
@@ -12,7 +12,7 @@
 Party = frozenset[str]  # all names of a party: its own, that of its kind, that of its zone
 
 
-class How(Enum):
+class FaultKind(Enum):
     """The effect of a fault on one direction between two parties; scenario scripts name the values."""
 
     SILENT = "silent"  # data is held back until the fault ends; datagrams are lost
@@ -35,7 +35,7 @@
 
     sender: str
     receiver: str
-    kind: How
+    kind: FaultKind
     value: float = 0.0
     share: float = 1.0
 
@@ -57,17 +57,17 @@
 
     def __init__(self, faults: Iterable[Fault] = ()) -> None:
         self.faults = tuple(faults)
-        self.effects_by_direction: dict[tuple[Party, Party], tuple[list[Fault], set[How]]] = {}
+        self.effects_by_direction: dict[tuple[Party, Party], tuple[list[Fault], set[FaultKind]]] = {}
 
     def between(self, sender: Party, receiver: Party) -> list[Fault]:
         """Return the faults that apply to one direction."""
         return self._effects(sender, receiver)[0]
 
-    def kinds(self, sender: Party, receiver: Party) -> set[How]:
+    def kinds(self, sender: Party, receiver: Party) -> set[FaultKind]:
         """Return the kinds of the faults that apply to one direction."""
         return self._effects(sender, receiver)[1]
 
-    def _effects(self, sender: Party, receiver: Party) -> tuple[list[Fault], set[How]]:
+    def _effects(self, sender: Party, receiver: Party) -> tuple[list[Fault], set[FaultKind]]:
         effects = self.effects_by_direction.get((sender, receiver))
         if effects is None:
             faults = [fault for fault in self.faults if fault.applies_to(sender, receiver)]
@@ -77,7 +77,7 @@
 
 def total_delay_us(faults: Iterable[Fault], draw: Callable[[], float]) -> int:
     """Return the delay for data sent now, in microseconds; several delays add up."""
-    delays = [fault for fault in faults if fault.kind is How.DELAY]
+    delays = [fault for fault in faults if fault.kind is FaultKind.DELAY]
     return round(sum(fault.value * (1 + draw() / 2) for fault in delays) * 1000)
 
 
@@ -88,16 +88,20 @@
     extra_us = 0
     for fault in faults:
         is_affected = draw() < fault.share
-        if fault.kind in (How.SILENT, How.RESET, How.REFUSE) or (fault.kind is How.DROP and is_affected):
+        if fault.kind in (FaultKind.SILENT, FaultKind.RESET, FaultKind.REFUSE) or (
+            fault.kind is FaultKind.DROP and is_affected
+        ):
             return []
-        if fault.kind is How.DUPLICATE and is_affected:
+        if fault.kind is FaultKind.DUPLICATE and is_affected:
             copies = 2
-        if fault.kind is How.REORDER and is_affected:
+        if fault.kind is FaultKind.REORDER and is_affected:
             extra_us = round(fault.value * 1000 * draw())
-    duplicate_us = max((round(f.value * 1000 * draw()) for f in faults if f.kind is How.DUPLICATE), default=0)
+    duplicate_us = max(
+        (round(f.value * 1000 * draw()) for f in faults if f.kind is FaultKind.DUPLICATE), default=0
+    )
     return [base_us + extra_us, base_us + extra_us + duplicate_us][:copies]
 
 
 def throttle_kb(faults: Iterable[Fault]) -> float | None:
     """Return the lowest rate that a direction is throttled to, in kB per second, or None."""
-    return min((fault.value for fault in faults if fault.kind is How.THROTTLE), default=None)
+    return min((fault.value for fault in faults if fault.kind is FaultKind.THROTTLE), default=None)
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/gauge.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/gauge.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 
 from fennelcove.clock import Clock
-from fennelcove.emulators.clients import Player, Unanswered
+from fennelcove.emulators.clients import HttpClient, Unanswered
 from fennelcove.emulators.fault_proxy.relay import Relays
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.emulators.server import LoopbackServer, Peer
@@ -23,7 +23,7 @@
 REPORT_THRESHOLD_MS = 100.0  # shorter times are normal for a loaded rig
 
 
-class Gauge:
+class LatencyProbe:
     """Sends one request at a time at a fixed interval and records the slow ones."""
 
     def __init__(self, clock: Clock, recorder: Recorder, relays: Relays) -> None:
@@ -32,7 +32,7 @@
         self.probes_sent = 0
         self.stopping = threading.Event()
         self.server = LoopbackServer(_answer_empty, "gauge")
-        self.address = relays.door(self.server.address, frozenset({"gauge"}))
+        self.address = relays.add_listener(self.server.address, frozenset({"gauge"}))
         self.thread = threading.Thread(target=self._run, name="gauge-asks")
 
     def start(self) -> None:
@@ -47,7 +47,7 @@
         self.server.stop()
 
     def _run(self) -> None:
-        player = Player(self.address, self.clock)
+        player = HttpClient(self.address, self.clock)
         while not self.stopping.wait(PROBE_INTERVAL_S):
             began_us = self.clock.now_us()
             with suppress(Unanswered):  # a timeout counts with the time waited
--- a/packages/emulators/src/fennelcove/emulators/fault_proxy/relay.py
+++ b/packages/emulators/src/fennelcove/emulators/fault_proxy/relay.py
@@ -24,7 +24,7 @@
 from fennelcove.clock import Clock
 from fennelcove.emulators.fault_proxy.faults import (
     Fault,
-    How,
+    FaultKind,
     Party,
     Rules,
     datagram_delays_us,
@@ -109,11 +109,11 @@
         self.sockets: list[socket.socket] = [self.wake_receiver, self.wake_sender]
         self.thread = threading.Thread(target=self._run, name="relays")
 
-    def name(self, host: str, party: Party) -> None:
+    def assign_party(self, host: str, party: Party) -> None:
         """Assign a party to connections from this source address."""
         self.parties_by_host[host] = party
 
-    def door(self, target: str, party: Party) -> str:
+    def add_listener(self, target: str, party: Party) -> str:
         """Open a listener that forwards to `target`, and return its address."""
         listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         listener.setblocking(False)
@@ -122,7 +122,7 @@
         self._register(listener, self.listeners[address])
         return address
 
-    def post(self, addresses: list[str], parties: list[Party]) -> list[list[str]]:
+    def add_datagram_relays(self, addresses: list[str], parties: list[Party]) -> list[list[str]]:
         """Open datagram relays between all pairs of fronts that listen on these addresses.
 
         Returns for each front the list of addresses at which it reaches the others; its own is unchanged.
@@ -188,7 +188,7 @@
             sock.close()
         self.selector.close()
 
-    def told(self) -> dict[str, int]:
+    def traffic_counts(self) -> dict[str, int]:
         """Return the numbers of relayed connections and datagrams so far, by direction."""
         with self.lock:
             return dict(self.counts)
@@ -251,10 +251,10 @@
     def _connect(self, connection: _PendingConnection) -> None:
         sock, client, listener = connection.sock, connection.client, connection.listener
         kinds_found = self.rules.kinds(client, listener.party)
-        if kinds_found & {How.RESET, How.REFUSE}:
+        if kinds_found & {FaultKind.RESET, FaultKind.REFUSE}:
             _reset(sock)
             return
-        if How.SILENT in kinds_found:
+        if FaultKind.SILENT in kinds_found:
             self.pending.append(connection)
             return
         try:
@@ -281,7 +281,7 @@
         if endpoint.closed or endpoint.peer is None:
             return
         events = 0
-        silent = How.SILENT in self.rules.kinds(endpoint.party, endpoint.peer.party)
+        silent = FaultKind.SILENT in self.rules.kinds(endpoint.party, endpoint.peer.party)
         if not endpoint.has_finished and not silent and endpoint.peer.queued_bytes < MAX_QUEUED_BYTES:
             events |= selectors.EVENT_READ
         now_us = self.clock.now_us()
@@ -318,14 +318,14 @@
             rules.between(endpoint.party, peer.party),
             rules.kinds(endpoint.party, peer.party),
         )
-        if How.SILENT in kinds_found and data:
+        if FaultKind.SILENT in kinds_found and data:
             # The fault began after the socket was polled; hold the data until it ends.
             due_us = 1 << 62
         else:
             due_us = self.clock.now_us() + total_delay_us(faults, self.draw)
         if not data:
             endpoint.has_finished = True
-        if How.CUT in kinds_found and data:
+        if FaultKind.CUT in kinds_found and data:
             with suppress(OSError):
                 peer.sock.send(data[: len(data) // 2])
             self._reset_both(endpoint)
@@ -400,10 +400,10 @@
             if endpoint.closed or endpoint.peer is None:
                 continue
             kinds_found = self.rules.kinds(endpoint.party, endpoint.peer.party)
-            if How.RESET in kinds_found:
+            if FaultKind.RESET in kinds_found:
                 self._reset_both(endpoint)
                 continue
-            if How.SILENT not in kinds_found:  # release the data held back by a silent partition
+            if FaultKind.SILENT not in kinds_found:  # release the data held back by a silent partition
                 now_us = self.clock.now_us()
                 endpoint.peer.queue = deque((min(due_us, now_us) if due_us >= 1 << 62 else due_us, data)
                                           for due_us, data in endpoint.peer.queue)  # fmt: skip
--- a/packages/emulators/src/fennelcove/emulators/media_server.py
+++ b/packages/emulators/src/fennelcove/emulators/media_server.py
@@ -13,7 +13,7 @@
 
 import msgspec
 from fennelcove.clock import Clock
-from fennelcove.emulators.model import BoxModel, SetUp
+from fennelcove.emulators.model import ServerModel, SetUpResult
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.emulators.server import LoopbackServer, Peer
 from fennelcove.hints import cmsd
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class SetUpTimes:
     """The duration of set-ups at a server; times in milliseconds."""
 
     usual_ms: float = 0.0
@@ -74,14 +74,14 @@
         return delay_ms * max(1.0, at_once / self.knee) if self.knee else delay_ms
 
 
-class StandInBox:
+class EmulatedServer:
     """One server on a loopback port.
 
     `address` is the address used in the server list and in recordings; it may be that of a relay in front.
     """
 
     def __init__(
-        self, name: str, model: BoxModel, clock: Clock, recorder: Recorder, report_interval_s: float
+        self, name: str, model: ServerModel, clock: Clock, recorder: Recorder, report_interval_s: float
     ) -> None:
         self.name = name
         self.model = model
@@ -89,7 +89,7 @@
         self.recorder = recorder
         self.report_interval_s = report_interval_s
         self.faults = ServerFaults()
-        self.pace = Pace()
+        self.set_up_times = SetUpTimes()
         self.setups_in_progress = 0
         self.incarnation = 1
         self.lock = threading.Lock()
@@ -114,7 +114,7 @@
             self.changed.notify_all()
         self.server.stop()
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Emulate a process crash: stop listening, cut all connections and lose all sessions."""
         with self.lock:
             if not self.model.up:
@@ -138,10 +138,10 @@
 
     def cmsd_value(self) -> str:
         """Return the CMSD-Dynamic value of a response."""
-        link = self.model.asked() if self.faults.lies is None else self.faults.lies
+        link = self.model.utilization() if self.faults.lies is None else self.faults.lies
         values: dict[str, int | float | str | bool | bytes] = {
             cmsd.LINK_KEY: round(link, 3),
-            cmsd.UPLINK_KEY: round(self.model.rack.asked(), 3),
+            cmsd.UPLINK_KEY: round(self.model.rack.utilization(), 3),
         }
         if self.faults.full:
             values["du"] = True
@@ -189,7 +189,9 @@
             return False
         with self.lock:
             self.setups_in_progress += 1
-            delay_ms = self.faults.slow_ms + self.pace.duration_ms(order.title, self.setups_in_progress)
+            delay_ms = self.faults.slow_ms + self.set_up_times.duration_ms(
+                order.title, self.setups_in_progress
+            )
         is_abandoned = bool(delay_ms) and peer.wait_closed(delay_ms / 1000)
         with self.lock:
             self.setups_in_progress -= 1
@@ -208,19 +210,19 @@
             result = None
             if key not in self.released_keys:
                 result = self.model.set_up(key, order.rate_kb, self.clock.now_us())
-            if result is SetUp.STARTED:
+            if result is SetUpResult.STARTED:
                 self.orders[key] = order
         if result is None:
             # The release came first: a session started now would have no client and never be released.
             self.recorder.note("set_up_over", **record_fields, how="taken_back")
             return peer.send(self._reply(410))
-        if result is SetUp.FELL:
+        if result is SetUpResult.CRASHED:
             self.recorder.note("set_up_over", **record_fields, how="reset")
             self.recorder.note("fell", box=self.address, front=order.front)
-            threading.Thread(target=self.die, name="fall").start()
+            threading.Thread(target=self.crash, name="fall").start()
             peer.reset()
             return False
-        if result is SetUp.TURNED_AWAY:
+        if result is SetUpResult.REJECTED:
             self.recorder.note("set_up_over", **record_fields, how="turned_away")
             problem = Problem(type=TURNED_AWAY, title="Full", status=503)
             return peer.send(self._reply(503, msgspec.json.encode(problem)))
--- a/packages/emulators/src/fennelcove/emulators/players.py
+++ b/packages/emulators/src/fennelcove/emulators/players.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import m3u8
-from fennelcove.emulators.clients import Heard, Player, StandInViewer, Unanswered
+from fennelcove.emulators.clients import EmulatedClient, HttpClient, Response, Unanswered
 from fennelcove.http1.messages import ResponseHead
 
 INTERSTITIAL = "com.apple.hls.interstitial"
@@ -15,14 +15,14 @@
 RETRY_PAUSE_S = 0.05
 
 
-class StandInPlayer(StandInViewer):
+class EmulatedPlayer(EmulatedClient):
     """A client that plays its HLS media playlist in real time."""
 
-    def _watch(self, player: Player, session: dict[str, Any]) -> None:
+    def _watch(self, player: HttpClient, session: dict[str, Any]) -> None:
         self.record_fields = {"viewer": self.name, "subscription": session["id"]}
         self.path = f"/v1/subscriptions/{session['id']}"
         self.front = player
-        self.server_connections: dict[str, Player] = {}
+        self.server_connections: dict[str, HttpClient] = {}
         self.next_seq = 0
         self.fetched: list[float] = []
         self.play_end_us = 0
@@ -52,12 +52,14 @@
     lost = False
     target_s = 0.0
 
-    def _request(self, method: str, path: str, fields: list[tuple[str, str]] | None = None) -> Heard | None:
+    def _request(
+        self, method: str, path: str, fields: list[tuple[str, str]] | None = None
+    ) -> Response | None:
         try:
             return self.front.ask(method, path, fields or [], b"", 2.0)
         except Unanswered as error:
             self.recorder.note("poll_unanswered", **self.record_fields, how=error.how)
-            self.front = Player(self.address(), self.clock, self.witness)
+            self.front = HttpClient(self.address(), self.clock, self.observer)
             self.stopping.wait(RETRY_PAUSE_S)
             return None
 
@@ -161,7 +163,7 @@
             return ""
         location = (response.head.get(b"location") or b"").decode().removeprefix("http://")
         address, _, path = location.partition("/")
-        connection = self.server_connections.setdefault(address, Player(address, self.clock))
+        connection = self.server_connections.setdefault(address, HttpClient(address, self.clock))
         try:
             segment_response = connection.ask("GET", f"/{path}", [], b"", 1.0)
         except Unanswered:
--- a/packages/emulators/src/fennelcove/emulators/recorder.py
+++ b/packages/emulators/src/fennelcove/emulators/recorder.py
@@ -15,16 +15,16 @@
 class Recorder:
     """Collects the records of all emulators of one scenario in one sequence."""
 
-    def __init__(self, clock: Clock, keep: bool = True) -> None:
+    def __init__(self, clock: Clock, retain: bool = True) -> None:
         self.clock = clock
-        self.keep = keep  # False for an emulator that runs indefinitely: its memory use must not grow
+        self.retain = retain  # False for an emulator that runs indefinitely: its memory use must not grow
         self.began_us = clock.now_us()
         self.records: list[Record] = []
         self.lock = threading.Lock()
 
     def note(self, what: str, **fields: Any) -> None:
         """Add a record of kind `what` with the current time."""
-        if not self.keep:
+        if not self.retain:
             return
         with self.lock:
             self.records.append({"t_us": self.clock.now_us() - self.began_us, "what": what, **fields})
--- a/packages/emulators/src/fennelcove/emulators/sockets.py
+++ b/packages/emulators/src/fennelcove/emulators/sockets.py
@@ -21,7 +21,7 @@
 from fennelcove.wire.socket import PATH, SUBPROTOCOL
 
 
-class SocketPlayer:
+class WebSocketClient:
     """One connection to a front; received messages are queued until they are read.
 
     Raises:
@@ -37,13 +37,13 @@
         context: ssl.SSLContext | None = None,
         deflates: bool = False,
         timeout_s: float = 5.0,
-        witness: ResponseObserver | None = None,
+        observer: ResponseObserver | None = None,
     ) -> None:
         self.address = address
-        self.witness = witness
+        self.observer = observer
         self.clock = clock
         self.last_ref = 0
-        self.heard: deque[dict[str, Any]] = deque()
+        self.inbox: deque[dict[str, Any]] = deque()
         self.closed: Closed | None = None
         self.sock = self._connect(timeout_s, context)
         key = rng.randbytes(16)
@@ -83,19 +83,20 @@
     def _receive(self, data: bytes) -> None:
         for event in self.conversation.receive(data) if data else []:
             if isinstance(event, Message) and isinstance(event.data, str):
-                self.heard.append(msgspec.json.decode(event.data))
-                if self.witness is not None:
-                    self.witness.message(self.heard[-1])
+                self.inbox.append(msgspec.json.decode(event.data))
+                if self.observer is not None:
+                    self.observer.message(self.inbox[-1])
             elif isinstance(event, Closed):
                 self.closed = event
-        self._send()
+        self.flush()
 
-    def _send(self) -> None:
+    def flush(self) -> None:
+        """Send the bytes that the conversation has ready."""
         raw = self.conversation.take()
         if raw:
             self.sock.sendall(raw)
 
-    def tell(self, type: str, **fields: Any) -> str:
+    def send_message(self, type: str, **fields: Any) -> str:
         """Send one message with a new `ref`, and return the `ref`; reports are sent without it.
 
         Raises:
@@ -106,7 +107,7 @@
         message = {"type": type, **({} if type == "report" else {"ref": ref}), **fields}
         try:
             self.conversation.send(msgspec.json.encode(message).decode())
-            self._send()
+            self.flush()
         except OSError:
             raise Unanswered("reset") from None
         return ref
@@ -118,7 +119,7 @@
             Unanswered: The connection is closed and no message is left.
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
-        while not self.heard:
+        while not self.inbox:
             if self.closed is not None:
                 raise Unanswered(f"closed with {self.closed.code}")
             left_s = (until_us - self.clock.now_us()) / 1e6
@@ -138,7 +139,7 @@
                 self._receive(data)
             except OSError:
                 self.closed = Closed(CloseCode.ABNORMAL, "", False)
-        return self.heard.popleft()
+        return self.inbox.popleft()
 
     def ask(self, type: str, timeout_s: float = 5.0, **fields: Any) -> dict[str, Any]:
         """Send a request and return its response; events received before it stay queued.
@@ -146,7 +147,7 @@
         Raises:
             Unanswered: No response was received in time.
         """
-        return self.answer(self.tell(type, **fields), timeout_s)
+        return self.answer(self.send_message(type, **fields), timeout_s)
 
     def answer(self, ref: str, timeout_s: float) -> dict[str, Any]:
         """Return the response to an earlier request.
@@ -165,9 +166,9 @@
                     return message
                 deferred.append(message)
         finally:
-            self.heard.extendleft(reversed(deferred))
+            self.inbox.extendleft(reversed(deferred))
 
-    def news(self, type: str, timeout_s: float = 5.0) -> dict[str, Any]:
+    def next_of_type(self, type: str, timeout_s: float = 5.0) -> dict[str, Any]:
         """Return the next message of a type and discard the others before it.
 
         Raises:
@@ -189,7 +190,7 @@
         """
         until_us = self.clock.now_us() + round(timeout_s * 1e6)
         while self.closed is None:
-            self.heard.clear()
+            self.inbox.clear()
             with suppress(Unanswered):
                 if self.next((until_us - self.clock.now_us()) / 1e6) is None and self.closed is None:
                     raise TimeoutError
@@ -203,5 +204,5 @@
         """Send a WebSocket close frame and close the connection."""
         with suppress(OSError):
             self.conversation.close()
-            self._send()
+            self.flush()
         self.sock.close()
--- a/packages/emulators/src/fennelcove/emulators/websocket_clients.py
+++ b/packages/emulators/src/fennelcove/emulators/websocket_clients.py
@@ -8,8 +8,8 @@
 import random
 from typing import Any
 
-from fennelcove.emulators.clients import Heard, StandInViewer, Unanswered
-from fennelcove.emulators.sockets import SocketPlayer
+from fennelcove.emulators.clients import EmulatedClient, Response, Unanswered
+from fennelcove.emulators.sockets import WebSocketClient
 from fennelcove.http1.messages import ResponseHead
 
 STATUS_BY_TYPE = {"playing": 201, "throttled": 503, "terminated": 504, "fault": 400}
@@ -18,13 +18,13 @@
 RESUME_PAUSE_S = 0.1
 
 
-class StandInSocketViewer(StandInViewer):
+class EmulatedWebSocketClient(EmulatedClient):
     """A client that receives events over a WebSocket instead of polling."""
 
-    def _open(self) -> SocketPlayer:
+    def _open(self) -> WebSocketClient:
         rng = random.Random(f"{self.name}/{self.clock.now_us()}")
         deflates = rng.random() < 0.5
-        return SocketPlayer(self.address(), self.clock, rng, deflates=deflates, witness=self.witness)
+        return WebSocketClient(self.address(), self.clock, rng, deflates=deflates, observer=self.observer)
 
     def _cmcd(self, starved: bool = False, measured_kbit: int | None = None) -> dict[str, Any]:
         hints: dict[str, Any] = {"sid": self.name, "cid": self.behavior.title, "bs": starved}
@@ -34,7 +34,7 @@
             hints["mtp"] = measured_kbit // 100 * 100
         return hints
 
-    def _attempt(self, number: int) -> Heard | None:
+    def _attempt(self, number: int) -> Response | None:
         behavior = self.behavior
         record_fields = {"viewer": self.name, "number": number}
         try:
@@ -85,13 +85,13 @@
         )
         if response["type"] == "playing":
             player = self._play(player, state)
-        if any(item.get("ref") == response["ref"] for item in player.heard):
+        if any(item.get("ref") == response["ref"] for item in player.inbox):
             self.recorder.note("stray", **record_fields)
         player.close()
         status = STATUS_BY_TYPE[response["type"]]
-        return Heard(status, ResponseHead(status, []), response)
+        return Response(status, ResponseHead(status, []), response)
 
-    def _play(self, player: SocketPlayer, state: dict[str, Any]) -> SocketPlayer:
+    def _play(self, player: WebSocketClient, state: dict[str, Any]) -> WebSocketClient:
         """Watch until the end or until the session is lost; return the connection last used."""
         id = state["id"]
         record_fields = {"viewer": self.name, "subscription": id}
@@ -104,7 +104,7 @@
                     share = self.share_of(state["box"])
                     starved = share < 0.98
                     measured = round(state["rate_kb"] * 8 * share) if starved else None
-                    player.tell("report", subscription=id, cmcd=self._cmcd(starved, measured))
+                    player.send_message("report", subscription=id, cmcd=self._cmcd(starved, measured))
                     self.recorder.note("watches", **record_fields, rung=state["rung"], share=round(share, 3))
                     continue
             except Unanswered:
@@ -133,7 +133,7 @@
             self.recorder.note("poll_unanswered", **record_fields, how=error.how)
         return player
 
-    def _resume(self, id: str, seen: int) -> tuple[SocketPlayer, dict[str, Any]] | None:
+    def _resume(self, id: str, seen: int) -> tuple[WebSocketClient, dict[str, Any]] | None:
         """Resume the session on a new connection; return both, or None if the session has ended."""
         record_fields = {"viewer": self.name, "subscription": id}
         for _ in range(RESUME_TRIES):
--- a/packages/scenarios/src/fennelcove/scenarios/authors.py
+++ b/packages/scenarios/src/fennelcove/scenarios/authors.py
@@ -6,7 +6,7 @@
 
 import msgspec
 from fennelcove.clock import Clock
-from fennelcove.emulators.clients import Player, Unanswered
+from fennelcove.emulators.clients import HttpClient, Unanswered
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.manifests.exact_time import format_wall_time
 from fennelcove.scenarios.script import PlaylistChange
@@ -18,7 +18,7 @@
     change: PlaylistChange, number: int, address: Callable[[], str], clock: Clock, recorder: Recorder
 ) -> None:
     """Submit or delete one change and record the response."""
-    player = Player(address(), clock)
+    player = HttpClient(address(), clock)
     fields = [("Authorization", f"Bearer {AUTHOR_KEY}"), ("Content-Type", "application/json")]
     id = change.id or f"change-{number}"
     try:
--- a/packages/scenarios/src/fennelcove/scenarios/fault_injection.py
+++ b/packages/scenarios/src/fennelcove/scenarios/fault_injection.py
@@ -8,7 +8,7 @@
 from random import Random
 from zlib import crc32
 
-from fennelcove.emulators.dishonest_front import SlotLiar
+from fennelcove.emulators.dishonest_front import DishonestFront
 from fennelcove.scenarios.fronts import FrontProcess, Fronts, ScenarioError, run_in_parallel
 from fennelcove.scenarios.rig import Rig
 from fennelcove.scenarios.script import FaultSpec, PowerLoss
@@ -147,7 +147,9 @@
             server_hashes = [
                 crc32(f"{endpoint.address} {endpoint.kind}".encode()) for endpoint in rig.endpoints
             ]
-            liar = SlotLiar(rig.clock, front.peer_addresses[front.index], peers, server_hashes, self.rng)
+            liar = DishonestFront(
+                rig.clock, front.peer_addresses[front.index], peers, server_hashes, self.rng
+            )
             liar.start()
             self.stop_event.wait(fault_spec.for_s)
             liar.stop()
@@ -182,12 +184,12 @@
         self.rig.lists.server.down()
         self.rig.set_unreachable(self.rig.lists_for_fronts)
         for server in self.rig.servers[power.boxes_spared :]:
-            server.die()
+            server.crash()
             self.rig.set_unreachable(server.address)
         for front in killed:
             front.reap()
         if power.lists_before:
-            self.rig.lists.forget()
+            self.rig.lists.restore_first_version()
         else:
             # The list service observes that no process runs and lists no server until one does.
             number = power.boxes_spared
--- a/packages/scenarios/src/fennelcove/scenarios/fronts.py
+++ b/packages/scenarios/src/fennelcove/scenarios/fronts.py
@@ -16,7 +16,7 @@
 import blake3
 import msgspec
 from fennelcove.daemon.key_file import rotate
-from fennelcove.emulators.clients import Player, Unanswered
+from fennelcove.emulators.clients import HttpClient, Unanswered
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.errors import OperatorError
 from fennelcove.scenarios import authors
@@ -257,7 +257,7 @@
         return msgspec.structs.replace(template, index=self.index, fronts=self.scenario.fronts, zone=zone)
 
     def _has_list(self) -> bool:
-        player = Player(self.listen, self.recorder.clock, None, self.context)
+        player = HttpClient(self.listen, self.recorder.clock, None, self.context)
         try:
             response = player.ask("GET", "/v1/status", [], b"", 1.0)
             return response.body.get("list_version") is not None
--- a/packages/scenarios/src/fennelcove/scenarios/player.py
+++ b/packages/scenarios/src/fennelcove/scenarios/player.py
@@ -11,10 +11,10 @@
 
 import msgspec
 from fennelcove.clock import Clock, SystemClock
-from fennelcove.emulators.clients import Habits, StandInViewer
+from fennelcove.emulators.clients import ClientBehavior, EmulatedClient
 from fennelcove.emulators.recorder import Record, Recorder
 from fennelcove.emulators.stall_monitor import StallMonitor
-from fennelcove.emulators.websocket_clients import StandInSocketViewer
+from fennelcove.emulators.websocket_clients import EmulatedWebSocketClient
 from fennelcove.scenarios import authors
 from fennelcove.scenarios.fault_injection import FaultInjector, ScheduledAction
 from fennelcove.scenarios.fronts import FrontProcess, Fronts, ScenarioError
@@ -29,7 +29,7 @@
 MAX_OVERRUN_US = 60_000_000  # how far a run with rollouts may exceed its stated duration
 
 
-def arrivals(crowd: Crowd, number: int, seed: int) -> Iterator[tuple[float, Habits]]:
+def arrivals(crowd: Crowd, number: int, seed: int) -> Iterator[tuple[float, ClientBehavior]]:
     """Draw the arrival times and habits of a crowd's clients from a seed of its own."""
     rng = random.Random(f"{seed}/{number}")
     at_s = crowd.from_s
@@ -37,14 +37,14 @@
         hang_up = rng.random() < crowd.hang_up
         yield (
             at_s,
-            Habits(
+            ClientBehavior(
                 room_type=crowd.room_type,
                 title=rng.choice(crowd.titles),
                 timeout_s=crowd.timeout_s,
                 watch_s=crowd.watch_s * (0.5 + rng.random()),
                 top_rung=crowd.top_rung,
                 retries=crowd.retries,
-                honours=rng.random() < crowd.honour,
+                respects_retry_after=rng.random() < crowd.honour,
                 hangs_up_after_s=rng.uniform(0.0, 0.05) if hang_up else None,
                 vanishes=rng.random() < crowd.vanish,
                 top_kbit=crowd.top_kbit,
@@ -57,20 +57,20 @@
         )
 
 
-def _player_type() -> type[StandInViewer]:
+def _player_type() -> type[EmulatedClient]:
     """Import the emulated player, which needs a manifest parser of the development tools.
 
     Raises:
         ScenarioError: the parser is not installed.
     """
     try:
-        from fennelcove.emulators.players import StandInPlayer
+        from fennelcove.emulators.players import EmulatedPlayer
     except ImportError as error:
         raise ScenarioError(
             f"the scenario's players need the package {error.name}",
             suggestion="install the development tools",
         ) from None
-    return StandInPlayer
+    return EmulatedPlayer
 
 
 class ScenarioRunner:
@@ -81,7 +81,7 @@
         scenario: Scenario,
         seed: int,
         clock: Clock | None = None,
-        arrivals: list[tuple[float, str, Habits]] | None = None,
+        arrivals: list[tuple[float, str, ClientBehavior]] | None = None,
     ) -> None:
         self.scenario = scenario
         self.arrivals = arrivals
@@ -89,7 +89,7 @@
         self.clock = clock or SystemClock()
         self.recorder = Recorder(self.clock)
         self.stop_event = threading.Event()
-        self.clients: list[StandInViewer] = []
+        self.clients: list[EmulatedClient] = []
 
     def play(self) -> list[Record]:
         """Run the scenario and return its records.
@@ -129,9 +129,9 @@
                 stall_monitor.stop()
         return self.recorder.records
 
-    def _arrivals(self) -> list[tuple[float, str, Habits, bool]]:
+    def _arrivals(self) -> list[tuple[float, str, ClientBehavior, bool]]:
         """The given arrivals or else those of the script's crowds, up to `MAX_CLIENTS`."""
-        found: list[tuple[float, str, Habits, bool]] = []
+        found: list[tuple[float, str, ClientBehavior, bool]] = []
         if self.arrivals is not None:
             found = [(at_s, name, habits, False) for at_s, name, habits in self.arrivals]
         for number, crowd in enumerate(self.scenario.crowds if self.arrivals is None else ()):
@@ -141,14 +141,16 @@
 
     def _schedule(self, rig: Rig, fronts: Fronts, fault_injector: FaultInjector) -> list[ScheduledAction]:
         actions: list[ScheduledAction] = []
-        witness = ConformanceWitness(self.recorder)
+        observer = ConformanceWitness(self.recorder)
         for at_s, name, habits, plays in self._arrivals():
-            client_type = _player_type() if plays else StandInSocketViewer if habits.socket else StandInViewer
+            client_type = (
+                _player_type() if plays else EmulatedWebSocketClient if habits.socket else EmulatedClient
+            )
             choose_front = fronts.chooser(name, habits.fronts)
             client = client_type(
                 name, habits, choose_front, self.clock, self.recorder, rig.delivered_share, self.stop_event
             )
-            client.witness = witness
+            client.observer = observer
             self.clients.append(client)
             actions.append(ScheduledAction(at_s, client.thread.start))
         for number, change in enumerate(self.scenario.changes):
--- a/packages/scenarios/src/fennelcove/scenarios/replays.py
+++ b/packages/scenarios/src/fennelcove/scenarios/replays.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from fennelcove.emulators.clients import Habits
+from fennelcove.emulators.clients import ClientBehavior
 from fennelcove.emulators.recorder import Record
 
 EXPLANATIONS = {
@@ -19,7 +19,9 @@
 }
 
 
-def arrivals(records: Iterable[Record], retries: int, watch_s: float) -> Iterator[tuple[float, str, Habits]]:
+def arrivals(
+    records: Iterable[Record], retries: int, watch_s: float
+) -> Iterator[tuple[float, str, ClientBehavior]]:
     """Yield time, client and habits of each first try of a recording; the clients retry by themselves."""
     began_us: int | None = None
     for record in records:
@@ -30,7 +32,7 @@
             yield (
                 at_s,
                 str(record["viewer"]),
-                Habits(
+                ClientBehavior(
                     room_type=record["room_type"],
                     title=record["title"],
                     timeout_s=record["timeout_ms"] / 1000,
--- a/packages/scenarios/src/fennelcove/scenarios/rig.py
+++ b/packages/scenarios/src/fennelcove/scenarios/rig.py
@@ -7,12 +7,12 @@
 from random import Random
 
 from fennelcove.clock import Clock
-from fennelcove.emulators.endpoint_list_service import Known, StandInLists, State
-from fennelcove.emulators.fault_proxy.faults import Fault, How, Party
-from fennelcove.emulators.fault_proxy.gauge import Gauge
+from fennelcove.emulators.endpoint_list_service import EmulatedListService, ListedServer, ListingState
+from fennelcove.emulators.fault_proxy.faults import Fault, FaultKind, Party
+from fennelcove.emulators.fault_proxy.gauge import LatencyProbe
 from fennelcove.emulators.fault_proxy.relay import Relays
-from fennelcove.emulators.media_server import Pace, StandInBox
-from fennelcove.emulators.model import BoxModel, RackModel
+from fennelcove.emulators.media_server import EmulatedServer, SetUpTimes
+from fennelcove.emulators.model import RackModel, ServerModel
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.scenarios.script import FaultSpec, Scenario
 
@@ -36,29 +36,29 @@
     def __init__(self, scenario: Scenario, clock: Clock, recorder: Recorder, seed: int = 1) -> None:
         self.scenario = scenario
         self.relays = Relays(clock, Random(f"{seed}/relays").random) if scenario.relays else None
-        self.gauge = Gauge(clock, recorder, self.relays) if self.relays is not None else None
+        self.gauge = LatencyProbe(clock, recorder, self.relays) if self.relays is not None else None
         self.faults: dict[int, list[Fault]] = {}  # by the number of the scenario's fault
         self.clock = clock
         self.recorder = recorder
         racks = scenario.front.fleet.racks
         self.racks = [RackModel(scenario.rig.uplink_kb) for _ in range(racks)]
-        self.lists = StandInLists(clock, recorder)
+        self.lists = EmulatedListService(clock, recorder)
         self.lists_for_fronts = self.lists.address
         if self.relays is not None:
-            self.lists_for_fronts = self.relays.door(self.lists.address, frozenset({"lists"}))
+            self.lists_for_fronts = self.relays.add_listener(self.lists.address, frozenset({"lists"}))
             for i in range(scenario.fronts):
-                self.relays.name(front_host(i), self.front_party(i))
-        self.servers: list[StandInBox] = []
-        self.endpoints: list[Known] = []
+                self.relays.assign_party(front_host(i), self.front_party(i))
+        self.servers: list[EmulatedServer] = []
+        self.endpoints: list[ListedServer] = []
         for i in range(len(scenario.boxes)):
             self._add_server(i)
 
-    def _add_server(self, index: int) -> StandInBox:
+    def _add_server(self, index: int) -> EmulatedServer:
         # A replacement takes the configuration of the server it replaces, also if that was a replacement.
         settings, spec = self.scenario.front, self.scenario.boxes[index % len(self.scenario.boxes)]
         streams = {kind.name: kind.streams for kind in settings.fleet.kinds}[spec.kind]
         rack = self.racks[spec.cell % len(self.racks)]
-        model = BoxModel(
+        model = ServerModel(
             spec.link_kb,
             streams,
             rack,
@@ -68,8 +68,8 @@
             round(self.scenario.rig.tip_after_ms * 1000),
             settings.fleet.guard,
         )
-        rack.boxes.append(model)
-        server = StandInBox(
+        rack.servers.append(model)
+        server = EmulatedServer(
             f"box-{len(self.servers)}",
             model,
             self.clock,
@@ -78,13 +78,15 @@
         )
         rig_spec = self.scenario.rig
         knee = rig_spec.knee if spec.knee is None else spec.knee
-        server.pace = Pace(rig_spec.hold_ms, rig_spec.slow_hold_ms, frozenset(rig_spec.slow_titles), knee)
+        server.set_up_times = SetUpTimes(
+            rig_spec.hold_ms, rig_spec.slow_hold_ms, frozenset(rig_spec.slow_titles), knee
+        )
         if self.relays is not None:
             name = f"box-{len(self.servers)}"
-            server.address = self.relays.door(server.address, frozenset({"boxes", name, spec.zone}))
+            server.address = self.relays.add_listener(server.address, frozenset({"boxes", name, spec.zone}))
         weight = spec.link_kb / (settings.fleet.kb_per_weight or spec.link_kb)
         self.servers.append(server)
-        self.endpoints.append(Known(server.address, spec.zone, spec.kind, spec.cell, weight))
+        self.endpoints.append(ListedServer(server.address, spec.zone, spec.kind, spec.cell, weight))
         self.recorder.note(
             "box", box=server.address, cell=spec.cell, zone=spec.zone, kind=spec.kind, streams=streams
         )
@@ -120,13 +122,17 @@
 
     def client_address(self, front: int, address: str) -> str:
         """The address at which clients reach a front that listens there."""
-        return self.relays.door(address, self.front_party(front)) if self.relays is not None else address
+        return (
+            self.relays.add_listener(address, self.front_party(front)) if self.relays is not None else address
+        )
 
     def peer_addresses(self, addresses: list[str]) -> list[list[str]]:
         """For fronts with these peer addresses: the addresses of all peers as each front has to know them."""
         if self.relays is None:
             return [addresses for _ in addresses]
-        return self.relays.post(addresses, [self.front_party(i) for i in range(len(addresses))])
+        return self.relays.add_datagram_relays(
+            addresses, [self.front_party(i) for i in range(len(addresses))]
+        )
 
     def set_network_fault(self, number: int, fault_spec: FaultSpec, on: bool) -> None:
         """Start or end a network fault between parties."""
@@ -135,7 +141,7 @@
         directions = [(spec.sender, spec.taker)] + ([(spec.taker, spec.sender)] if spec.both else [])
         if on:
             self.faults[number] = [
-                Fault(a, b, How(spec.how), fault_spec.value, spec.share) for a, b in directions
+                Fault(a, b, FaultKind(spec.how), fault_spec.value, spec.share) for a, b in directions
             ]
         else:
             self.faults.pop(number, None)
@@ -149,7 +155,7 @@
             return
         front_party = f"front-{front}"
         if late_ms:
-            self.faults[-1 - front] = [Fault(front_party, "boxes", How.DELAY, late_ms)]
+            self.faults[-1 - front] = [Fault(front_party, "boxes", FaultKind.DELAY, late_ms)]
         else:
             del self.faults[-1 - front]
         self.recorder.note(
@@ -165,7 +171,7 @@
     def record_traffic(self) -> None:
         """Record what the relays carried."""
         if self.relays is not None:
-            self.recorder.note("carried", **self.relays.told())
+            self.recorder.note("carried", **self.relays.traffic_counts())
 
     def delivered_share(self, address: str) -> float:
         """The share of its rate that a player at this server gets."""
@@ -183,11 +189,11 @@
         elif action.end is not None:
             action.end(self, fault_spec)
 
-    def target_server(self, fault_spec: FaultSpec) -> StandInBox:
+    def target_server(self, fault_spec: FaultSpec) -> EmulatedServer:
         """The server that a fault concerns."""
         return self.servers[fault_spec.box or 0]
 
-    def publish_state(self, fault_spec: FaultSpec, state: State) -> None:
+    def publish_state(self, fault_spec: FaultSpec, state: ListingState) -> None:
         """Publish a new state for the server of a fault."""
         number = fault_spec.box or 0
         self.endpoints[number] = replace(self.endpoints[number], state=state)
@@ -215,7 +221,7 @@
 
 def _set_knee(rig: Rig, fault_spec: FaultSpec, knee: int) -> None:
     server = rig.target_server(fault_spec)
-    server.pace = replace(server.pace, knee=knee)
+    server.set_up_times = replace(server.set_up_times, knee=knee)
     rig.recorder.note("knee", box=server.address, knee=knee)
 
 
@@ -229,15 +235,15 @@
 
 
 def _add_link_load(rig: Rig, fault_spec: FaultSpec) -> None:
-    rig.target_server(fault_spec).model.others_kb = fault_spec.value
+    rig.target_server(fault_spec).model.competing_kb = fault_spec.value
 
 
 def _clear_link_load(rig: Rig, fault_spec: FaultSpec) -> None:
-    rig.target_server(fault_spec).model.others_kb = 0.0
+    rig.target_server(fault_spec).model.competing_kb = 0.0
 
 
 def _crash(rig: Rig, fault_spec: FaultSpec) -> None:
-    rig.target_server(fault_spec).die()
+    rig.target_server(fault_spec).crash()
     rig.set_unreachable(rig.target_server(fault_spec).address)
 
 
@@ -263,7 +269,7 @@
 
 def _remove(rig: Rig, fault_spec: FaultSpec) -> None:
     rig.publish_state(fault_spec, "left")
-    rig.target_server(fault_spec).die()
+    rig.target_server(fault_spec).crash()
 
 
 FAULT_ACTIONS: dict[str, FaultAction] = {
--- a/packages/scenarios/src/fennelcove/scenarios/supervisor.py
+++ b/packages/scenarios/src/fennelcove/scenarios/supervisor.py
@@ -142,7 +142,7 @@
         self.recorder.note("box_taken", box=server.address)
         rig.publish_state(FaultSpec(at_s=0, what="leave", box=number), "leaving")
         poll_timer.wait(SERVER_DRAIN_S)
-        server.die()
+        server.crash()
         rig.set_unreachable(server.address)
         poll_timer.wait(SERVER_DOWN_S)
         server.restart()
--- a/tests/generated.py
+++ b/tests/generated.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from fennelcove.api.described import Described
-from fennelcove.emulators.clients import Heard, Player
-from fennelcove.emulators.sockets import SocketPlayer
+from fennelcove.emulators.clients import HttpClient, Response
+from fennelcove.emulators.sockets import WebSocketClient
 
 
 class Undescribed(AssertionError):
@@ -18,7 +18,7 @@
 class GeneratedHttp:
     """Calls operations by their ids, with values for what the description names."""
 
-    def __init__(self, document: dict[str, Any], player: Player) -> None:
+    def __init__(self, document: dict[str, Any], player: HttpClient) -> None:
         self.document = document
         self.described = Described(document)
         self.player = player
@@ -28,7 +28,9 @@
             for method, operation in item.items()
         }
 
-    def call(self, name: str, values: dict[str, Any], headers: list[tuple[str, str]] | None = None) -> Heard:
+    def call(
+        self, name: str, values: dict[str, Any], headers: list[tuple[str, str]] | None = None
+    ) -> Response:
         """One operation; values are taken by their described names."""
         method, path, operation = self.operations[name]
         path = re.sub(r"\{([a-z_]+)\}", lambda match: str(values[match[1]]), path)
@@ -56,11 +58,11 @@
 class GeneratedSocket:
     """Sends requests by the names of their operations, and takes only what is described."""
 
-    def __init__(self, document: dict[str, Any], player: SocketPlayer) -> None:
+    def __init__(self, document: dict[str, Any], player: WebSocketClient) -> None:
         self.document = document
         self.described = Described(document)
         self.player = player
-        player.witness = self
+        player.observer = self
 
     def answer(self, method: str, path: str, status: int, media: str, body: Any) -> None:
         raise Undescribed("no HTTP here")
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,10 +15,10 @@
 from fennelcove.clock import SystemClock
 from fennelcove.core.ports import CorePorts
 from fennelcove.daemon.front_daemon import FrontDaemon
-from fennelcove.emulators.clients import Heard, Player
-from fennelcove.emulators.endpoint_list_service import Known, StandInLists
-from fennelcove.emulators.media_server import StandInBox
-from fennelcove.emulators.model import BoxModel, RackModel
+from fennelcove.emulators.clients import HttpClient, Response
+from fennelcove.emulators.endpoint_list_service import EmulatedListService, ListedServer
+from fennelcove.emulators.media_server import EmulatedServer
+from fennelcove.emulators.model import RackModel, ServerModel
 from fennelcove.emulators.recorder import Record, Recorder
 from fennelcove.http1.messages import CodecLimits, ResponseHead
 from fennelcove.http1.reader import Gatherer, Reader
@@ -71,17 +71,17 @@
         """Start the servers and the list service, and a front unless `start` is False."""
         self.clock = SystemClock()
         self.recorder = Recorder(self.clock)
-        self.lists = StandInLists(self.clock, self.recorder)
+        self.lists = EmulatedListService(self.clock, self.recorder)
         rack = RackModel(15_000)
-        self.boxes: list[StandInBox] = []
+        self.boxes: list[EmulatedServer] = []
         for i in range(self.SERVER_COUNT):
-            model = BoxModel(5000, 50, rack, 1_000_000, 0.5, 2.0, 1_000_000)
-            rack.boxes.append(model)
-            self.boxes.append(StandInBox(f"box-{i}", model, self.clock, self.recorder, 0.05))
+            model = ServerModel(5000, 50, rack, 1_000_000, 0.5, 2.0, 1_000_000)
+            rack.servers.append(model)
+            self.boxes.append(EmulatedServer(f"box-{i}", model, self.clock, self.recorder, 0.05))
         for box in self.boxes:
             box.start()
             self.addCleanup(box.stop)
-        self.known = [Known(box.address, "zone", "k", i, 1.0) for i, box in enumerate(self.boxes)]
+        self.known = [ListedServer(box.address, "zone", "k", i, 1.0) for i, box in enumerate(self.boxes)]
         self.lists.publish(*self.known)
         self.lists.start()
         self.addCleanup(self.lists.stop)
@@ -112,20 +112,22 @@
         for front in self.started_fronts:
             front.stop()
 
-    def player(self) -> Player:
-        player = Player(self.front.door.address, self.clock)
+    def player(self) -> HttpClient:
+        player = HttpClient(self.front.door.address, self.clock)
         self.addCleanup(player.close)
         return player
 
-    def ask(self, room: str = "free", player: Player | None = None, headers: Any = (), **body: Any) -> Heard:
+    def ask(
+        self, room: str = "free", player: HttpClient | None = None, headers: Any = (), **body: Any
+    ) -> Response:
         """Request a session and return the response."""
         content = msgspec.json.encode({"room_type": room, "title": "t1", **body})
         fields = [("Content-Type", "application/json"), *headers]
         return (player or self.player()).ask("POST", "/v1/subscriptions", fields, content, WAIT_TIMEOUT_S)
 
-    def request_concurrently(self, count: int, **body: Any) -> list[Heard]:
+    def request_concurrently(self, count: int, **body: Any) -> list[Response]:
         """Request `count` sessions concurrently and return the responses."""
-        responses: list[Heard] = []
+        responses: list[Response] = []
         threads = [threading.Thread(target=lambda: responses.append(self.ask(**body))) for _ in range(count)]
         for thread in threads:
             thread.start()
@@ -141,7 +143,7 @@
             maximum = max(maximum, in_flight)
         return maximum
 
-    def get(self, path: str, headers: Any = (), method: str = "GET") -> Heard:
+    def get(self, path: str, headers: Any = (), method: str = "GET") -> Response:
         return self.player().ask(method, path, list(headers), b"", WAIT_TIMEOUT_S)
 
     def seen(self, what: str, **fields: Any) -> list[Record]:
@@ -163,7 +165,7 @@
         """Publish a list on which only the server with this index is active."""
         self.lists.publish(
             *[
-                Known(known.address, "zone", "k", i, 1.0, "active" if i == index else "leaving")
+                ListedServer(known.address, "zone", "k", i, 1.0, "active" if i == index else "leaving")
                 for i, known in enumerate(self.known)
             ]
         )
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -16,7 +16,7 @@
 from fennelcove.api.described import KNOWN, Described
 from fennelcove.api.diff import Comparison, stepped
 from fennelcove.cli.main import main
-from fennelcove.emulators.sockets import SocketPlayer
+from fennelcove.emulators.sockets import WebSocketClient
 from fennelcove.ingress.routes import ROUTE_TABLE
 from fennelcove.ingress.websocket_routes import HANDLERS
 from fennelcove.settings.schema import Author, MediaSettings, StitchSettings, Title
@@ -175,7 +175,7 @@
 
     def test_every_request_of_the_socket_door_by_its_description(self) -> None:
         document = json.loads(self.get("/v1/asyncapi.json").text)
-        player = SocketPlayer(self.front.door.address, self.clock, random.Random(1))
+        player = WebSocketClient(self.front.door.address, self.clock, random.Random(1))
         self.addCleanup(player.close)
         client = GeneratedSocket(document, player)
         values = self.values() | {"token": "x", "ask": {"room_type": "free", "title": "t1"}}
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from fennelcove import usage_messages
-from fennelcove.emulators.clients import Heard
-from fennelcove.emulators.media_server import Pace
+from fennelcove.emulators.clients import Response
+from fennelcove.emulators.media_server import SetUpTimes
 from fennelcove.fair_queueing.usage_gossip import UsageReport, UsageRow
 from fennelcove.settings.checks import amiss
 from fennelcove.settings.schema import FairSettings, SlotSettings, Weight
@@ -23,7 +23,7 @@
     def start_with_fair_queue(self, service_ms: float, **changes: Any) -> None:
         self.start_system(fair=FairSettings(**{"slots": 2, "wait_ms": 10_000.0, **changes}))
         self.ask()  # a request without any history counts as long, and never gets the last slot
-        self.boxes[0].pace = Pace(service_ms)
+        self.boxes[0].set_up_times = SetUpTimes(service_ms)
         self.ask()
         self.recorder.records.clear()
 
@@ -73,7 +73,7 @@
 
     def test_a_stopping_front_answers_all_waiting_requests(self) -> None:
         self.start_with_fair_queue(1500)
-        responses: list[Heard] = []
+        responses: list[Response] = []
         threads = [threading.Thread(target=lambda: responses.append(self.ask())) for _ in range(4)]
         for thread in threads:
             thread.start()
@@ -106,7 +106,7 @@
         learned = SlotSettings(start=2, least=2, most=2)
         self.start_system(fair=FairSettings(slots=50, wait_ms=10_000.0), slots=learned)
         # Set before any request: compared with an immediate set-up, all others would count as long.
-        self.boxes[0].pace = Pace(60)
+        self.boxes[0].set_up_times = SetUpTimes(60)
         address = self.boxes[0].address
         # A front that just started has no share of a server until its first window closes; earlier requests
         # are rejected.
--- a/tests/test_fault_proxy.py
+++ b/tests/test_fault_proxy.py
@@ -11,13 +11,13 @@
 
 import msgspec
 from fennelcove.clock import SystemClock
-from fennelcove.emulators.clients import Player
+from fennelcove.emulators.clients import HttpClient
 from fennelcove.emulators.fault_proxy import faults
-from fennelcove.emulators.fault_proxy.faults import Fault, How
-from fennelcove.emulators.fault_proxy.gauge import Gauge
+from fennelcove.emulators.fault_proxy.faults import Fault, FaultKind
+from fennelcove.emulators.fault_proxy.gauge import LatencyProbe
 from fennelcove.emulators.fault_proxy.relay import Relays
-from fennelcove.emulators.media_server import StandInBox
-from fennelcove.emulators.model import BoxModel, RackModel
+from fennelcove.emulators.media_server import EmulatedServer
+from fennelcove.emulators.model import RackModel, ServerModel
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.scenarios.checker import check_recording
 from fennelcove.scenarios.fronts import FrontProcess, ScenarioError
@@ -40,7 +40,9 @@
             ("zone-b", "zone-a", False),
             ("front-1", "boxes", False),
         ):
-            assert Fault(sender, receiver, How.SILENT).applies_to(FRONT_PARTY, SERVER_PARTY) is applies, (
+            assert (
+                Fault(sender, receiver, FaultKind.SILENT).applies_to(FRONT_PARTY, SERVER_PARTY) is applies
+            ), (
                 sender,
                 receiver,
             )
@@ -48,27 +50,28 @@
     def test_datagrams_are_lost_duplicated_and_delayed_by_share(self) -> None:
         chance = Random(3).random
         dropped = [
-            faults.datagram_delays_us([Fault("all", "all", How.DROP, share=0.5)], chance) for _ in range(400)
+            faults.datagram_delays_us([Fault("all", "all", FaultKind.DROP, share=0.5)], chance)
+            for _ in range(400)
         ]
         assert 120 < sum(not copies for copies in dropped) < 280
         duplicated = [
-            faults.datagram_delays_us([Fault("all", "all", How.DUPLICATE, 20, 0.5)], chance)
+            faults.datagram_delays_us([Fault("all", "all", FaultKind.DUPLICATE, 20, 0.5)], chance)
             for _ in range(400)
         ]
         assert 120 < sum(len(copies) == 2 for copies in duplicated) < 280
         delayed = [
-            faults.datagram_delays_us([Fault("all", "all", How.REORDER, 50, 1.0)], chance)[0]
+            faults.datagram_delays_us([Fault("all", "all", FaultKind.REORDER, 50, 1.0)], chance)[0]
             for _ in range(50)
         ]
         assert all(0 <= at <= 50000 for at in delayed)
         assert len(set(delayed)) > 10
-        assert faults.datagram_delays_us([Fault("all", "all", How.SILENT)], chance) == []
+        assert faults.datagram_delays_us([Fault("all", "all", FaultKind.SILENT)], chance) == []
         assert faults.datagram_delays_us([], chance) == [0]
 
     def test_the_lowest_of_two_throttles_applies_and_delays_add_up(self) -> None:
-        throttles = [Fault("all", "all", How.THROTTLE, 50), Fault("all", "all", How.THROTTLE, 20)]
+        throttles = [Fault("all", "all", FaultKind.THROTTLE, 50), Fault("all", "all", FaultKind.THROTTLE, 20)]
         assert faults.throttle_kb(throttles) == 20
-        delays = [Fault("all", "all", How.DELAY, 10), Fault("all", "all", How.DELAY, 20)]
+        delays = [Fault("all", "all", FaultKind.DELAY, 10), Fault("all", "all", FaultKind.DELAY, 20)]
         assert faults.total_delay_us(delays, lambda: 0.0) == 30000
 
 
@@ -110,8 +113,8 @@
     def setUp(self) -> None:
         self.echo = Echo()
         self.relays = Relays(SystemClock(), Random(1).random)
-        self.relays.name("127.0.1.1", FRONT_PARTY)
-        self.address = self.relays.door(self.echo.address, SERVER_PARTY)
+        self.relays.assign_party("127.0.1.1", FRONT_PARTY)
+        self.address = self.relays.add_listener(self.echo.address, SERVER_PARTY)
         self.relays.start()
         self.addCleanup(self.echo.stop)
         self.addCleanup(self.relays.stop)
@@ -137,7 +140,7 @@
         while len(received) < len(sent):
             received += sock.recv(65_536)
         assert received == sent
-        assert self.relays.told() == {"connections fronts boxes": 1}
+        assert self.relays.traffic_counts() == {"connections fronts boxes": 1}
 
     def test_a_half_close_is_relayed_after_the_data_sent_before_it(self) -> None:
         sock = self.connect()
@@ -151,7 +154,7 @@
     def test_a_silent_partition_holds_back_data_until_it_ends(self) -> None:
         sock = self.connect()
         assert self.echoed(sock) == b"hello"
-        self.relays.set(Fault("zone-a", "zone-b", How.SILENT))
+        self.relays.set(Fault("zone-a", "zone-b", FaultKind.SILENT))
         sock.sendall(b"during partition")
         sock.settimeout(0.2)
         with self.assertRaises(TimeoutError):
@@ -163,12 +166,13 @@
     def test_data_of_a_connection_made_and_abandoned_during_a_partition_never_arrives(self) -> None:
         # Guards against all attempts made during a partition reaching the servers at its end, long after
         # their fronts abandoned them: in a real network those connections would never have been established.
-        self.relays.set(Fault("zone-a", "zone-b", How.SILENT))
+        self.relays.set(Fault("zone-a", "zone-b", FaultKind.SILENT))
         connected, abandoned = self.connect(), self.connect()
         for sock in (connected, abandoned):
             sock.sendall(b"during partition")
         wait_for(
-            lambda: self.relays.told() == {"connections fronts boxes": 2}, "both connections at the relay"
+            lambda: self.relays.traffic_counts() == {"connections fronts boxes": 2},
+            "both connections at the relay",
         )
         abandoned.close()
         self.relays.set()
@@ -180,7 +184,7 @@
     def test_a_reset_fault_ends_open_and_new_connections_until_it_ends(self) -> None:
         sock = self.connect()
         self.echoed(sock)
-        self.relays.set(Fault("fronts", "boxes", How.RESET))
+        self.relays.set(Fault("fronts", "boxes", FaultKind.RESET))
         with self.assertRaises(ConnectionError):
             while True:
                 sock.sendall(b"x")
@@ -194,7 +198,7 @@
 
     def test_a_cut_resets_the_connection_in_the_middle_of_a_message(self) -> None:
         sock = self.connect()
-        self.relays.set(Fault("boxes", "front-0", How.CUT))
+        self.relays.set(Fault("boxes", "front-0", FaultKind.CUT))
         received = b""
         with suppress(ConnectionError):
             received = self.echoed(sock, b"0123456789")
@@ -210,11 +214,11 @@
     def test_all_waiting_connections_are_accepted_in_one_turn(self) -> None:
         # Guards against an accept queue at the relays that is mistaken for slow fronts.
         relays = Relays(SystemClock(), Random(1).random)
-        address = relays.door(self.echo.address, SERVER_PARTY)
+        address = relays.add_listener(self.echo.address, SERVER_PARTY)
         host, _, port = address.rpartition(":")
         socks = [socket.create_connection((host, int(port)), 10) for _ in range(20)]
         relays._accept(relays.listeners[address])
-        assert relays.told() == {"connections viewers boxes": 20}
+        assert relays.traffic_counts() == {"connections viewers boxes": 20}
         relays.start()
         self.addCleanup(relays.stop)
         for sock in socks:
@@ -226,8 +230,8 @@
         # nothing.
         clock = SystemClock()
         recorder = Recorder(clock)
-        gauge = Gauge(clock, recorder, self.relays)
-        self.relays.set(Fault("gauge", "viewers", How.DELAY, 300))
+        gauge = LatencyProbe(clock, recorder, self.relays)
+        self.relays.set(Fault("gauge", "viewers", FaultKind.DELAY, 300))
         gauge.start()
         self.addCleanup(gauge.stop)
         wait_for(lambda: recorder.count("rig_late") > 1, "two late responses")
@@ -248,15 +252,15 @@
             sock.settimeout(10)
             self.addCleanup(sock.close)
         addresses = ["{}:{}".format(*sock.getsockname()) for sock in socks]
-        relay_addresses = self.relays.post(addresses, [FRONT_PARTY, SERVER_PARTY])
+        relay_addresses = self.relays.add_datagram_relays(addresses, [FRONT_PARTY, SERVER_PARTY])
         host, _, port = relay_addresses[0][1].rpartition(":")
         socks[0].sendto(b"beat", (host, int(port)))
         raw, source = socks[1].recvfrom(100)
         assert (raw, "{}:{}".format(*source)) == (b"beat", relay_addresses[1][0])
-        self.relays.set(Fault("front-0", "all", How.DROP))
+        self.relays.set(Fault("front-0", "all", FaultKind.DROP))
         socks[0].sendto(b"lost", (host, int(port)))
         counter = "datagrams fronts boxes"
-        wait_for(lambda: self.relays.told().get(counter) == 2, "the second datagram")
+        wait_for(lambda: self.relays.traffic_counts().get(counter) == 2, "the second datagram")
         self.relays.set()
         socks[0].sendto(b"again", (host, int(port)))
         assert socks[1].recv(100) == b"again"
@@ -267,11 +271,11 @@
         # Guards against servers full of sessions without a client after a partition: requests on two
         # connections arrive in any order, and a release that succeeded is not sent again.
         clock = SystemClock()
-        model = BoxModel(5000, 10, RackModel(5000), 0, 1.0, 2.0, 1_000_000)
-        server = StandInBox("box-0", model, clock, Recorder(clock), 0.05)
+        model = ServerModel(5000, 10, RackModel(5000), 0, 1.0, 2.0, 1_000_000)
+        server = EmulatedServer("box-0", model, clock, Recorder(clock), 0.05)
         server.start()
         self.addCleanup(server.stop)
-        player = Player(server.address, clock)
+        player = HttpClient(server.address, clock)
         self.addCleanup(player.close)
         order = JoinOrder(front="f", title="t", room_type="free", rung=0, rate_kb=100)
         requests = (("DELETE", 0, 204), ("PUT", 0, 410), ("PUT", 1, 201), ("DELETE", 1, 204), ("PUT", 1, 410))
--- a/tests/test_http_sessions.py
+++ b/tests/test_http_sessions.py
@@ -12,8 +12,8 @@
 
 import httpx
 from fennelcove.emulators.clients import Unanswered
-from fennelcove.emulators.endpoint_list_service import Known, State
-from fennelcove.emulators.media_server import StandInBox
+from fennelcove.emulators.endpoint_list_service import ListedServer, ListingState
+from fennelcove.emulators.media_server import EmulatedServer
 from fennelcove.interface import Outcome
 from fennelcove.settings.schema import OverloadSettings
 
@@ -174,7 +174,7 @@
         assert link.full_until_us > self.clock.now_us()
         assert self.front.core.counts["boxes_blamed_by_viewers"] == 1
 
-    def server_of(self, id: str) -> StandInBox:
+    def server_of(self, id: str) -> EmulatedServer:
         address = self.front.core.sessions[id].server
         return next(media_server for media_server in self.boxes if media_server.address == address)
 
@@ -182,7 +182,7 @@
         once_id, free_id = self.ask("once").body["id"], self.ask("free").body["id"]
         crashed = {self.server_of(id) for id in (once_id, free_id)}
         for media_server in crashed:
-            media_server.die()
+            media_server.crash()
         wait_for(lambda: once_id not in self.front.core.sessions, "the session to be lost")
         ended = self.get(f"/v1/subscriptions/{once_id}")
         assert (ended.status, ended.body["type"].rpartition(":")[2]) == (410, "ended")
@@ -192,9 +192,9 @@
         assert migrated.status == 200
         assert migrated.body["box"] not in {media_server.address for media_server in crashed}
 
-    def drain(self, media_server: StandInBox, state: State = "leaving") -> None:
+    def drain(self, media_server: EmulatedServer, state: ListingState = "leaving") -> None:
         number = self.boxes.index(media_server)
-        self.lists.publish(Known(media_server.address, "zone", "k", number, 1.0, state))
+        self.lists.publish(ListedServer(media_server.address, "zone", "k", number, 1.0, state))
 
     def test_drain_migrates_sessions_before_their_server_releases_them(self) -> None:
         id = self.ask().body["id"]
@@ -382,7 +382,7 @@
         attempts = self.seen("set_up", subscription=id)
         assert [attempt["join"] for attempt in attempts] == [0, 1, 2, 3, 4]
         assert len({attempt["box"] for attempt in attempts}) == 5
-        assert not player.stray()
+        assert not player.has_unread_data()
         wait_for(lambda: not self.front.core.policy.sessions, "the sessions to be released")
 
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -16,7 +16,7 @@
 from fennelcove.daemon import certificates, key_file
 from fennelcove.decisions.clients import access_tokens
 from fennelcove.decisions.clients.access_tokens import AccessToken, Permission, PresentedToken, TokenStatus
-from fennelcove.emulators.sockets import SocketPlayer
+from fennelcove.emulators.sockets import WebSocketClient
 from fennelcove.ingress.tls import TlsError, TlsKeys
 from fennelcove.settings.schema import TlsSettings
 
@@ -38,10 +38,12 @@
     def context(self) -> ssl.SSLContext:
         return ssl.create_default_context(cafile=self.tls.certificate)
 
-    def connect(self) -> SocketPlayer:
-        player = SocketPlayer(self.front.door.address, self.clock, random.Random(1), context=self.context())
+    def connect(self) -> WebSocketClient:
+        player = WebSocketClient(
+            self.front.door.address, self.clock, random.Random(1), context=self.context()
+        )
         self.addCleanup(player.close)
-        assert player.news("welcome")["front"] == "front-t"
+        assert player.next_of_type("welcome")["front"] == "front-t"
         return player
 
     def set_up(self, client: httpx.Client) -> int:
--- a/tests/test_lessons.py
+++ b/tests/test_lessons.py
@@ -14,9 +14,9 @@
 from fennelcove.cli.main import main
 from fennelcove.daemon.ledger_file import LedgerFile
 from fennelcove.decisions.playback import resume_tokens
-from fennelcove.emulators.clients import Heard, Unanswered
-from fennelcove.emulators.endpoint_list_service import Known
-from fennelcove.emulators.media_server import StandInBox
+from fennelcove.emulators.clients import Response, Unanswered
+from fennelcove.emulators.endpoint_list_service import ListedServer
+from fennelcove.emulators.media_server import EmulatedServer
 from fennelcove.settings.schema import Author, MediaSettings, StitchSettings, Title
 
 from tests.rig import FrontTestCase, wait_for
@@ -53,11 +53,11 @@
         )
         self.front = self.start_front()
 
-    def call(self, method: str, path: str, key: str | None = "k1", **body: Any) -> Heard:
+    def call(self, method: str, path: str, key: str | None = "k1", **body: Any) -> Response:
         fields = [JSON] if key is None else [JSON, ("Authorization", f"Bearer {key}")]
         return self.player().ask(method, path, fields, json.dumps(body).encode() if body else b"", 5.0)
 
-    def insert(self, id: str = "c1", at: str = "0.8", **more: Any) -> Heard:
+    def insert(self, id: str = "c1", at: str = "0.8", **more: Any) -> Response:
         return self.call("POST", "/v1/changes", id=id, kind="insert", title="t1", clip="rest", at=at, **more)
 
     def manifest(self, id: str) -> Any:
@@ -71,7 +71,7 @@
         assert heard.status == 307, heard.text
         return (heard.head.get(b"location") or b"").decode().removeprefix("http://")
 
-    def box(self, address: str) -> StandInBox:
+    def box(self, address: str) -> EmulatedServer:
         return next(box for box in self.boxes if address.startswith(box.address))
 
     def test_a_wrong_or_missing_key_changes_nothing(self) -> None:
@@ -110,7 +110,7 @@
         home = self.front.core.sessions[id].server
         for box in holders:
             number = self.boxes.index(box)
-            self.lists.publish(Known(box.address, "zone", "k", number, 1.0, "leaving"))
+            self.lists.publish(ListedServer(box.address, "zone", "k", number, 1.0, "leaving"))
         version = self.lists.version
         wait_for(lambda: self.front.core.endpoint_tracker.version == version, "the drains")
         self.get(f"/v1/subscriptions/{id}/media.m3u8")
@@ -137,10 +137,10 @@
                 assert not where.startswith(old.address), "a box that was drained"
                 seen.append(where.split("/")[2])
             assert seen.count("rest") == 3 * (number + 1)
-            self.lists.publish(Known(old.address, "zone", "k", self.boxes.index(old), 1.0))
+            self.lists.publish(ListedServer(old.address, "zone", "k", self.boxes.index(old), 1.0))
 
-    def only_without(self, box: StandInBox) -> None:
-        self.lists.publish(Known(box.address, "zone", "k", self.boxes.index(box), 1.0, "leaving"))
+    def only_without(self, box: EmulatedServer) -> None:
+        self.lists.publish(ListedServer(box.address, "zone", "k", self.boxes.index(box), 1.0, "leaving"))
 
     def test_a_front_that_restarts_in_mid_seam_goes_on_where_it_was(self) -> None:
         self.insert(at="0.8")
@@ -204,7 +204,7 @@
     def rung_of(self, id: str) -> int:
         return self.front.core.content.players[id].track.interstitial_rungs["c1"]
 
-    def mark_of(self, box: StandInBox, id: str) -> bool:
+    def mark_of(self, box: EmulatedServer, id: str) -> bool:
         track = resume_tokens.decode(box.marks.get((id, 0), ""))
         return (
             track is not None
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -18,7 +18,7 @@
     KeyState,
 )
 from fennelcove.emulators.clients import Unanswered
-from fennelcove.emulators.sockets import SocketPlayer
+from fennelcove.emulators.sockets import WebSocketClient
 from fennelcove.settings.schema import StoreSettings
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -136,9 +136,9 @@
     def test_session_whose_websocket_response_was_lost_is_found_over_http(self) -> None:
         for server in self.boxes:
             server.faults.slow_ms = 150.0
-        first = SocketPlayer(self.front.door.address, self.clock, random.Random(1))
+        first = WebSocketClient(self.front.door.address, self.clock, random.Random(1))
         request = {"room_type": "free", "title": "t1", "key": "k9", "cmcd": {"sid": "v"}}
-        first.tell("set-up", ask=request)
+        first.send_message("set-up", ask=request)
         self.wait_for_records("set_up_over")
         wait_for(lambda: self.front.core.notifier.ownerships.by_session, "the session to start")
         first.hang_up()
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -23,7 +23,7 @@
     SeatTransition,
     replay_counts,
 )
-from fennelcove.emulators.sockets import SocketPlayer
+from fennelcove.emulators.sockets import WebSocketClient
 from fennelcove.settings.schema import StoreSettings
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -167,7 +167,7 @@
     def test_seat_that_is_not_renewed_expires_and_is_available_again(self) -> None:
         ids = [self.ask("few").body["id"] for _ in range(2)]
         assert self.ask("few").status == 503
-        socket = SocketPlayer(self.front.door.address, self.clock, random.Random(1))
+        socket = WebSocketClient(self.front.door.address, self.clock, random.Random(1))
         self.addCleanup(socket.close)
         socket.ask("resume", subscription=ids[0])
 
--- a/tests/test_slots_front.py
+++ b/tests/test_slots_front.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from fennelcove.concurrency_limits import persisted
-from fennelcove.emulators.media_server import Pace
+from fennelcove.emulators.media_server import SetUpTimes
 from fennelcove.settings.checks import amiss
 from fennelcove.settings.schema import FairSettings, SlotSettings, StoreSettings
 
@@ -23,7 +23,7 @@
 
     def test_the_limit_is_not_exceeded_and_the_rest_is_rejected_at_once(self) -> None:
         self.start_system(slots=SlotSettings(start=2, most=2))
-        self.boxes[0].pace = Pace(200)
+        self.boxes[0].set_up_times = SetUpTimes(200)
         # A front that just started has no share of a server until its first window closes; without this wait
         # all eight requests were rejected.
         address = self.boxes[0].address
@@ -43,7 +43,7 @@
     def test_with_a_wait_queue_all_are_served_and_the_limit_is_not_exceeded(self) -> None:
         self.start_system(slots=SlotSettings(start=2, most=2), fair=FairSettings(slots=2, wait_ms=10_000.0))
         # Set before any request: compared with an immediate set-up, all others would count as long.
-        self.boxes[0].pace = Pace(50)
+        self.boxes[0].set_up_times = SetUpTimes(50)
         address = self.boxes[0].address
         # A front that just started has no share of a server until its first window closes; earlier requests
         # are rejected.
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -23,7 +23,7 @@
     WriterEvent,
     WriterState,
 )
-from fennelcove.emulators.disk import PowerCut, StandInDisk
+from fennelcove.emulators.disk import EmulatedDisk, PowerCut
 from fennelcove.interface import BudgetSnapshot, Outcome, ServerSnapshot
 from fennelcove.placement.attempts import within_retry_budget
 from fennelcove.placement.health import record_outcome
@@ -44,7 +44,7 @@
 class Life:
     """One life of a writer on a disk that forgets: commits batches, folds at stated ones."""
 
-    def __init__(self, disk: StandInDisk, base: list[int]) -> None:
+    def __init__(self, disk: EmulatedDisk, base: list[int]) -> None:
         self.disk, self.base = disk, base
         self.acknowledged = base[0]
         self.history: list[Batch] = []
@@ -76,10 +76,10 @@
         self, steps: str, files: dict[str, bytes], base: int
     ) -> Iterator[tuple[int, dict[str, bytes], int]]:
         """Each power cut in a life: what was acknowledged, and each thing that the next one may find."""
-        total = StandInDisk(files)
+        total = EmulatedDisk(files)
         Life(total, [base]).run(steps)
         for cut_at in range(total.calls + 1):
-            disk, number = StandInDisk(files, cut_at), [base]
+            disk, number = EmulatedDisk(files, cut_at), [base]
             life = Life(disk, number)
             with suppress(PowerCut):
                 life.run(steps)
@@ -104,7 +104,7 @@
         assert states > 400
 
     def sound(self, acknowledged: int, left: dict[str, bytes], base: int) -> None:
-        found = journal.recover(StandInDisk(left), base)
+        found = journal.recover(EmulatedDisk(left), base)
         numbers = [batch.number for batch in found.batches]
         assert numbers == list(range(base + 1, base + 1 + len(numbers)))
         for batch in found.batches:
@@ -113,7 +113,7 @@
         assert reached >= acknowledged, (sorted(left), found.damages)
 
     def test_a_disk_that_runs_full_keeps_what_it_took_and_goes_on_later(self) -> None:
-        disk = StandInDisk(most=400)
+        disk = EmulatedDisk(capacity_bytes=400)
         log = Journal(disk, 0)
         log.create()
         made = 0
@@ -121,7 +121,7 @@
             for _ in range(100):
                 made = log.commit([(b"k", b"v" * 30)])
         assert caught.exception.errno == errno.ENOSPC
-        disk.most = 10_000
+        disk.capacity_bytes = 10_000
         assert log.commit([(b"k", b"later")]) == made + 1
         found = journal.recover(disk, 0)
         assert (len(found.batches), found.damages) == (made + 1, [])
--- a/tests/test_websocket_sessions.py
+++ b/tests/test_websocket_sessions.py
@@ -16,8 +16,8 @@
 from fennelcove.decisions.clients import access_tokens
 from fennelcove.decisions.clients.access_tokens import AccessToken
 from fennelcove.emulators.clients import Unanswered
-from fennelcove.emulators.endpoint_list_service import Known
-from fennelcove.emulators.sockets import SocketPlayer
+from fennelcove.emulators.endpoint_list_service import ListedServer
+from fennelcove.emulators.sockets import WebSocketClient
 from fennelcove.ingress.websocket_session import QueuedMessage
 from fennelcove.settings.schema import (
     Author,
@@ -38,14 +38,14 @@
 
 
 class WebSocketTestCase(FrontTestCase):
-    def connect(self, **options: Any) -> SocketPlayer:
+    def connect(self, **options: Any) -> WebSocketClient:
         rng = random.Random(1)
-        player = SocketPlayer(self.front.door.address, self.clock, rng, **options)
+        player = WebSocketClient(self.front.door.address, self.clock, rng, **options)
         self.addCleanup(player.close)
-        assert player.news("welcome")["front"] == "front-t"
+        assert player.next_of_type("welcome")["front"] == "front-t"
         return player
 
-    def set_up(self, player: SocketPlayer, room: str = "free", **options: Any) -> dict[str, Any]:
+    def set_up(self, player: WebSocketClient, room: str = "free", **options: Any) -> dict[str, Any]:
         answer = player.ask("set-up", ask={"room_type": room, "title": "t1", **options})
         assert answer["type"] == "playing", answer
         return answer
@@ -69,7 +69,7 @@
         assert player.ask("release", subscription=id)["type"] == "released"
         self.wait_for_records("released", subscription=id)
         assert player.ask("release", subscription=id)["kind"] == "ended"
-        assert [item for item in player.heard if item["type"] == "ended"] == []
+        assert [item for item in player.inbox if item["type"] == "ended"] == []
 
     def test_rejections_and_invalid_requests(self) -> None:
         player = self.connect()
@@ -82,11 +82,13 @@
             assert (answer["type"], answer["kind"]) == ("fault", kind)
         assert player.ask("nonsense")["kind"] == "malformed"
         player.conversation.send("{")
-        player._send()
-        assert player.news("fault").get("ref") is None
+        player.flush()
+        assert player.next_of_type("fault").get("ref") is None
         for media_server in self.known:
             self.lists.publish(
-                Known(media_server.address, "zone", "k", self.known.index(media_server), 1.0, "leaving")
+                ListedServer(
+                    media_server.address, "zone", "k", self.known.index(media_server), 1.0, "leaving"
+                )
             )
         wait_for(lambda: self.front.core.endpoint_tracker.version == self.lists.version, "the list")
         answer = player.ask("set-up", ask={"room_type": "free", "title": "t1"})
@@ -99,17 +101,19 @@
         session = self.front.core.sessions[id]
         with self.front.core.lock:
             self.front.core.effects.set_rung(id, 1 if session.rung != 1 else 0)
-        first = player.news("rung")
+        first = player.next_of_type("rung")
         assert (first["subscription"], first["number"]) == (id, 1)
         source = session.server
         self.lists.publish(
-            Known(source, "zone", "k", [known.address for known in self.known].index(source), 1.0, "leaving")
+            ListedServer(
+                source, "zone", "k", [known.address for known in self.known].index(source), 1.0, "leaving"
+            )
         )
-        moved = player.news("moved")
+        moved = player.next_of_type("moved")
         assert moved["number"] == 2
         assert moved["box"] != source
         self.front.core.release(id, "released by the test")
-        ended = player.news("ended")
+        ended = player.next_of_type("ended")
         assert (ended["number"], ended["detail"]) == (3, "released by the test")
 
     def test_resuming_client_learns_how_much_it_missed_and_is_not_set_up_twice(self) -> None:
@@ -131,7 +135,7 @@
         first, second = self.connect(), self.connect()
         id = self.set_up(first)["state"]["id"]
         assert second.ask("resume", subscription=id)["type"] == "resumed"
-        assert first.news("taken")["subscription"] == id
+        assert first.next_of_type("taken")["subscription"] == id
         assert first.ask("release", subscription=id)["kind"] == "unknown-subscription"
         assert second.ask("release", subscription=id)["type"] == "released"
 
@@ -140,13 +144,13 @@
         player = self.connect()
         assert player.ask("resume", subscription=id)["type"] == "resumed"
         self.get(f"/v1/subscriptions/{id}", method="DELETE")
-        assert player.news("ended")["subscription"] == id
+        assert player.next_of_type("ended")["subscription"] == id
 
     def test_session_is_released_if_its_client_disconnects_during_the_attempt(self) -> None:
         self.leave_one_active(0)
         self.boxes[0].faults.slow_ms = 300.0
         player = self.connect()
-        player.tell("set-up", ask={"room_type": "free", "title": "t1"})
+        player.send_message("set-up", ask={"room_type": "free", "title": "t1"})
         self.wait_for_records("set_up")
         player.hang_up()
         self.wait_for_records("released")
@@ -158,7 +162,7 @@
         id = self.set_up(player)["state"]["id"]
         for media_server in self.boxes:
             media_server.faults.slow_ms = 400.0
-        ref = player.tell("set-up", ask={"room_type": "free", "title": "t1"})
+        ref = player.send_message("set-up", ask={"room_type": "free", "title": "t1"})
         assert player.ask("release", subscription=id)["type"] == "released"
         assert player.answer(ref, 5.0)["type"] == "playing"
 
@@ -177,7 +181,7 @@
         ids = [self.set_up(player)["state"]["id"] for player in players]
         self.front.stop()
         for player in players:
-            leaving = player.news("leaving")
+            leaving = player.next_of_type("leaving")
             assert leaving["reconnect_after_ms"] < leaving["reconnect_before_ms"]
             assert player.wait_closed().code == 1012
         self.front = self.start_front()
@@ -191,7 +195,7 @@
         for media_server in self.boxes:
             media_server.faults.slow_ms = 300.0
         player = self.connect()
-        ref = player.tell("set-up", ask={"room_type": "free", "title": "t1"})
+        ref = player.send_message("set-up", ask={"room_type": "free", "title": "t1"})
         self.wait_for_records("set_up")
         self.front.stop()
         assert player.answer(ref, 5.0)["type"] == "playing"
@@ -202,7 +206,7 @@
             player = self.connect()
             if number == 0:
                 player.conversation.send(b"bytes")
-                player._send()
+                player.flush()
             else:
                 with self.assertRaises(Unanswered):
                     for _ in range(400):
@@ -323,12 +327,12 @@
         fields = [("Content-Type", "application/json"), ("Authorization", "Bearer k1")]
         order = {"id": "c", "kind": "insert", "title": "t1", "clip": "rest", "at": "4", "room_type": "free"}
         self.player().ask("POST", "/v1/changes", fields, json.dumps(order).encode(), 5.0)
-        answer = player.news("stitched")
+        answer = player.next_of_type("stitched")
         assert (answer["subscription"], answer["change"], answer["state"]) == (id, "c", "made")
         self.player().ask("DELETE", "/v1/changes/c", fields, b"", 5.0)
-        assert player.news("stitched")["state"] == "withdrawn"
+        assert player.next_of_type("stitched")["state"] == "withdrawn"
         other.ask("set-top", subscription="x", top_rung=1)
-        assert [item for item in other.heard if item["type"] == "stitched"] == []
+        assert [item for item in other.inbox if item["type"] == "stitched"] == []
 
 
 class AccessTokenTest(WebSocketTestCase):
@@ -367,7 +371,7 @@
     def test_expiring_token_is_announced_and_renewed_while_the_session_plays(self) -> None:
         player = self.connect(fields=self.bearer(self.token(for_s=0.4)))
         id = self.set_up(player)["state"]["id"]
-        assert player.news("pass-ends")["in_ms"] <= 400
+        assert player.next_of_type("pass-ends")["in_ms"] <= 400
         wait_for(lambda: player.ask("resume", subscription=id)["type"] == "fault", "the token to expire")
         answer = player.ask("set-up", ask={"room_type": "free", "title": "t1"})
         assert (answer["type"], answer["kind"]) == ("fault", "no-pass")
@@ -391,7 +395,7 @@
 
     def test_pages_of_other_origins_are_rejected(self) -> None:
         with self.assertRaises(Unanswered) as caught:
-            SocketPlayer(
+            WebSocketClient(
                 self.front.door.address, self.clock, random.Random(1), [("Origin", "https://evil.example")]
             )
         assert caught.exception.how == "refused with 403"
