--- a/tests/clientrig.py
+++ b/tests/client_connection_harness.py
@@ -22,7 +22,7 @@
 from fennelcove.node.client_connection import MESSAGE_TIMEOUT_US, ClientConnection
 from fennelcove.node.server_connection import set_receive_timeout
 
-from tests.noderig import SETTINGS, WAIT_S, Caller, NodeRig, StandInServer, eventually, notice
+from tests.node_harness import SETTINGS, WAIT_S, Caller, NodeRig, StandInServer, eventually, notice
 
 
 class Gate:
--- a/tests/boardrig.py
+++ b/tests/discovery_harness.py
@@ -17,7 +17,7 @@
 from fennelcove.http1.reader import Gatherer
 from fennelcove.http1.reader import Reader as HttpReader
 
-from tests.noderig import WAIT_S, NodeRig, StandInServer, notice
+from tests.node_harness import WAIT_S, NodeRig, StandInServer, notice
 
 Row = dict[str, Any]
 
--- a/tests/nodeprocess.py
+++ b/tests/node_process_control.py
@@ -14,7 +14,7 @@
 
 from fennelcove.rtsp import writer
 
-from tests.noderig import SETTINGS, Caller, NodeRig, StandInServer, eventually
+from tests.node_harness import SETTINGS, Caller, NodeRig, StandInServer, eventually
 
 # The longest client timeout sets how long a node stays after SIGTERM: a short one, for a short test.
 BRIEF: dict[str, Any] = {**SETTINGS, "Lanes": [{**SETTINGS["Lanes"][0], "HardLimitMs": 500}]}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,7 +16,7 @@
 from fennelcove.isup import writer as isup
 from fennelcove.isup.messages import Cause, MessageKind, Parameter
 
-from tests.noderig import NodeRig, StandInBoard, StandInServer, answered, eventually, notice, released
+from tests.node_harness import NodeRig, StandInBoard, StandInServer, answered, eventually, notice, released
 
 ID, OTHER = "9b1f03aa5c7e2d41", "00000000000000a1"
 
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -18,10 +18,20 @@
 from fennelcove.rtsp import messages as rtsp
 from fennelcove.rtsp import writer
 
-from tests import noderig
-from tests.clientrig import Inside, Stopped, arrived, ended, holds, reset, rest, sockets, taken
-from tests.nodeprocess import Rig
-from tests.noderig import SETTINGS, Caller, NodeRig, StandInServer, answered, eventually, released
+from tests import node_harness
+from tests.client_connection_harness import (
+    Inside,
+    Stopped,
+    arrived,
+    ended,
+    holds,
+    reset,
+    rest,
+    sockets,
+    taken,
+)
+from tests.node_harness import SETTINGS, Caller, NodeRig, StandInServer, answered, eventually, released
+from tests.node_process_control import Rig
 
 ID, OTHER = "9b1f03aa5c7e2d41", "00000000000000a1"
 
@@ -116,7 +126,7 @@
         script.flush()
         viewer.sock.shutdown(socket.SHUT_WR)
         arrived(viewer.sock)
-        inside.read(far).join(noderig.WAIT_S)
+        inside.read(far).join(node_harness.WAIT_S)
         assert not (inside.desk.servers["s0"].links or inside.desk.sessions)
 
     def test_what_is_only_named_or_ended_counts_though_its_viewer_has_left(self) -> None:
@@ -147,7 +157,7 @@
         caller.sock.close()
         eventually(lambda: ended(far.sock), "the end at the node's kernel")
         inside.gate.free("viewer")
-        thread.join(noderig.WAIT_S)
+        thread.join(node_harness.WAIT_S)
         assert not (inside.desk.servers["s0"].links or inside.desk.sessions)
 
     def test_a_set_up_whose_viewer_left_while_it_waited_for_a_dial(self) -> None:
@@ -188,11 +198,11 @@
                 assert [m.session.hex() for m in slow.heard] == [OTHER]
 
     def test_a_set_up_whose_viewer_left_while_the_module_held_it(self) -> None:
-        settings = copy.deepcopy(noderig.SETTINGS)
+        settings = copy.deepcopy(node_harness.SETTINGS)
         settings["LoadReport"]["Source"] = "probes"
         settings["Allowed"]["MayProbe"] = True
         server = StandInServer("s0", 0, mute)
-        with mock.patch.object(noderig, "SETTINGS", settings):
+        with mock.patch.object(node_harness, "SETTINGS", settings):
             rig = self.rig(server)
         viewer = rig.caller()
         viewer.set_up(ID)
@@ -221,7 +231,7 @@
         with inside.gate:
             assert not (inside.desk.servers[other.name].links or inside.desk.sessions)
         inside.gate.free("viewer")
-        thread.join(noderig.WAIT_S)
+        thread.join(node_harness.WAIT_S)
         assert not inside.desk.policy.sessions
 
     def test_a_dial_that_is_made_as_its_viewer_leaves_carries_no_set_up(self) -> None:
@@ -242,7 +252,7 @@
             assert not (inside.desk.sessions or link.dispatched_session)
             assert not inside.desk.policy.sessions
         inside.gate.free("viewer")
-        thread.join(noderig.WAIT_S)
+        thread.join(node_harness.WAIT_S)
         server.say(isup.message(MessageKind.KEEPALIVE, bytes(8), (Parameter.CAUSE, b"\0")))
         eventually(lambda: server.of(MessageKind.KEEPALIVE_ANSWER), "an answer behind whatever else was sent")
         assert [message.kind for message in server.heard] == [MessageKind.KEEPALIVE_ANSWER]
@@ -261,7 +271,7 @@
         server.say(answered(sent))
         eventually(lambda: sub.state in (SessionState.ESTABLISHED, SessionState.CLOSED), "the answer heard")
         inside.gate.free("viewer")
-        thread.join(noderig.WAIT_S)
+        thread.join(node_harness.WAIT_S)
         [release] = eventually(lambda: server.of(MessageKind.RELEASE), "its end at the server")
         assert release.session.hex() == ID
         assert not inside.desk.sessions
@@ -351,7 +361,7 @@
         inside.gate.free("viewer")
         assert caller.next() is None
         caller.sock.close()
-        thread.join(noderig.WAIT_S)
+        thread.join(node_harness.WAIT_S)
         again = inside.connect()
         again.set_up(ID)
         assert again.answer().status == 200
@@ -476,10 +486,10 @@
         assert viewer.answer().status == 454  # nothing of it is left, nor a second answer
 
     def test_a_fault_as_a_timer_falls_due(self) -> None:
-        settings = copy.deepcopy(noderig.SETTINGS)
+        settings = copy.deepcopy(node_harness.SETTINGS)
         settings["LoadReport"]["Source"] = "probes"
         settings["Allowed"]["MayProbe"] = True
-        with mock.patch.object(noderig, "SETTINGS", settings):
+        with mock.patch.object(node_harness, "SETTINGS", settings):
             rig = self.faulty(StandInServer("s0", 0), "TimerFired")
         viewer = rig.caller()
         viewer.set_up(ID, **{"Answer-Within": "700"})
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -25,7 +25,7 @@
 from fennelcove.rtsp import messages as rtsp
 from fennelcove.rtsp import writer as rtsp_writer
 
-from tests.noderig import (
+from tests.node_harness import (
     SETTINGS,
     WAIT_S,
     Caller,
@@ -36,7 +36,7 @@
     notice,
     released,
 )
-from tests.test_node_desk import TREE
+from tests.test_node_session_manager import TREE
 
 ID, OTHER, THIRD = "9b1f03aa5c7e2d41", "00000000000000a1", "00000000000000b2"
 SINGLE_SHOT: dict[str, Any] = {**SETTINGS, "Lanes": [{**SETTINGS["Lanes"][0], "Effect": "single_shot"}]}
--- a/tests/test_node_descriptors.py
+++ b/tests/test_node_descriptors.py
@@ -34,7 +34,7 @@
 from fennelcove.node.session_manager import SessionManager
 from fennelcove.rtsp import writer as rtsp_writer
 
-from tests.noderig import (
+from tests.node_harness import (
     WAIT_S,
     Caller,
     NodeRig,
@@ -45,7 +45,7 @@
     notice,
     released,
 )
-from tests.test_node_desk import TREE
+from tests.test_node_session_manager import TREE
 
 LEAST = 32  # the smallest limit that a configuration may name
 HELD_S = 0.5  # for how long what must not happen is watched for
--- a/tests/test_node_dials.py
+++ b/tests/test_node_dialling.py
@@ -17,7 +17,7 @@
 from fennelcove.node.descriptor_budget import DescriptorUse
 from fennelcove.node.discovery_events import DiscoveryBatch
 
-from tests.noderig import SETTINGS, NodeRig, StandInServer, answered, eventually, notice, released
+from tests.node_harness import SETTINGS, NodeRig, StandInServer, answered, eventually, notice, released
 from tests.test_node_connections import (
     ID,
     OTHER,
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -18,8 +18,8 @@
 from fennelcove.http1 import writer as http
 from fennelcove.isup.messages import Cause, MessageKind
 
-from tests.boardrig import BoardRig, HeldBoard, Poll, dialled, hung
-from tests.noderig import Caller, NodeRig, StandInServer, eventually, notice, released
+from tests.discovery_harness import BoardRig, HeldBoard, Poll, dialled, hung
+from tests.node_harness import Caller, NodeRig, StandInServer, eventually, notice, released
 
 
 def off(server: StandInServer) -> dict[str, Any]:
--- a/tests/test_node_discovery_thread.py
+++ b/tests/test_node_discovery_thread.py
@@ -20,9 +20,9 @@
 from fennelcove.node.address import parse_address
 from fennelcove.node.discovery_client import DiscoveryClient
 
-from tests.boardrig import HeldBoard, dialled, hung
-from tests.noderig import eventually, notice
-from tests.test_node_desk import HOST, TREE
+from tests.discovery_harness import HeldBoard, dialled, hung
+from tests.node_harness import eventually, notice
+from tests.test_node_session_manager import HOST, TREE
 
 DRAINING = {**HOST, "health": "draining"}
 
--- a/tests/test_node_owed.py
+++ b/tests/test_node_pending_notifications.py
@@ -13,9 +13,9 @@
 from fennelcove.node import client_requests
 from fennelcove.node.model import SessionState
 
-from tests import noderig
-from tests.clientrig import Inside, Stopped, arrived, holds, taken
-from tests.noderig import StandInServer, eventually, notice, released
+from tests import node_harness
+from tests.client_connection_harness import Inside, Stopped, arrived, holds, taken
+from tests.node_harness import StandInServer, eventually, notice, released
 from tests.test_node_clients import ID, OTHER, RigTest, many
 
 
@@ -43,7 +43,7 @@
         server.say(released(server.of(MessageKind.SET_UP)[0], Cause.OK))
         eventually(lambda: sub.state is SessionState.CLOSED, "the end at the server heard")
         inside.gate.free("viewer")
-        thread.join(noderig.WAIT_S)
+        thread.join(node_harness.WAIT_S)
         following = inside.connect()
         following.tear_down(OTHER)
         assert following.request().fields["session"] == ID
@@ -121,7 +121,7 @@
         # It told the end on the connection that had been closed unanswered; the one made while it hung stayed
         # open, none followed, and its client waited for good.
         listener = socket.create_server(("127.0.0.1", 0))
-        listener.settimeout(noderig.WAIT_S)
+        listener.settimeout(node_harness.WAIT_S)
         self.addCleanup(listener.close)
         server = StandInServer("s0", 0)
         row = {**server.row, "dial": f"127.0.0.1:{listener.getsockname()[1]}"}
--- a/tests/test_node_standing.py
+++ b/tests/test_node_platform_requirements.py
@@ -39,8 +39,8 @@
 from fennelcove.rtsp import messages as rtsp
 
 from tests.helpers import SECOND, Recorder
-from tests.noderig import SETTINGS, eventually, notice
-from tests.test_node_desk import HOST, ID, TREE, Said
+from tests.node_harness import SETTINGS, eventually, notice
+from tests.test_node_session_manager import HOST, ID, TREE, Said
 
 
 class StopTest(unittest.TestCase):
--- a/tests/test_node_reload.py
+++ b/tests/test_node_reload.py
@@ -12,8 +12,8 @@
 
 from fennelcove.node.config_reloader import MAX_ATTEMPTS
 
-from tests.nodeprocess import BRIEF, Gate, Rig, run
-from tests.noderig import StandInBoard, StandInServer, eventually
+from tests.node_harness import StandInBoard, StandInServer, eventually
+from tests.node_process_control import BRIEF, Gate, Rig, run
 
 
 class ReloadTest(unittest.TestCase):
--- a/tests/test_node_desk.py
+++ b/tests/test_node_session_manager.py
@@ -36,7 +36,7 @@
 from fennelcove.node.server_connection import ServerConnection
 from fennelcove.rtsp import messages as rtsp
 
-from tests.noderig import SETTINGS, notice
+from tests.node_harness import SETTINGS, notice
 
 ID = bytes.fromhex("9b1f03aa5c7e2d41")
 HOST = {
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -24,7 +24,7 @@
 from fennelcove.placement import PlacementPolicy
 
 from tests.helpers import SECOND, Recorder
-from tests.noderig import SETTINGS, NodeRig, StandInServer, eventually
+from tests.node_harness import SETTINGS, NodeRig, StandInServer, eventually
 
 NORTH: dict[str, Any] = {
     **SETTINGS,
--- a/tests/test_node_shutdown.py
+++ b/tests/test_node_shutdown.py
@@ -26,8 +26,7 @@
 from fennelcove.node.client_connection import ClientConnection
 from fennelcove.node.model import Session
 
-from tests.nodeprocess import BRIEF_STAY_S, Gate, Rig, blocked, options, over, run
-from tests.noderig import (
+from tests.node_harness import (
     SETTINGS,
     Caller,
     NodeRig,
@@ -41,6 +40,7 @@
     rtsp,
     rtsp_writer,
 )
+from tests.node_process_control import BRIEF_STAY_S, Gate, Rig, blocked, options, over, run
 
 # Stands in for a module of the standard library that the node imports and the interpreter's own start does
 # not: held at the gate, the process is in the middle of its imports.
--- a/tests/test_node_cold.py
+++ b/tests/test_node_warm_up.py
@@ -18,9 +18,9 @@
 from fennelcove.isup.messages import MessageKind
 from fennelcove.isup.reader import Reader as ServerReader
 
-from tests.coldfleet import Case, Fleet, Terms
 from tests.helpers import SECOND
-from tests.noderig import NodeRig, StandInServer, answered, eventually, notice
+from tests.node_harness import NodeRig, StandInServer, answered, eventually, notice
+from tests.warm_up_simulation import Case, Fleet, Terms
 
 EIGHT_S = Terms()
 SHORT_WINDOW = Terms(5000, 0.6, 2.0, 1000, 60)
--- a/tests/test_session_guard.py
+++ b/tests/test_session_guard.py
@@ -13,8 +13,8 @@
 from fennelcove.node.session_states import SessionEvent
 from fennelcove.rtsp import writer
 
-from tests.nodeprocess import Rig
-from tests.noderig import SETTINGS, StandInServer, eventually
+from tests.node_harness import SETTINGS, StandInServer, eventually
+from tests.node_process_control import Rig
 from tests.test_node_clients import mute
 from tests.test_node_connections import FrontHere
 
--- a/tests/test_work_per_event.py
+++ b/tests/test_work_per_event.py
@@ -22,7 +22,7 @@
 from fennelcove.placement.state import MAX_SAMPLED_LINKS
 
 from tests.helpers import SECOND, complete_attempt, entry, establish_session, front, report_measurement
-from tests.noderig import SETTINGS, notice
+from tests.node_harness import SETTINGS, notice
 
 USUAL, MANY = 200, 3_200
 GROWTH = (
--- a/tests/coldfleet.py
+++ b/tests/warm_up_simulation.py
@@ -23,7 +23,7 @@
 from fennelcove.placement import PlacementPolicy
 
 from tests.helpers import SECOND, Recorder
-from tests.noderig import SETTINGS
+from tests.node_harness import SETTINGS
 
 BORN_US = 1_000 * SECOND
 ANSWER_US = SECOND // 20
