--- a/tests/discovery_harness.py
+++ b/tests/discovery_harness.py
@@ -1,4 +1,4 @@
-"""A notice board that answers by hand, and a front node that asks it: each step is held until told."""
+"""A discovery service whose every response is sent by the test, and a front node that polls it."""
 
 from __future__ import annotations
 
@@ -17,55 +17,56 @@
 from fennelcove.http1.reader import Gatherer
 from fennelcove.http1.reader import Reader as HttpReader
 
-from tests.node_harness import WAIT_S, NodeRig, StandInServer, notice
+from tests.node_harness import WAIT_TIMEOUT_S, FakeServer, NodeProcess, notice
 
-Row = dict[str, Any]
+HostEntry = dict[str, Any]
 
 
 class Poll:
-    """One request of the node, open until it is answered or broken off."""
+    """One request of the node, open until it is answered or its connection ends."""
 
     def __init__(self, sock: socket.socket, ended: threading.Event, target: str) -> None:
         self.sock, self.ended = sock, ended
         self.watch = int(target.partition("watch=")[2].partition("&")[0])
 
     def send(self, data: bytes) -> None:
-        """Any bytes at all."""
-        with suppress(OSError):  # the node may have gone on without this one
+        """Send bytes as they are."""
+        with suppress(OSError):  # the node may have closed this connection
             self.sock.sendall(data)
 
-    def body(self, body: bytes, status: int = 200) -> None:
+    def send_response(self, body: bytes, status: int = 200) -> None:
+        """Send a response with this body."""
         self.send(http.response(status, [], body))
 
-    def tell(self, rev: int, *notices: dict[str, Any]) -> None:
-        """A good answer."""
-        self.body(json.dumps({"rev": rev, "notices": list(notices)}).encode())
+    def send_notices(self, rev: int, *notices: dict[str, Any]) -> None:
+        """Send a valid response with these notices."""
+        self.send_response(json.dumps({"rev": rev, "notices": list(notices)}).encode())
 
     def close(self) -> None:
-        """End the connection; a reader of ours may be in it."""
+        """Shut the connection down, which also wakes the thread that reads from it."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
 
-class HeldBoard:
-    """Takes polls in and holds each until the test answers it; ends when its listener is closed."""
+class ManualDiscovery:
+    """Accepts polls and leaves each open until the test responds; ends when its listener is closed."""
 
     def __init__(self, port: int = 0) -> None:
         self.listener = socket.create_server(("127.0.0.1", port))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         self.polls: queue.Queue[Poll] = queue.Queue()
-        self.accepted = 0
+        self.accepted_count = 0
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def next(self) -> Poll:
-        """The node's next request."""
+    def next_poll(self) -> Poll:
+        """Wait for the node's next request."""
         try:
-            return self.polls.get(timeout=WAIT_S)
+            return self.polls.get(timeout=WAIT_TIMEOUT_S)
         except queue.Empty:
-            raise AssertionError("never came: the next poll") from None
+            raise AssertionError("timed out waiting for the next poll") from None
 
     def close(self) -> None:
-        """Refuse whatever comes from now on; what is open stays open."""
+        """Refuse further connections; open ones stay open."""
         with suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
@@ -76,47 +77,49 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            self.accepted += 1
+            self.accepted_count += 1
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
         requests, ended = Gatherer(HttpReader(True, CodecLimits())), threading.Event()
-        with suppress(OSError), sock:  # closed, by the node or by the test
+        with suppress(OSError), sock:  # closed by the node or by the test
             while data := sock.recv(4096):
                 requests.reader.feed(data)
-                while (whole := requests.next()) is not None:
-                    assert isinstance(whole.head, RequestHead)
-                    self.polls.put(Poll(sock, ended, whole.head.target))
+                while (request := requests.next()) is not None:
+                    assert isinstance(request.head, RequestHead)
+                    self.polls.put(Poll(sock, ended, request.head.target))
         ended.set()
 
 
-class BoardRig(NodeRig):
-    """A front node that was told of some servers at its start and asks a board of ours from then on."""
+class DiscoveryNodeProcess(NodeProcess):
+    """A front node whose configuration lists some servers, and that polls a `ManualDiscovery`."""
 
-    LOG = "${EDGE_CONFIG%.json}.log"  # as the shell names it
+    LOG_PATH = "${EDGE_CONFIG%.json}.log"  # expanded by the shell
 
-    def __init__(self, board: HeldBoard, *servers: StandInServer, rev: int = 1, **changes: Any) -> None:
-        self.asked = board
-        self.changes = changes
+    def __init__(
+        self, discovery: ManualDiscovery, *servers: FakeServer, rev: int = 1, **config_changes: Any
+    ) -> None:
+        self.polled_discovery = discovery
+        self.config_changes = config_changes
         self.rev = rev
-        self.rows = [server.row for server in servers]
-        command = f'exec {sys.executable} -m fennelcove.node > "{self.LOG}"'
+        self.host_entries = [server.host_entry for server in servers]
+        command = f'exec {sys.executable} -m fennelcove.node > "{self.LOG_PATH}"'
         super().__init__(*servers, command=["/bin/sh", "-c", command])
 
-    def log(self, event: str) -> list[dict[str, Any]]:
-        """What the node has logged of one kind."""
-        lines = self.path.with_suffix(".log").read_text().splitlines()
-        return [told for told in map(json.loads, lines) if told["event"] == event]
+    def log_events(self, event: str) -> list[dict[str, Any]]:
+        """The log lines of one event."""
+        lines = self.config_path.with_suffix(".log").read_text().splitlines()
+        return [line for line in map(json.loads, lines) if line["event"] == event]
 
-    def write(self) -> None:
-        self.config["board"] = self.asked.address
-        self.config["known"] = {"rev": self.rev, "notices": [notice(1, self.rows, whole=True)]}
-        self.config.update(self.changes)
-        super().write()
+    def write_config(self) -> None:
+        self.config["board"] = self.polled_discovery.address
+        self.config["known"] = {"rev": self.rev, "notices": [notice(1, self.host_entries, complete=True)]}
+        self.config.update(self.config_changes)
+        super().write_config()
 
 
-def hung(test: unittest.TestCase) -> tuple[socket.socket, list[socket.socket]]:
-    """A listener that answers no further connection until its backlog is taken in."""
+def unresponsive_listener(test: unittest.TestCase) -> tuple[socket.socket, list[socket.socket]]:
+    """A listener that ignores further dials until it accepts, and the sockets that fill its backlog."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
@@ -129,16 +132,16 @@
     return listener, fillers
 
 
-def dialled(listener: socket.socket, but: list[socket.socket]) -> bool:
-    """Whether a connection to it is under way that is none of these."""
+def is_being_dialled(listener: socket.socket, except_from: list[socket.socket]) -> bool:
+    """Whether a dial to the listener is in progress, other than from the given sockets."""
     port = listener.getsockname()[1]
-    own = set()
-    for sock in but:
+    excluded_ports = set()
+    for sock in except_from:
         with suppress(OSError):
-            own.add(sock.getsockname()[1])
+            excluded_ports.add(sock.getsockname()[1])
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         row = line.split()
         local, remote = (int(row[column].rpartition(":")[2], 16) for column in (1, 2))
-        if remote == port and row[3] == "02" and local not in own:
+        if remote == port and row[3] == "02" and local not in excluded_ports:
             return True
     return False
--- a/tests/test_node_codecs.py
+++ b/tests/test_node_codecs.py
@@ -1,4 +1,4 @@
-"""The two codecs of the platform's protocol, against bytes cut anywhere and bytes that are no message."""
+"""The codecs of the platform's two protocols, with data split at any point and with invalid data."""
 
 from __future__ import annotations
 
@@ -21,36 +21,37 @@
 )
 
 
-def rtsp_all(data: bytes, cut: int) -> list[rtsp.Message]:
-    reader, found = rtsp_reader.Reader(), list[rtsp.Message]()
+def read_rtsp_messages(data: bytes, cut: int) -> list[rtsp.Message]:
+    """Read all messages from data that arrives in two parts."""
+    reader, messages = rtsp_reader.Reader(), list[rtsp.Message]()
     for part in (data[:cut], data[cut:]):
         reader.feed(part)
         while (message := reader.next()) is not None:
-            found.append(message)
-    return found
+            messages.append(message)
+    return messages
 
 
 class RtspTest(unittest.TestCase):
     @given(st.integers(0, 2 * len(EXAMPLE)))
-    def test_cut_anywhere_it_reads_the_same(self, cut: int) -> None:
-        first, second = rtsp_all(EXAMPLE * 2, cut)
+    def test_data_split_at_any_point_is_read_alike(self, cut: int) -> None:
+        first, second = read_rtsp_messages(EXAMPLE * 2, cut)
         assert isinstance(first, rtsp.Request) and isinstance(second, rtsp.Request)
         assert (first.method, first.uri) == ("SETUP", "rtsp://media/7f3a9c21e0b4d655")
         assert first.fields["answer-within"] == "1500"
         assert (first.body, second.body) == (BODY, BODY)
 
-    def test_what_is_written_is_read(self) -> None:
+    def test_a_written_message_is_read_back(self) -> None:
         written = rtsp_writer.response(453, ("CSeq", "1"), ("Come-Back-Ms", "500"), body=b"x\r\n\r\ny")
-        [answer] = rtsp_all(written, 9)
+        [answer] = read_rtsp_messages(written, 9)
         assert isinstance(answer, rtsp.Response)
         assert (answer.status, answer.fields["come-back-ms"]) == (453, "500")
         assert answer.body == b"x\r\n\r\ny"
 
-    def test_a_field_can_t_break_its_line(self) -> None:
+    def test_a_field_value_must_not_contain_a_line_break(self) -> None:
         with self.assertRaises(ValueError):
             rtsp_writer.response(200, ("Session", "a\r\nSession: b"))
 
-    def test_refusals(self) -> None:
+    def test_invalid_messages_are_rejected(self) -> None:
         line = b"SETUP rtsp://media/1 RTSP/1.0\r\n"
         for data, status in (
             (line + b"Content-Length: 60000000\r\n\r\n", 413),
@@ -66,13 +67,13 @@
             with self.subTest(data[:60]):
                 reader = rtsp_reader.Reader()
                 reader.feed(data)
-                for _ in range(2):  # it stays refused
+                for _ in range(2):  # the error is permanent
                     with self.assertRaises(rtsp.ProtocolError) as caught:
                         reader.next()
                     assert caught.exception.status == status
 
     @given(st.binary(max_size=400))
-    def test_noise_is_read_or_refused(self, data: bytes) -> None:
+    def test_random_bytes_are_read_or_rejected(self, data: bytes) -> None:
         reader = rtsp_reader.Reader()
         reader.feed(data)
         try:
@@ -98,26 +99,26 @@
         ),
         st.integers(0, 600),
     )
-    def test_cut_anywhere_it_reads_the_same(
+    def test_data_split_at_any_point_is_read_alike(
         self, rows: list[tuple[MessageKind, bytes, dict[Parameter, bytes]]], cut: int
     ) -> None:
         data = b"".join(isup_writer.message(kind, id, *values.items()) for kind, id, values in rows)
-        reader, found = isup_reader.Reader(), list[isup.Message]()
+        reader, messages = isup_reader.Reader(), list[isup.Message]()
         for part in (data[:cut], data[cut:]):
             reader.feed(part)
             while (message := reader.next()) is not None:
-                found.append(message)
-        assert [(m.kind, m.session, m.parameters) for m in found] == rows
+                messages.append(message)
+        assert [(m.kind, m.session, m.parameters) for m in messages] == rows
 
-    def test_refusals(self) -> None:
+    def test_invalid_messages_are_rejected(self) -> None:
         head = b"\x0c" + bytes(8)
         for name, data in {
             "longer than any message": b"\xff\xff" + head,
-            "shorter than its session": b"\x00\x05" + head,
+            "shorter than its session id": b"\x00\x05" + head,
             "an unknown type": b"\x00\x09\x63" + bytes(8),
-            "a parameter past the end": b"\x00\x0d" + head + b"\x8e\x00\x09\x01",
-            "a parameter cut in its head": b"\x00\x0b" + head + b"\x8e\x00",
-            "a parameter twice": b"\x00\x11" + head + b"\x8e\x00\x01\x01" * 2,
+            "a parameter longer than its message": b"\x00\x0d" + head + b"\x8e\x00\x09\x01",
+            "a parameter with an incomplete header": b"\x00\x0b" + head + b"\x8e\x00",
+            "a duplicate parameter": b"\x00\x11" + head + b"\x8e\x00\x01\x01" * 2,
         }.items():
             with self.subTest(name):
                 reader = isup_reader.Reader()
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery of the front node against boards that hold each step until told."""
+"""The front node's polls of discovery, against services whose every response the test sends."""
 
 from __future__ import annotations
 
@@ -18,16 +18,23 @@
 from fennelcove.http1 import writer as http
 from fennelcove.isup.messages import Cause, MessageKind
 
-from tests.discovery_harness import BoardRig, HeldBoard, Poll, dialled, hung
-from tests.node_harness import Caller, NodeRig, StandInServer, eventually, notice, released
+from tests.discovery_harness import (
+    DiscoveryNodeProcess,
+    ManualDiscovery,
+    Poll,
+    is_being_dialled,
+    unresponsive_listener,
+)
+from tests.node_harness import Client, FakeServer, NodeProcess, encode_release, notice, wait_until
 
 
-def off(server: StandInServer) -> dict[str, Any]:
-    return {**server.row, "health": "removed"}
+def removed_entry(server: FakeServer) -> dict[str, Any]:
+    """The entry that removes a server."""
+    return {**server.host_entry, "health": "removed"}
 
 
-def take_in(listener: socket.socket, server: StandInServer) -> None:
-    """The server serves whoever comes to this listener as well."""
+def serve_listener(listener: socket.socket, server: FakeServer) -> None:
+    """Let the server also serve the connections to this listener."""
     with suppress(OSError):  # closed at the end of the test
         while True:
             sock, _ = listener.accept()
@@ -38,329 +45,370 @@
 class DiscoveryTest(unittest.TestCase):
     """A front node as a process."""
 
-    def rig(self, board: HeldBoard, *servers: StandInServer, rev: int = 1, **changes: Any) -> BoardRig:
-        self.addCleanup(board.close)
-        made = BoardRig(board, *servers, rev=rev, **changes)
-        self.addCleanup(made.close)
-        return made
-
-    def served(self, rig: NodeRig, number: int = 1) -> Caller:
-        viewer = rig.caller()
-        self.addCleanup(viewer.sock.close)
-        viewer.set_up(f"{number:016x}")
-        assert viewer.answer().status == 200
-        return viewer
-
-    def moved(self, rig: BoardRig, board: HeldBoard) -> None:
-        rig.asked = board
-        rig.write()
-        rig.signal(signal.SIGHUP)
-
-    def test_no_answer_ends_the_asking(self) -> None:
-        # An exception that the thread did not expect ended it: the list was never updated again.
-        first, second, board = StandInServer("s0", 0), StandInServer("s1", 0), HeldBoard()
-        rig = self.rig(board, first)
-
-        def one(**changes: Any) -> bytes:
-            return json.dumps({"rev": 2, "notices": [notice(2, [{**first.row, **changes}])]}).encode()
+    def start_node(
+        self, discovery: ManualDiscovery, *servers: FakeServer, rev: int = 1, **config_changes: Any
+    ) -> DiscoveryNodeProcess:
+        """Start a node that ends with the test."""
+        self.addCleanup(discovery.close)
+        node = DiscoveryNodeProcess(discovery, *servers, rev=rev, **config_changes)
+        self.addCleanup(node.close)
+        return node
+
+    def assert_served(self, node: NodeProcess, number: int = 1) -> Client:
+        """Check that a set-up is served; return its client."""
+        client = node.connect_client()
+        self.addCleanup(client.sock.close)
+        client.set_up(f"{number:016x}")
+        assert client.receive_response().status == 200
+        return client
+
+    def change_discovery(self, node: DiscoveryNodeProcess, discovery: ManualDiscovery) -> None:
+        """Reload the configuration with another discovery address."""
+        node.polled_discovery = discovery
+        node.write_config()
+        node.send_signal(signal.SIGHUP)
+
+    def test_no_response_ends_the_polls(self) -> None:
+        # An unexpected exception ended the polling thread: the list was never updated again.
+        first, second, discovery = FakeServer("s0", 0), FakeServer("s1", 0), ManualDiscovery()
+        node = self.start_node(discovery, first)
+
+        def one_change(**changes: Any) -> bytes:
+            return json.dumps({"rev": 2, "notices": [notice(2, [{**first.host_entry, **changes}])]}).encode()
 
         for name, body in {
-            "a list in a list, deeper than can be read": b"[" * 500_000,
-            "an object in an object": b'{"a":' * 100_000,
-            "a number without end": one().replace(b'"share": 1', b'"share": 1' + b"0" * 400),
-            "a birth beyond all numbers": one(born_ms=1e308),
-            "an address that no call takes": one(dial="127.0.0.1\x00:80"),
-            "an address with a line in it": one(dial="a b\r\n:80"),
-            "no object": b"null",
-            "an event that is none": b'{"rev":2,"notices":[null]}',
-            "a number that is none": b'{"rev":true,"notices":[]}',
-            "a negative number": b'{"rev":-1,"notices":[]}',
-            "no JSON": b"\xff\xfe{",
-            "half of it": one()[:-9],
+            "a list nested too deeply": b"[" * 500_000,
+            "an object nested too deeply": b'{"a":' * 100_000,
+            "a number that is too long": one_change().replace(b'"share": 1', b'"share": 1' + b"0" * 400),
+            "a start time that is too large": one_change(born_ms=1e308),
+            "an address with a null byte": one_change(dial="127.0.0.1\x00:80"),
+            "an address with a line break": one_change(dial="a b\r\n:80"),
+            "not an object": b"null",
+            "a null event": b'{"rev":2,"notices":[null]}',
+            "a boolean revision": b'{"rev":true,"notices":[]}',
+            "a negative revision": b'{"rev":-1,"notices":[]}',
+            "not JSON": b"\xff\xfe{",
+            "an incomplete body": one_change()[:-9],
         }.items():
             with self.subTest(name):
-                board.next().body(body)
+                discovery.next_poll().send_response(body)
         for status in (500, 404, 302):
-            board.next().body(one(health="removed"), status)
-        poll = board.next()
+            discovery.next_poll().send_response(one_change(health="removed"), status)
+        poll = discovery.next_poll()
         assert poll.watch == 1
-        poll.tell(2, notice(2, [off(first), second.row]))
-        assert board.next().watch == 2
-        self.served(rig)
-        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (0, 1)
-
-    def test_a_log_that_nobody_reads_ends_no_asking(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        pipe = Path(folder.name) / "log"
+        poll.send_notices(2, notice(2, [removed_entry(first), second.host_entry]))
+        assert discovery.next_poll().watch == 2
+        self.assert_served(node)
+        assert (len(first.messages(MessageKind.SET_UP)), len(second.messages(MessageKind.SET_UP))) == (0, 1)
+
+    def test_a_closed_log_does_not_end_the_polls(self) -> None:
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        pipe = Path(directory.name) / "log"
         os.mkfifo(pipe)
         reader = os.open(pipe, os.O_RDONLY | os.O_NONBLOCK)
-        board = HeldBoard()
-        with mock.patch.object(BoardRig, "LOG", str(pipe)):
-            self.rig(board, StandInServer("s0", 0))
+        discovery = ManualDiscovery()
+        with mock.patch.object(DiscoveryNodeProcess, "LOG_PATH", str(pipe)):
+            self.start_node(discovery, FakeServer("s0", 0))
         os.set_blocking(reader, True)
-        assert b"node_started" in os.read(reader, 4096)  # its last word that anybody hears
+        assert b"node_started" in os.read(reader, 4096)  # the last line that is read
         os.close(reader)
         for _ in range(3):
-            board.next().close()
-        assert board.next().watch == 1
-
-    def test_lengths_that_are_wrong_take_nothing_over(self) -> None:
-        first, second, board = StandInServer("s0", 0), StandInServer("s1", 0), HeldBoard()
-        rig = self.rig(board, first)
-        body = json.dumps({"rev": 2, "notices": [notice(2, [off(first), second.row])]}).encode()
+            discovery.next_poll().close()
+        assert discovery.next_poll().watch == 1
+
+    def test_responses_with_a_wrong_length_are_not_applied(self) -> None:
+        first, second, discovery = FakeServer("s0", 0), FakeServer("s1", 0), ManualDiscovery()
+        node = self.start_node(discovery, first)
+        body = json.dumps(
+            {"rev": 2, "notices": [notice(2, [removed_entry(first), second.host_entry])]}
+        ).encode()
         head = b"HTTP/1.1 200 OK\r\n"
         for name, data in {
-            "cut at its end": http.response(200, [], body)[:-1],
-            "too short a length": head + b"Content-Length: %d\r\n\r\n" % (len(body) - 1) + body,
-            "longer than the bound": head + b"Content-Length: 3000000000\r\n\r\n" + body,
+            "truncated by one byte": http.response(200, [], body)[:-1],
+            "a length that is too small": head + b"Content-Length: %d\r\n\r\n" % (len(body) - 1) + body,
+            "a length over the limit": head + b"Content-Length: 3000000000\r\n\r\n" + body,
             "a negative length": head + b"Content-Length: -1\r\n\r\n" + body,
-            "a chunk cut off": head + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % len(body) + body[:-1],
-            "a last chunk that is missing": head
+            "a truncated chunk": head + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % len(body) + body[:-1],
+            "a missing last chunk": head
             + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % len(body)
             + body
             + b"\r\n",
-            "a head cut off": head,
-            "nothing": b"",
+            "a truncated header": head,
+            "no data": b"",
         }.items():
             with self.subTest(name):
-                poll = board.next()
+                poll = discovery.next_poll()
                 assert poll.watch == 1
                 poll.send(data)
                 poll.close()
-        assert board.next().watch == 1
-        self.served(rig)
-        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (1, 0)
+        assert discovery.next_poll().watch == 1
+        self.assert_served(node)
+        assert (len(first.messages(MessageKind.SET_UP)), len(second.messages(MessageKind.SET_UP))) == (1, 0)
 
-    def test_silence_and_a_trickle_are_given_up(self) -> None:
-        board = HeldBoard()
-        self.rig(board, StandInServer("s0", 0))
+    def test_silent_and_very_slow_responses_time_out(self) -> None:
+        discovery = ManualDiscovery()
+        self.start_node(discovery, FakeServer("s0", 0))
         for start in (b"", b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"):
             with self.subTest(start):
-                poll = board.next()
+                poll = discovery.next_poll()
                 poll.send(start)
-                while not poll.ended.wait(0.05):  # a byte now and then renews nothing
+                while not poll.ended.wait(0.05):  # a byte now and then does not extend the timeout
                     poll.send(b" " if start else b"")
-        assert board.next().watch == 1
+        assert discovery.next_poll().watch == 1
 
-    def test_a_second_copy_is_not_taken_for_the_next_answer(self) -> None:
-        # Each answer was taken for that of the poll after its own from then on.
-        board = HeldBoard()
-        self.rig(board, StandInServer("s0", 0))
-        poll = board.next()
+    def test_a_duplicate_response_is_not_taken_for_the_next_one(self) -> None:
+        # From then on each response was taken for that of the following poll.
+        discovery = ManualDiscovery()
+        self.start_node(discovery, FakeServer("s0", 0))
+        poll = discovery.next_poll()
         answer = http.response(200, [], b'{"rev":1,"notices":[]}')
         poll.send(answer + answer)
-        assert board.next().sock is not poll.sock
+        assert discovery.next_poll().sock is not poll.sock
 
-    def test_a_board_that_began_its_numbers_anew_is_asked_for_everything(self) -> None:
-        # The node stayed at its high number for good and heard of no change any more.
-        first, second, board = StandInServer("s0", 0), StandInServer("s1", 0), HeldBoard()
-        rig = self.rig(board, first, rev=7)
-        poll = board.next()
+    def test_after_a_reset_of_revisions_everything_is_requested(self) -> None:
+        # The node kept its higher revision and never received a change again.
+        first, second, discovery = FakeServer("s0", 0), FakeServer("s1", 0), ManualDiscovery()
+        node = self.start_node(discovery, first, rev=7)
+        poll = discovery.next_poll()
         assert poll.watch == 7
-        poll.tell(2)
-        poll = board.next()
+        poll.send_notices(2)
+        poll = discovery.next_poll()
         assert poll.watch == 0
-        poll.tell(2, notice(1, [first.row], whole=True), notice(2, [second.row, off(first)]))
-        assert board.next().watch == 2
-        self.served(rig)
-        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (0, 1)
-
-    def test_a_list_told_anew_leaves_what_a_later_event_named_as_it_is(self) -> None:
-        first, second, board = StandInServer("s0", 0), StandInServer("s1", 0), HeldBoard()
-        rig = self.rig(board, first)
-        events = notice(1, [first.row], whole=True), notice(2, [second.row, off(first)])
-        board.next().tell(2, events[1])
-        poll = board.next()
-        viewer = self.served(rig)
-        second.say(released(second.of(MessageKind.SET_UP)[0], Cause.OK))
-        viewer.request()
-        poll.tell(1)
-        poll = board.next()
+        poll.send_notices(
+            2,
+            notice(1, [first.host_entry], complete=True),
+            notice(2, [second.host_entry, removed_entry(first)]),
+        )
+        assert discovery.next_poll().watch == 2
+        self.assert_served(node)
+        assert (len(first.messages(MessageKind.SET_UP)), len(second.messages(MessageKind.SET_UP))) == (0, 1)
+
+    def test_a_repeated_list_does_not_undo_a_later_event(self) -> None:
+        first, second, discovery = FakeServer("s0", 0), FakeServer("s1", 0), ManualDiscovery()
+        node = self.start_node(discovery, first)
+        events = (
+            notice(1, [first.host_entry], complete=True),
+            notice(2, [second.host_entry, removed_entry(first)]),
+        )
+        discovery.next_poll().send_notices(2, events[1])
+        poll = discovery.next_poll()
+        client = self.assert_served(node)
+        second.send(encode_release(second.messages(MessageKind.SET_UP)[0], Cause.OK))
+        client.receive_request()
+        poll.send_notices(1)
+        poll = discovery.next_poll()
         assert poll.watch == 0
-        poll.tell(2, *events)
-        assert board.next().watch == 2
-        self.served(rig, 2)
+        poll.send_notices(2, *events)
+        assert discovery.next_poll().watch == 2
+        self.assert_served(node, 2)
         assert (len(first.sockets), len(second.sockets)) == (0, 1)
 
-    def test_a_whole_list_ends_what_it_does_not_name(self) -> None:
-        first, second, board = StandInServer("s0", 0), StandInServer("s1", 0), HeldBoard()
-        rig = self.rig(board, first)
-        board.next().tell(3, notice(2, [first.row]), notice(3, [second.row], whole=True))
-        assert board.next().watch == 3
-        self.served(rig)
-        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (0, 1)
-
-    def test_events_out_of_order_or_doubled_are_taken_in_order_and_once(self) -> None:
-        # The last that was written won, also where an older event came after a newer one.
+    def test_a_complete_list_removes_servers_that_it_does_not_name(self) -> None:
+        first, second, discovery = FakeServer("s0", 0), FakeServer("s1", 0), ManualDiscovery()
+        node = self.start_node(discovery, first)
+        discovery.next_poll().send_notices(
+            3, notice(2, [first.host_entry]), notice(3, [second.host_entry], complete=True)
+        )
+        assert discovery.next_poll().watch == 3
+        self.assert_served(node)
+        assert (len(first.messages(MessageKind.SET_UP)), len(second.messages(MessageKind.SET_UP))) == (0, 1)
+
+    def test_unordered_and_duplicate_events_are_applied_in_order_and_once(self) -> None:
+        # The last event of a response prevailed, even if it was older than another.
         for order in ((3, 2), (2, 3, 2)):
             with self.subTest(order):
-                server, board = StandInServer("s0", 0), HeldBoard()
-                rig = self.rig(board, server)
-                told = {2: notice(2, [{**server.row, "share": 2}]), 3: notice(3, [off(server)])}
-                board.next().tell(3, *(told[rev] for rev in order))
-                assert board.next().watch == 3
-                viewer = rig.caller()
-                self.addCleanup(viewer.sock.close)
-                viewer.set_up("00000000000000a1")
-                assert viewer.answer().status == 453
-
-    def test_an_event_that_is_missing_is_asked_for(self) -> None:
-        # Its number was counted as told: the change that it carried was lost for good.
-        first, second, board = StandInServer("s0", 0), StandInServer("s1", 0), HeldBoard()
-        rig = self.rig(board, first)
-        for told in ([notice(3, [second.row])], []):  # the one between, or the last
-            board.next().tell(3, *told)
-            poll = board.next()
+                server, discovery = FakeServer("s0", 0), ManualDiscovery()
+                node = self.start_node(discovery, server)
+                notices = {
+                    2: notice(2, [{**server.host_entry, "share": 2}]),
+                    3: notice(3, [removed_entry(server)]),
+                }
+                discovery.next_poll().send_notices(3, *(notices[rev] for rev in order))
+                assert discovery.next_poll().watch == 3
+                client = node.connect_client()
+                self.addCleanup(client.sock.close)
+                client.set_up("00000000000000a1")
+                assert client.receive_response().status == 453
+
+    def test_a_missing_event_is_requested(self) -> None:
+        # Its revision counted as received, and the change was lost forever.
+        first, second, discovery = FakeServer("s0", 0), FakeServer("s1", 0), ManualDiscovery()
+        node = self.start_node(discovery, first)
+        for notices in (
+            [notice(3, [second.host_entry])],
+            [],
+        ):  # the event in between is missing, or the last one
+            discovery.next_poll().send_notices(3, *notices)
+            poll = discovery.next_poll()
             assert poll.watch == 0
-            poll.tell(1, notice(1, [first.row], whole=True))
-            poll = board.next()
+            poll.send_notices(1, notice(1, [first.host_entry], complete=True))
+            poll = discovery.next_poll()
             assert poll.watch == 1
             poll.close()
-        all_told = notice(1, [first.row], whole=True), notice(2, [off(first)]), notice(3, [second.row])
-        board.next().tell(3, *all_told[1:])
-        assert board.next().watch == 3
-        self.served(rig)
-        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (0, 1)
-
-    def test_numbers_that_are_left_out_from_the_first_say_nothing(self) -> None:
-        # Each change would cost a second call, and calls are priced.
-        first, board = StandInServer("s0", 0), HeldBoard()
-        self.rig(board, first)
-        board.next().tell(9, notice(5, [first.row]))
-        poll = board.next()
+        all_notices = (
+            notice(1, [first.host_entry], complete=True),
+            notice(2, [removed_entry(first)]),
+            notice(3, [second.host_entry]),
+        )
+        discovery.next_poll().send_notices(3, *all_notices[1:])
+        assert discovery.next_poll().watch == 3
+        self.assert_served(node)
+        assert (len(first.messages(MessageKind.SET_UP)), len(second.messages(MessageKind.SET_UP))) == (0, 1)
+
+    def test_revisions_that_were_always_skipped_are_not_requested_again(self) -> None:
+        # Each change would cost a second poll, and polls are charged for.
+        first, discovery = FakeServer("s0", 0), ManualDiscovery()
+        self.start_node(discovery, first)
+        discovery.next_poll().send_notices(9, notice(5, [first.host_entry]))
+        poll = discovery.next_poll()
         assert poll.watch == 0
-        poll.tell(9, notice(1, [first.row], whole=True), notice(5, [first.row]))
-        poll = board.next()
+        poll.send_notices(9, notice(1, [first.host_entry], complete=True), notice(5, [first.host_entry]))
+        poll = discovery.next_poll()
         assert poll.watch == 9
-        poll.tell(20, notice(15, [first.row]))
-        assert board.next().watch == 20
+        poll.send_notices(20, notice(15, [first.host_entry]))
+        assert discovery.next_poll().watch == 20
 
-    def test_changes_of_a_list_that_was_never_told_are_not_taken(self) -> None:
-        server, board = StandInServer("s0", 0), HeldBoard()
-        rig = self.rig(board, known={"rev": 0, "notices": []})
-        poll = board.next()
+    def test_changes_to_an_unknown_list_are_not_applied(self) -> None:
+        server, discovery = FakeServer("s0", 0), ManualDiscovery()
+        node = self.start_node(discovery, known={"rev": 0, "notices": []})
+        poll = discovery.next_poll()
         assert poll.watch == 0
-        poll.tell(2, notice(2, [server.row]))
-        poll = board.next()
+        poll.send_notices(2, notice(2, [server.host_entry]))
+        poll = discovery.next_poll()
         assert poll.watch == 0
-        poll.tell(2, notice(1, [server.row], whole=True), notice(2, [server.row]))
-        assert board.next().watch == 2
-        self.served(rig)
-
-    def test_half_an_answer_of_the_old_board_is_not_taken_after_the_move(self) -> None:
-        first, second, old, new = StandInServer("s0", 0), StandInServer("s1", 0), HeldBoard(), HeldBoard()
+        poll.send_notices(2, notice(1, [server.host_entry], complete=True), notice(2, [server.host_entry]))
+        assert discovery.next_poll().watch == 2
+        self.assert_served(node)
+
+    def test_an_incomplete_response_from_the_previous_address_is_not_applied(self) -> None:
+        first, second, old, new = (
+            FakeServer("s0", 0),
+            FakeServer("s1", 0),
+            ManualDiscovery(),
+            ManualDiscovery(),
+        )
         self.addCleanup(new.close)
-        rig = self.rig(old, first)
-        poll = old.next()
-        body = json.dumps({"rev": 2, "notices": [notice(2, [off(first), second.row])]}).encode()
+        node = self.start_node(old, first)
+        poll = old.next_poll()
+        body = json.dumps(
+            {"rev": 2, "notices": [notice(2, [removed_entry(first), second.host_entry])]}
+        ).encode()
         data = http.response(200, [], body)
         poll.send(data[:-1])
-        self.moved(rig, new)
-        fresh = new.next()
-        assert fresh.watch == 1
+        self.change_discovery(node, new)
+        new_poll = new.next_poll()
+        assert new_poll.watch == 1
         poll.send(data[-1:])
-        fresh.tell(1)
-        assert new.next().watch == 1
-        self.served(rig)
-        assert (len(first.of(MessageKind.SET_UP)), len(second.of(MessageKind.SET_UP))) == (1, 0)
-
-    def test_a_long_outage_takes_one_line_of_the_log_and_its_end_another(self) -> None:
-        board = HeldBoard()
-        rig = self.rig(board, StandInServer("s0", 0))
+        new_poll.send_notices(1)
+        assert new.next_poll().watch == 1
+        self.assert_served(node)
+        assert (len(first.messages(MessageKind.SET_UP)), len(second.messages(MessageKind.SET_UP))) == (1, 0)
+
+    def test_an_outage_is_logged_once_and_its_end_once(self) -> None:
+        discovery = ManualDiscovery()
+        node = self.start_node(discovery, FakeServer("s0", 0))
         for _ in range(5):
-            board.next().body(b"down", 503)
-        board.next().tell(1)
-        board.next()
-        assert len(rig.log("discovery_poll_failed")) == 1
-        assert [line["failures"] for line in rig.log("discovery_poll_recovered")] == [5]
-
-    def test_a_board_that_is_down_from_the_start_is_found_when_it_comes(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            nowhere = free.getsockname()[1]
-        board = HeldBoard()
-        self.addCleanup(board.close)
-        board.address = f"127.0.0.1:{nowhere}"
-        first, second = StandInServer("s0", 0), StandInServer("s1", 0)
-        rig = self.rig(board, first)
-        eventually(lambda: rig.log("discovery_poll_failed"), "a failed call")
-        self.served(rig)
-        late = HeldBoard(nowhere)
-        self.addCleanup(late.close)
-        late.next().tell(2, notice(2, [off(first), second.row]))
-        assert late.next().watch == 2
-        self.served(rig, 2)
-        assert len(second.of(MessageKind.SET_UP)) == 1
-
-    def test_breaks_and_moves_leave_no_descriptor_behind(self) -> None:
-        boards = HeldBoard(), HeldBoard()
-        self.addCleanup(boards[1].close)
-        rig = self.rig(boards[0], StandInServer("s0", 0))
-        here = Path("/proc") / str(rig.process.pid) / "fd"
-
-        def sockets() -> int:
+            discovery.next_poll().send_response(b"down", 503)
+        discovery.next_poll().send_notices(1)
+        discovery.next_poll()
+        assert len(node.log_events("discovery_poll_failed")) == 1
+        assert [line["failures"] for line in node.log_events("discovery_poll_recovered")] == [5]
+
+    def test_discovery_that_is_unavailable_at_the_start_is_used_once_available(self) -> None:
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            unused_port = listener.getsockname()[1]
+        discovery = ManualDiscovery()
+        self.addCleanup(discovery.close)
+        discovery.address = f"127.0.0.1:{unused_port}"
+        first, second = FakeServer("s0", 0), FakeServer("s1", 0)
+        node = self.start_node(discovery, first)
+        wait_until(lambda: node.log_events("discovery_poll_failed"), "a failed poll")
+        self.assert_served(node)
+        late_discovery = ManualDiscovery(unused_port)
+        self.addCleanup(late_discovery.close)
+        late_discovery.next_poll().send_notices(2, notice(2, [removed_entry(first), second.host_entry]))
+        assert late_discovery.next_poll().watch == 2
+        self.assert_served(node, 2)
+        assert len(second.messages(MessageKind.SET_UP)) == 1
+
+    def test_lost_connections_and_address_changes_leave_no_descriptor_open(self) -> None:
+        discoveries = ManualDiscovery(), ManualDiscovery()
+        self.addCleanup(discoveries[1].close)
+        node = self.start_node(discoveries[0], FakeServer("s0", 0))
+        descriptor_path = Path("/proc") / str(node.process.pid) / "fd"
+
+        def socket_count() -> int:
             names = []
-            for path in here.iterdir():
+            for path in descriptor_path.iterdir():
                 with suppress(OSError):
                     names.append(os.readlink(path))
             return sum(name.startswith("socket:") for name in names)
 
-        at, poll = 0, boards[0].next()
-        eventually(lambda: sockets() == 2, "the listener and the open poll")
+        index, poll = 0, discoveries[0].next_poll()
+        wait_until(lambda: socket_count() == 2, "the listener and the open poll")
         for _ in range(4):
-            for end in (Poll.close, lambda poll: poll.body(b"x"), lambda poll: poll.tell(1)):
+            for end in (Poll.close, lambda poll: poll.send_response(b"x"), lambda poll: poll.send_notices(1)):
                 end(poll)
-                poll = boards[at].next()
-            at = 1 - at
-            self.moved(rig, boards[at])
-            poll = boards[at].next()
-        eventually(lambda: sockets() == 2, "the listener and the open poll")
-
-    def test_a_host_that_has_another_address_is_reached_there(self) -> None:
-        # Set-ups went on to the old address on the connections that were open to it.
-        old, new, board = StandInServer("s0", 0), StandInServer("s0", 0), HeldBoard()
-        rig = self.rig(board, old)
-        poll = board.next()
-        viewer = self.served(rig)
-        old.say(released(old.of(MessageKind.SET_UP)[0], Cause.OK))
-        viewer.request()
-        poll.tell(2, notice(2, [new.row]))
-        assert board.next().watch == 2
-        self.served(rig, 2)
-        assert (len(old.of(MessageKind.SET_UP)), len(new.of(MessageKind.SET_UP))) == (1, 1)
-
-    def test_a_connection_to_a_successor_not_listed_yet_does_not_hold_sessions_of_the_one_that_went(
+                poll = discoveries[index].next_poll()
+            index = 1 - index
+            self.change_discovery(node, discoveries[index])
+            poll = discoveries[index].next_poll()
+        wait_until(lambda: socket_count() == 2, "the listener and the open poll")
+
+    def test_a_server_is_reached_at_its_new_address(self) -> None:
+        # Set-ups were still sent to the old address on connections that were open to it.
+        old, new, discovery = FakeServer("s0", 0), FakeServer("s0", 0), ManualDiscovery()
+        node = self.start_node(discovery, old)
+        poll = discovery.next_poll()
+        client = self.assert_served(node)
+        old.send(encode_release(old.messages(MessageKind.SET_UP)[0], Cause.OK))
+        client.receive_request()
+        poll.send_notices(2, notice(2, [new.host_entry]))
+        assert discovery.next_poll().watch == 2
+        self.assert_served(node, 2)
+        assert (len(old.messages(MessageKind.SET_UP)), len(new.messages(MessageKind.SET_UP))) == (1, 1)
+
+    def test_a_connection_to_an_unlisted_successor_does_not_keep_sessions_of_the_removed_server(
         self,
     ) -> None:
-        # Made anew as soon as the first had reset it, it was answered by the second, and nobody was released.
-        gone, board = StandInServer("s0", 0), HeldBoard()
-        rig = self.rig(board, gone)
-        poll = board.next()
-        viewer = self.served(rig)
-        address = gone.listener.getsockname()
-        gone.die()
+        # Reopened after the first server's reset, it was answered by the second, and no client was released.
+        removed_server, discovery = FakeServer("s0", 0), ManualDiscovery()
+        node = self.start_node(discovery, removed_server)
+        poll = discovery.next_poll()
+        client = self.assert_served(node)
+        address = removed_server.listener.getsockname()
+        removed_server.terminate()
         started_ms = time.time_ns() // 1_000_000
-        heir = StandInServer("s1", 0, address=address)
-        eventually(lambda: heir.sockets, "a connection to the second")
-        rows = [{**heir.row, "host": "s0", "health": "removed"}, {**heir.row, "born_ms": started_ms}]
-        poll.tell(2, notice(2, rows))
-        assert board.next().watch == 2
-        release = viewer.request()
+        successor = FakeServer("s1", 0, address=address)
+        wait_until(lambda: successor.sockets, "a connection to the successor")
+        entries = [
+            {**successor.host_entry, "host": "s0", "health": "removed"},
+            {**successor.host_entry, "born_ms": started_ms},
+        ]
+        poll.send_notices(2, notice(2, entries))
+        assert discovery.next_poll().watch == 2
+        release = client.receive_request()
         assert (release.method, release.fields["reason"]) == ("TEARDOWN", "cause=41")
 
-    def test_a_dial_under_way_does_not_take_a_successor_for_the_one_that_went(self) -> None:
-        # What played at the one that went was held by a connection to the other, and never released.
-        listener, fillers = hung(self)
-        gone, heir = StandInServer("s0", 0), StandInServer("s1", 0)
-        rows = [{**s.row, "dial": f"127.0.0.1:{listener.getsockname()[1]}"} for s in (gone, heir)]
-        board = HeldBoard()
-        rig = self.rig(board, known={"rev": 1, "notices": [notice(1, rows[:1], whole=True)]})
-        viewer = rig.caller()
-        self.addCleanup(viewer.sock.close)
-        viewer.set_up("00000000000000a1", routing="home:0;copies:4;top:2;at:s0")
-        eventually(lambda: dialled(listener, fillers), "a dial that hangs")
-        board.next().tell(2, notice(2, [{**rows[0], "health": "removed"}, rows[1]]))
-        assert board.next().watch == 2
-        threading.Thread(target=take_in, args=(listener, heir), daemon=True).start()
-        release = viewer.request()
+    def test_a_dial_in_progress_does_not_mistake_a_successor_for_the_removed_server(self) -> None:
+        # Sessions at the removed server were kept by a connection to its successor, and never released.
+        listener, backlog_fillers = unresponsive_listener(self)
+        removed_server, successor = FakeServer("s0", 0), FakeServer("s1", 0)
+        entries = [
+            {**s.host_entry, "dial": f"127.0.0.1:{listener.getsockname()[1]}"}
+            for s in (removed_server, successor)
+        ]
+        discovery = ManualDiscovery()
+        node = self.start_node(
+            discovery, known={"rev": 1, "notices": [notice(1, entries[:1], complete=True)]}
+        )
+        client = node.connect_client()
+        self.addCleanup(client.sock.close)
+        client.set_up("00000000000000a1", routing="home:0;copies:4;top:2;at:s0")
+        wait_until(lambda: is_being_dialled(listener, backlog_fillers), "a dial without an answer")
+        discovery.next_poll().send_notices(2, notice(2, [{**entries[0], "health": "removed"}, entries[1]]))
+        assert discovery.next_poll().watch == 2
+        threading.Thread(target=serve_listener, args=(listener, successor), daemon=True).start()
+        release = client.receive_request()
         assert (release.method, release.fields["reason"]) == ("TEARDOWN", "cause=41")
--- a/tests/test_node_discovery_thread.py
+++ b/tests/test_node_discovery_thread.py
@@ -1,4 +1,4 @@
-"""The thread that asks discovery: moves, asks for everything and pauses, each forced at its moment."""
+"""The thread that polls discovery: address changes, complete requests and back-off at critical moments."""
 
 from __future__ import annotations
 
@@ -15,243 +15,251 @@
 from fennelcove.http1 import writer as http
 from fennelcove.interface import ServerState
 from fennelcove.log import silent
-from fennelcove.node import config, session_manager
-from fennelcove.node import discovery_client as discovery
+from fennelcove.node import config, discovery_client, session_manager
 from fennelcove.node.address import parse_address
 from fennelcove.node.discovery_client import DiscoveryClient
 
-from tests.discovery_harness import HeldBoard, dialled, hung
-from tests.node_harness import eventually, notice
-from tests.test_node_session_manager import HOST, TREE
+from tests.discovery_harness import ManualDiscovery, is_being_dialled, unresponsive_listener
+from tests.node_harness import notice, wait_until
+from tests.test_node_session_manager import HOST_ENTRY, NODE_CONFIG
 
-DRAINING = {**HOST, "health": "draining"}
+DRAINING = {**HOST_ENTRY, "health": "draining"}
 
 
-class Gate:
-    """The desk's lock, which says when somebody waits for it and what is true each time it is let go."""
+class RecordingLock:
+    """A lock that reports when it is requested, and records the active servers at each release."""
 
-    def __init__(self, made: session_manager.SessionManager) -> None:
-        self.desk, self.inner, self.wanted = made, threading.Lock(), threading.Event()
-        self.seen: list[list[str]] = []
+    def __init__(self, manager: session_manager.SessionManager) -> None:
+        self.manager, self.inner, self.is_requested = manager, threading.Lock(), threading.Event()
+        self.active_servers_at_release: list[list[str]] = []
 
     def __enter__(self) -> None:
-        self.wanted.set()
+        self.is_requested.set()
         self.inner.acquire()
 
     def __exit__(self, *_: object) -> None:
-        servers = self.desk.policy.servers.values()
-        self.seen.append([server.address for server in servers if server.state is ServerState.ACTIVE])
+        servers = self.manager.policy.servers.values()
+        self.active_servers_at_release.append(
+            [server.address for server in servers if server.state is ServerState.ACTIVE]
+        )
         self.inner.release()
 
 
-class WatchTest(unittest.TestCase):
-    """The thread that asks, on a desk of its own, where a step inside of it has to be held."""
+class DiscoveryClientTest(unittest.TestCase):
+    """The polling thread with a session manager of its own, so that a test can hold it at a step."""
 
-    def watch(self, board: HeldBoard, rev: int = 1, seed: str = "0a") -> DiscoveryClient:
+    def start_client(self, discovery: ManualDiscovery, rev: int = 1, seed: str = "0a") -> DiscoveryClient:
+        """Start the polling thread, which ends with the test."""
         clock = SystemClock()
-        self.desk = session_manager.SessionManager(
-            config.parse({**TREE, "seed": seed}), clock, Timers(clock), silent
+        self.manager = session_manager.SessionManager(
+            config.parse({**NODE_CONFIG, "seed": seed}), clock, Timers(clock), silent
         )
-        for first in self.desk.config.initial_batch.events:
-            self.desk.on_discovery_event(first)
-        watch = DiscoveryClient(self.desk, clock, parse_address(board.address), rev)
-        thread = threading.Thread(target=watch.run, daemon=True)
+        for event in self.manager.config.initial_batch.events:
+            self.manager.on_discovery_event(event)
+        client = DiscoveryClient(self.manager, clock, parse_address(discovery.address), rev)
+        thread = threading.Thread(target=client.run, daemon=True)
         thread.start()
-        self.addCleanup(board.close)
+        self.addCleanup(discovery.close)
         self.addCleanup(thread.join)
-        self.addCleanup(watch.stop)
-        return watch
+        self.addCleanup(client.stop)
+        return client
 
-    def standing(self) -> ServerState:
-        return self.desk.policy.servers["s0"].state
+    def server_state(self) -> ServerState:
+        """The state of the only server."""
+        return self.manager.policy.servers["s0"].state
 
-    def changes(self, count: int) -> bytes:
+    def encode_changes(self, count: int) -> bytes:
         """A response with so many changes, the last of which drains the server."""
-        rows = [{**HOST, "host": f"s{i}", "dial": f"127.0.0.1:{1 + i % 60_000}"} for i in range(1, count)]
-        notices = [notice(rev, [row]) for rev, row in enumerate([*rows, DRAINING], 2)]
+        entries = [
+            {**HOST_ENTRY, "host": f"s{i}", "dial": f"127.0.0.1:{1 + i % 60_000}"} for i in range(1, count)
+        ]
+        notices = [notice(rev, [entry]) for rev, entry in enumerate([*entries, DRAINING], 2)]
         body = json.dumps({"rev": count + 1, "notices": notices}).encode()
         return http.response(200, [], body)
 
-    def test_a_list_of_thousands_of_servers_and_changes_is_not_too_long(self) -> None:
-        # Past the bound of 1 MiB each poll failed, and the list never changed again.
-        board = HeldBoard()
-        self.watch(board)
-        response = self.changes(9_000)
+    def test_a_list_of_thousands_of_servers_and_changes_is_accepted(self) -> None:
+        # Over a limit of 1 MiB each poll failed, and the list never changed again.
+        discovery = ManualDiscovery()
+        self.start_client(discovery)
+        response = self.encode_changes(9_000)
         assert 1 << 20 < len(response) < 4 << 20
-        board.next().send(response)
-        eventually(lambda: self.standing() is ServerState.LEAVING, "the last change")
-
-    def test_a_list_that_takes_longer_than_the_poll_may_wait_is_read_to_its_end(self) -> None:
-        # Given up after 1.4 s and asked for again, a large list over a slow path never arrived.
-        board = HeldBoard()
-        self.watch(board)
-        response = self.changes(40)
-        poll, step = board.next(), len(response) // 9
-        for at in range(0, len(response), step):
-            poll.send(response[at : at + step])
+        discovery.next_poll().send(response)
+        wait_until(lambda: self.server_state() is ServerState.LEAVING, "the last change")
+
+    def test_a_list_that_takes_longer_than_the_poll_timeout_is_read_to_its_end(self) -> None:
+        # Abandoned after 1.4 s and requested again, a large list over a slow path never arrived.
+        discovery = ManualDiscovery()
+        self.start_client(discovery)
+        response = self.encode_changes(40)
+        poll, step = discovery.next_poll(), len(response) // 9
+        for offset in range(0, len(response), step):
+            poll.send(response[offset : offset + step])
             time.sleep(0.2)
-        eventually(lambda: self.standing() is ServerState.LEAVING, "the last change")
-        assert board.next().watch == 41
-        assert board.accepted == 1
-
-    def test_an_answer_of_the_old_board_is_not_applied_after_the_move(self) -> None:
-        # Read before the move and applied after it: the old board tells nothing further.
-        old, new = HeldBoard(), HeldBoard()
-        self.addCleanup(new.close)
-        watch = self.watch(old)
-        poll = old.next()
-        gate = Gate(self.desk)
-        with mock.patch.object(self.desk, "lock", gate), gate.inner:
-            poll.tell(2, notice(2, [DRAINING]))
-            assert gate.wanted.wait(20)  # the answer is read whole, and waits for the lock
-            watch.change_address(parse_address(new.address))
-        poll = new.next()
-        assert (poll.watch, self.standing()) == (1, ServerState.ACTIVE)
-
-    def test_one_answer_is_applied_in_one_hold_of_the_lock(self) -> None:
-        # A request between two events of one answer saw a server gone and the one in its place not there yet.
-        board = HeldBoard()
-        self.watch(board)
-        poll = board.next()
-        gate = Gate(self.desk)
-        with mock.patch.object(self.desk, "lock", gate):
-            heir = {**HOST, "host": "s1"}
-            poll.tell(3, notice(2, [{**HOST, "health": "removed"}]), notice(3, [heir]))
-            assert board.next().watch == 3
-        assert gate.seen == [["s1"]]
-
-    def test_everything_is_asked_for_anew_whatever_is_open(self) -> None:
-        # An ask for everything that came while one for everything was open counted as answered by it.
+        wait_until(lambda: self.server_state() is ServerState.LEAVING, "the last change")
+        assert discovery.next_poll().watch == 41
+        assert discovery.accepted_count == 1
+
+    def test_a_response_of_the_previous_address_is_not_applied_after_the_change(self) -> None:
+        # Read before the change and applied after it: the previous address publishes no further changes.
+        old_discovery, new_discovery = ManualDiscovery(), ManualDiscovery()
+        self.addCleanup(new_discovery.close)
+        client = self.start_client(old_discovery)
+        poll = old_discovery.next_poll()
+        lock = RecordingLock(self.manager)
+        with mock.patch.object(self.manager, "lock", lock), lock.inner:
+            poll.send_notices(2, notice(2, [DRAINING]))
+            assert lock.is_requested.wait(20)  # the complete response waits for the lock
+            client.change_address(parse_address(new_discovery.address))
+        poll = new_discovery.next_poll()
+        assert (poll.watch, self.server_state()) == (1, ServerState.ACTIVE)
+
+    def test_a_response_is_applied_while_the_lock_is_held_once(self) -> None:
+        # A request between two events of a response saw a server removed, and its successor not added yet.
+        discovery = ManualDiscovery()
+        self.start_client(discovery)
+        poll = discovery.next_poll()
+        lock = RecordingLock(self.manager)
+        with mock.patch.object(self.manager, "lock", lock):
+            successor = {**HOST_ENTRY, "host": "s1"}
+            poll.send_notices(3, notice(2, [{**HOST_ENTRY, "health": "removed"}]), notice(3, [successor]))
+            assert discovery.next_poll().watch == 3
+        assert lock.active_servers_at_release == [["s1"]]
+
+    def test_everything_is_requested_again_whichever_poll_is_open(self) -> None:
+        # A resync during an open request for everything was considered answered by that request.
         for rev in (1, 0):
             with self.subTest(rev):
-                board = HeldBoard()
-                watch = self.watch(board, rev)
-                poll = board.next()
+                discovery = ManualDiscovery()
+                client = self.start_client(discovery, rev)
+                poll = discovery.next_poll()
                 assert poll.watch == rev
-                watch.resync()
-                poll.tell(2, notice(1, [HOST], whole=True), notice(2, [DRAINING]))
-                poll = board.next()
+                client.resync()
+                poll.send_notices(2, notice(1, [HOST_ENTRY], complete=True), notice(2, [DRAINING]))
+                poll = discovery.next_poll()
                 assert poll.watch == 0
-                poll.tell(2, notice(1, [HOST], whole=True), notice(2, [DRAINING]))
-                assert (board.next().watch, self.standing()) == (2, ServerState.LEAVING)
-
-    def test_an_open_poll_does_not_keep_the_ask_for_everything_back(self) -> None:
-        board = HeldBoard()
-        watch = self.watch(board)
-        with mock.patch.object(discovery, "RESPONSE_GRACE_US", 60_000_000):
-            board.next().close()
-            board.next()  # held for good
-            watch.resync()
-            assert board.next().watch == 0
-
-    def test_a_move_does_not_wait_for_an_address_that_hangs(self) -> None:
-        listener, fillers = hung(self)
-        board, new = HeldBoard(), HeldBoard()
-        self.addCleanup(new.close)
-        board.address = f"127.0.0.1:{listener.getsockname()[1]}"
-        with mock.patch.object(discovery, "CONNECT_TIMEOUT_US", 60_000_000):
-            watch = self.watch(board)
-            eventually(lambda: dialled(listener, fillers), "a dial that hangs")
-            watch.change_address(parse_address(new.address))
-            assert new.next().watch == 1
-
-    def test_a_move_ends_the_pause_after_a_failure(self) -> None:
-        board, new = HeldBoard(), HeldBoard()
-        self.addCleanup(new.close)
-        told: list[str] = []
-        with mock.patch.multiple(discovery, BACKOFF_BASE_US=60_000_000, BACKOFF_MAX_US=60_000_000):
-            watch = self.watch(board)
-            self.desk.logger = lambda event, **fields: told.append(event)
-            poll = board.next()
+                poll.send_notices(2, notice(1, [HOST_ENTRY], complete=True), notice(2, [DRAINING]))
+                assert (discovery.next_poll().watch, self.server_state()) == (2, ServerState.LEAVING)
+
+    def test_an_open_poll_does_not_delay_a_resync(self) -> None:
+        discovery = ManualDiscovery()
+        client = self.start_client(discovery)
+        with mock.patch.object(discovery_client, "RESPONSE_GRACE_US", 60_000_000):
+            discovery.next_poll().close()
+            discovery.next_poll()  # never answered
+            client.resync()
+            assert discovery.next_poll().watch == 0
+
+    def test_an_address_change_does_not_wait_for_an_unresponsive_address(self) -> None:
+        listener, backlog_fillers = unresponsive_listener(self)
+        discovery, new_discovery = ManualDiscovery(), ManualDiscovery()
+        self.addCleanup(new_discovery.close)
+        discovery.address = f"127.0.0.1:{listener.getsockname()[1]}"
+        with mock.patch.object(discovery_client, "CONNECT_TIMEOUT_US", 60_000_000):
+            client = self.start_client(discovery)
+            wait_until(lambda: is_being_dialled(listener, backlog_fillers), "a dial without an answer")
+            client.change_address(parse_address(new_discovery.address))
+            assert new_discovery.next_poll().watch == 1
+
+    def test_an_address_change_ends_the_back_off_after_a_failure(self) -> None:
+        discovery, new_discovery = ManualDiscovery(), ManualDiscovery()
+        self.addCleanup(new_discovery.close)
+        logged_events: list[str] = []
+        with mock.patch.multiple(discovery_client, BACKOFF_BASE_US=60_000_000, BACKOFF_MAX_US=60_000_000):
+            client = self.start_client(discovery)
+            self.manager.logger = lambda event, **fields: logged_events.append(event)
+            poll = discovery.next_poll()
             poll.close()
-            eventually(lambda: told == ["discovery_poll_failed"], "the failure")
-            watch.change_address(parse_address(new.address))
-            poll = new.next()
+            wait_until(lambda: logged_events == ["discovery_poll_failed"], "the failure")
+            client.change_address(parse_address(new_discovery.address))
+            poll = new_discovery.next_poll()
             assert poll.watch == 1
-            poll.close()  # the first failure there, whatever there was before
-            eventually(lambda: told == ["discovery_poll_failed"] * 2, "the failure of the other board")
-
-    def test_two_moves_in_a_row_end_at_the_second_and_are_no_failures(self) -> None:
-        boards = [HeldBoard() for _ in range(3)]
-        watch = self.watch(boards[0])
-        told: list[str] = []
-        self.desk.logger = lambda event, **fields: told.append(event)
-        boards[0].next()
-        for board in boards[1:]:
-            self.addCleanup(board.close)
-            watch.change_address(parse_address(board.address))
-        boards[2].next().tell(2, notice(2, [DRAINING]))
-        assert (boards[2].next().watch, self.standing()) == (2, ServerState.LEAVING)
-        assert told == []
-
-    def test_a_move_there_and_back_is_no_failure(self) -> None:
-        board, other = HeldBoard(), HeldBoard()
-        self.addCleanup(other.close)
-        watch = self.watch(board)
-        told: list[str] = []
-        self.desk.logger = lambda event, **fields: told.append(event)
-        board.next()
-        watch.change_address(parse_address(other.address))
-        watch.change_address(parse_address(board.address))
-        assert (board.next().watch, told) == (1, [])
-
-    def test_a_move_to_the_same_address_leaves_the_open_poll(self) -> None:
-        board = HeldBoard()
-        watch = self.watch(board)
-        poll = board.next()
-        watch.change_address(parse_address(board.address))
-        poll.tell(2, notice(2, [DRAINING]))
-        fresh = board.next()
-        assert (fresh.watch, self.standing(), board.accepted) == (2, ServerState.LEAVING, 1)
-
-    def test_a_fault_while_an_answer_is_applied_is_tried_again(self) -> None:
-        board = HeldBoard()
-        self.watch(board)
-        poll = board.next()
-        answer = [notice(2, [DRAINING]), notice(3, [{**HOST, "host": "s1"}])]
+            poll.close()  # the first failure at this address
+            wait_until(
+                lambda: logged_events == ["discovery_poll_failed"] * 2, "the failure at the new address"
+            )
+
+    def test_two_address_changes_in_a_row_end_at_the_second_and_are_no_failures(self) -> None:
+        discoveries = [ManualDiscovery() for _ in range(3)]
+        client = self.start_client(discoveries[0])
+        logged_events: list[str] = []
+        self.manager.logger = lambda event, **fields: logged_events.append(event)
+        discoveries[0].next_poll()
+        for discovery in discoveries[1:]:
+            self.addCleanup(discovery.close)
+            client.change_address(parse_address(discovery.address))
+        discoveries[2].next_poll().send_notices(2, notice(2, [DRAINING]))
+        assert (discoveries[2].next_poll().watch, self.server_state()) == (2, ServerState.LEAVING)
+        assert logged_events == []
+
+    def test_an_address_change_that_is_reverted_is_no_failure(self) -> None:
+        discovery, other_discovery = ManualDiscovery(), ManualDiscovery()
+        self.addCleanup(other_discovery.close)
+        client = self.start_client(discovery)
+        logged_events: list[str] = []
+        self.manager.logger = lambda event, **fields: logged_events.append(event)
+        discovery.next_poll()
+        client.change_address(parse_address(other_discovery.address))
+        client.change_address(parse_address(discovery.address))
+        assert (discovery.next_poll().watch, logged_events) == (1, [])
+
+    def test_a_change_to_the_same_address_keeps_the_poll_open(self) -> None:
+        discovery = ManualDiscovery()
+        client = self.start_client(discovery)
+        poll = discovery.next_poll()
+        client.change_address(parse_address(discovery.address))
+        poll.send_notices(2, notice(2, [DRAINING]))
+        next_poll = discovery.next_poll()
+        assert (next_poll.watch, self.server_state(), discovery.accepted_count) == (2, ServerState.LEAVING, 1)
+
+    def test_a_response_that_cannot_be_applied_is_requested_again(self) -> None:
+        discovery = ManualDiscovery()
+        self.start_client(discovery)
+        poll = discovery.next_poll()
+        answer = [notice(2, [DRAINING]), notice(3, [{**HOST_ENTRY, "host": "s1"}])]
         faults = iter((None, KeyError("s1")))
-        says = self.desk.updates._apply
+        apply = self.manager.updates._apply
 
-        def breaking(told: Any) -> None:
+        def apply_or_fail(event: Any) -> None:
             if fault := next(faults, None):
                 raise fault
-            says(told)
-
-        with mock.patch.object(self.desk.updates, "_apply", breaking):
-            poll.tell(3, *answer)
-            poll = board.next()
-            assert poll.watch == 1  # half of it stands, and all of it is told once more
-            poll.tell(3, *answer)
-            assert board.next().watch == 3
-        assert set(self.desk.policy.servers) == {"s0", "s1"}
-
-
-class PauseTest(unittest.TestCase):
-    def test_pauses_grow_to_a_bound_and_differ_from_one_process_to_the_next(self) -> None:
-        rows = [
-            [discovery.backoff_us(n, draws) for n in range(1, 40)] for draws in map(random.Random, range(50))
+            apply(event)
+
+        with mock.patch.object(self.manager.updates, "_apply", apply_or_fail):
+            poll.send_notices(3, *answer)
+            poll = discovery.next_poll()
+            assert poll.watch == 1  # one event was applied; both are requested again
+            poll.send_notices(3, *answer)
+            assert discovery.next_poll().watch == 3
+        assert set(self.manager.policy.servers) == {"s0", "s1"}
+
+
+class BackoffTest(unittest.TestCase):
+    def test_back_off_grows_to_a_limit_and_differs_between_processes(self) -> None:
+        delays_us = [
+            [discovery_client.backoff_us(n, rng) for n in range(1, 40)]
+            for rng in map(random.Random, range(50))
         ]
-        for n, column in enumerate(zip(*rows, strict=True)):
-            assert len(set(column)) > 40  # spread
+        for n, column in enumerate(zip(*delays_us, strict=True)):
+            assert len(set(column)) > 40  # random
             mean_us = sum(column) / len(column)
             assert 0.7 < mean_us / min(100000 * 2**n, 500000) < 1.3, mean_us
             assert max(column) < 1000000
-        assert max(row[0] for row in rows) <= 150000
-        assert rows[3][0] == discovery.backoff_us(1, random.Random(3))  # the seed's alone
+        assert max(row[0] for row in delays_us) <= 150000
+        assert delays_us[3][0] == discovery_client.backoff_us(1, random.Random(3))  # depends on the seed only
 
-    def test_a_board_that_is_down_is_asked_less_and_less(self) -> None:
-        # 200 processes asked one that was down 10 times a second each, in step.
-        board = HeldBoard()
-        self.addCleanup(board.close)
+    def test_unavailable_discovery_is_polled_less_and_less_often(self) -> None:
+        # 200 processes in step each polled an unavailable service 10 times a second.
+        discovery = ManualDiscovery()
+        self.addCleanup(discovery.close)
         clock = SystemClock()
-        made = session_manager.SessionManager(config.parse(TREE), clock, Timers(clock), silent)
-        watch = DiscoveryClient(made, clock, parse_address(board.address), 1)
-        thread = threading.Thread(target=watch.run, daemon=True)
+        manager = session_manager.SessionManager(config.parse(NODE_CONFIG), clock, Timers(clock), silent)
+        client = DiscoveryClient(manager, clock, parse_address(discovery.address), 1)
+        thread = threading.Thread(target=client.run, daemon=True)
         thread.start()
         self.addCleanup(thread.join)
-        self.addCleanup(watch.stop)
-        board.next().close()
-        began = time.monotonic()
+        self.addCleanup(client.stop)
+        discovery.next_poll().close()
+        started_s = time.monotonic()
         for _ in range(5):
-            board.next().close()
-        assert time.monotonic() - began > 0.84  # half of 0.1, 0.2, 0.4, 0.5 and 0.5 s
+            discovery.next_poll().close()
+        assert time.monotonic() - started_s > 0.84  # half of 0.1, 0.2, 0.4, 0.5 and 0.5 s
--- a/tests/test_node_metrics.py
+++ b/tests/test_node_metrics.py
@@ -1,4 +1,4 @@
-"""What a node counts and logs of its own doing."""
+"""The metrics that a node counts and logs about itself."""
 
 from __future__ import annotations
 
@@ -9,7 +9,9 @@
 from fennelcove.node.node_lock import NodeLock
 
 
-class Logged:
+class RecordingLogger:
+    """Records log events and their fields."""
+
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
@@ -17,41 +19,41 @@
         self.lines.append((event, fields))
 
 
-def test_counts_are_reported_once_an_interval_and_only_when_changed() -> None:
-    clock, logged = ManualClock(), Logged()
-    metrics = NodeMetrics(clock, logged)
+def test_counts_are_reported_once_per_interval_and_only_if_they_changed() -> None:
+    clock, logger = ManualClock(), RecordingLogger()
+    metrics = NodeMetrics(clock, logger)
     metrics.count(Metric.ANSWER, "200")
     metrics.report()
-    assert logged.lines == []
+    assert logger.lines == []
     clock.advance(REPORT_INTERVAL_US)
     metrics.report()
     metrics.report()
-    assert logged.lines == [("metrics_reported", {"answers": {"200": 1}, "max_event_us": 0})]
+    assert logger.lines == [("metrics_reported", {"answers": {"200": 1}, "max_event_us": 0})]
     clock.advance(REPORT_INTERVAL_US)
     metrics.report()
-    assert len(logged.lines) == 1
+    assert len(logger.lines) == 1
 
 
-def test_an_event_that_holds_the_lock_for_long_is_logged_after_its_release() -> None:
-    clock, logged = ManualClock(), Logged()
+def test_a_slow_event_is_logged_after_the_lock_is_released() -> None:
+    clock, logger = ManualClock(), RecordingLogger()
 
     def log(event: str, **fields: Any) -> None:
         assert not lock._lock.locked()
-        logged(event, **fields)
+        logger(event, **fields)
 
     metrics = NodeMetrics(clock, log)
     lock = NodeLock(clock, metrics)
     for duration_us in (SLOW_EVENT_US - 1, SLOW_EVENT_US, SLOW_EVENT_US + 1, SLOW_EVENT_US):
         with lock:
             clock.advance(duration_us)
-    assert {event for event, _ in logged.lines} == {"event_handled_slowly"}
-    assert [fields["duration_us"] for _, fields in logged.lines] == [SLOW_EVENT_US, SLOW_EVENT_US + 1]
+    assert {event for event, _ in logger.lines} == {"event_handled_slowly"}
+    assert [fields["duration_us"] for _, fields in logger.lines] == [SLOW_EVENT_US, SLOW_EVENT_US + 1]
     assert metrics.max_event_us == SLOW_EVENT_US + 1
     assert metrics.counts[Metric.SLOW_EVENT].total() == 3
 
 
-def test_transitions_are_bounded_and_found_by_session() -> None:
-    metrics = NodeMetrics(ManualClock(), Logged())
+def test_recorded_transitions_are_bounded_and_found_by_session() -> None:
+    metrics = NodeMetrics(ManualClock(), RecordingLogger())
     metrics.record_transition(b"first", "ATTEMPT_STARTED", "ATTEMPTING")
     assert metrics.transitions_of(b"first") == ["0 ms: ATTEMPT_STARTED -> ATTEMPTING"]
     for _ in range(MAX_TRANSITIONS):
--- a/tests/test_node_platform_requirements.py
+++ b/tests/test_node_platform_requirements.py
@@ -1,4 +1,4 @@
-"""What the standing fleet test asks of a front node, held without its bench."""
+"""Requirements that the platform's fleet test checks, tested here without its bench."""
 
 from __future__ import annotations
 
@@ -39,107 +39,121 @@
 from fennelcove.rtsp import messages as rtsp
 
 from tests.helpers import SECOND, Recorder
-from tests.node_harness import SETTINGS, eventually, notice
-from tests.test_node_session_manager import HOST, ID, TREE, Said
+from tests.node_harness import SETTINGS, notice, wait_until
+from tests.test_node_session_manager import HOST_ENTRY, ID, NODE_CONFIG, RecordingConnection
 
 
 class StopTest(unittest.TestCase):
-    def test_the_end_comes_after_all_that_is_taken_and_before_the_kill(self) -> None:
-        # Killed with an answer owed, or gone while set-ups still come: either is a lost request.
-        for longest_us in (0, 50_000, 150_000, 500_000, 1_500_000, 3_000_000, 5_000_000, 3_600_000_000):
-            with self.subTest(longest_us):
-                counted_us = min(longest_us or 3_000_000, 3_000_000)
-                assert shutdown_wait_us(longest_us) > 700000
-                assert shutdown_wait_us(longest_us) >= counted_us
-                assert shutdown_wait_us(longest_us) < counted_us + 700000
+    def test_a_shutdown_ends_after_all_accepted_requests_and_before_the_kill(self) -> None:
+        # A kill before an answer and an end while set-ups still arrive both lose requests.
+        for longest_timeout_us in (
+            0,
+            50_000,
+            150_000,
+            500_000,
+            1_500_000,
+            3_000_000,
+            5_000_000,
+            3_600_000_000,
+        ):
+            with self.subTest(longest_timeout_us):
+                expected_wait_us = min(longest_timeout_us or 3_000_000, 3_000_000)
+                assert shutdown_wait_us(longest_timeout_us) > 700000
+                assert shutdown_wait_us(longest_timeout_us) >= expected_wait_us
+                assert shutdown_wait_us(longest_timeout_us) < expected_wait_us + 700000
 
 
-class ColdTest(unittest.TestCase):
-    def test_all_fronts_together_stay_under_the_bound_of_a_cold_server(self) -> None:
-        # One front's few are harmless; the sum of all of them pushed cold servers over.
-        ramp_us, tip_us, fronts, fall = 8 * SECOND, 3 * SECOND, 60, 2.0
+class WarmUpTest(unittest.TestCase):
+    def test_all_fronts_together_stay_below_the_limit_of_a_server_that_warms_up(self) -> None:
+        # A few attempts of one front are harmless, but those of all fronts together overloaded servers.
+        warm_up_us, window_us, fronts, overload_factor = 8 * SECOND, 3 * SECOND, 60, 2.0
         rules = {
-            "RampTimeMs": ramp_us // 1000,
+            "RampTimeMs": warm_up_us // 1000,
             "StartCapacity": 0.5,
-            "FallMultiple": fall,
-            "TipAfterMs": tip_us // 1000,
+            "FallMultiple": overload_factor,
+            "TipAfterMs": window_us // 1000,
         }
         family = {**SETTINGS["FamilyInfo"], "KindStreams": [40], "KbPerWeight": 1e9, "AllLinksKb": 1e9}
-        made = []
+        policies = []
         for index in range(fronts):
-            tree = {**SETTINGS, "Balancers": fronts, "Index": index, "Rules": rules, "FamilyInfo": family}
-            front = PlacementPolicy(facts.read_settings(tree)[0], index, Recorder(), 0)
+            settings = {**SETTINGS, "Balancers": fronts, "Index": index, "Rules": rules, "FamilyInfo": family}
+            front = PlacementPolicy(facts.read_settings(settings)[0], index, Recorder(), 0)
             front.handle(ListUpdate(ListMode.FULL, (entry("cold", 100 * SECOND),)), 100 * SECOND)
-            made.append(front)
+            policies.append(front)
         sent: list[int] = []
-        for now_us in range(100 * SECOND, 100 * SECOND + ramp_us, SECOND // 10):
-            for front in made:
+        for now_us in range(100 * SECOND, 100 * SECOND + warm_up_us, SECOND // 10):
+            for front in policies:
                 front.handle(Request(str(now_us), "recorded", 5, 0, 1, 0, 3 * SECOND), now_us)
                 if str(now_us) in front.sessions:
                     sent.append(now_us)
                     front.handle(AttemptCompleted(str(now_us), 0, Outcome.CANCELLED, True, None), now_us)
         assert len(sent) > 20
         for at_us in sent:
-            warmed = 0.5 + 0.5 * (at_us - 100 * SECOND) / ramp_us
-            allowed = fall * 40 / ramp_us * warmed * tip_us
-            within = sum(at_us - tip_us < other <= at_us for other in sent)
+            capacity_share = 0.5 + 0.5 * (at_us - 100 * SECOND) / warm_up_us
+            allowed = overload_factor * 40 / warm_up_us * capacity_share * window_us
+            within = sum(at_us - window_us < other <= at_us for other in sent)
             assert within <= allowed + 3 * sqrt(allowed) + 3
 
 
 def entry(name: str, started_us: int) -> ListEntry:
+    """The list entry of a server with this start time."""
     return ListEntry(name, "here", "kind", 0, ServerState.ACTIVE, 1.0, started_us)
 
 
 class SingleShotTest(unittest.TestCase):
-    """A room type that may be set up once: only what provably never ran is sent again or refused."""
+    """Set-ups that must not be repeated: only one that provably never ran is retried or rejected."""
 
-    def rig(self) -> None:
-        lane = {**SETTINGS["Lanes"][0], "Effect": "single_shot"}
-        rows = [HOST, {**HOST, "host": "s1", "block": 1}]
-        tree: dict[str, Any] = {
-            **TREE,
-            "settings": {**SETTINGS, "Lanes": [lane]},
-            "known": {"rev": 1, "notices": [notice(1, rows, whole=True)]},
+    def create_manager(self) -> None:
+        """Create a session manager with two servers that store every title."""
+        service_class = {**SETTINGS["Lanes"][0], "Effect": "single_shot"}
+        entries = [HOST_ENTRY, {**HOST_ENTRY, "host": "s1", "block": 1}]
+        node_config: dict[str, Any] = {
+            **NODE_CONFIG,
+            "settings": {**SETTINGS, "Lanes": [service_class]},
+            "known": {"rev": 1, "notices": [notice(1, entries, complete=True)]},
         }
         self.clock = ManualClock(wall_start_us=1_000_000_000)
         self.timers = Timers(self.clock)
-        self.desk = session_manager.SessionManager(config.parse(tree), self.clock, self.timers, silent)
-        for told in self.desk.config.initial_batch.events:
-            self.desk.on_discovery_event(told)
-        self.viewer = Said(self.desk)
-        self.addCleanup(self.viewer.sock.close)
+        self.manager = session_manager.SessionManager(
+            config.parse(node_config), self.clock, self.timers, silent
+        )
+        for event in self.manager.config.initial_batch.events:
+            self.manager.on_discovery_event(event)
+        self.connection = RecordingConnection(self.manager)
+        self.addCleanup(self.connection.sock.close)
 
-    def out(self) -> ServerConnection | None:
-        """The link on which a set-up is out."""
+    def open_link(self) -> ServerConnection | None:
+        """The connection with an open attempt."""
         return next(
             (
                 link
-                for server in self.desk.servers.values()
+                for server in self.manager.servers.values()
                 for link in server.links
                 if link.dispatched_session
             ),
             None,
         )
 
-    def joins_after(self, end: str) -> int:
-        """How many joins one set-up takes when each of them ends like this."""
-        self.rig()
+    def attempts_after(self, end: str) -> int:
+        """The number of attempts for one set-up if each of them ends in this way."""
+        self.create_manager()
         fields = {"cseq": "1", "session": ID.hex(), "call-kind": "recorded", "answer-within": "8000"}
         fields["routing-data"] = "home:0;copies:4;top:2"
-        joins = 0
+        attempts = 0
         with (
             mock.patch("threading.Thread"),
             mock.patch("fennelcove.node.server_connection.send_now", return_value=True),
         ):
             client_requests.on_client_message(
-                self.desk, self.viewer, rtsp.Request("SETUP", "rtsp://media/7f", fields, b"what")
+                self.manager, self.connection, rtsp.Request("SETUP", "rtsp://media/7f", fields, b"what")
             )
-            while (link := self.out()) is not None:
-                joins += 1
-                self.finish(link, end)
-        return joins
+            while (link := self.open_link()) is not None:
+                attempts += 1
+                self.end_attempt(link, end)
+        return attempts
 
-    def finish(self, link: ServerConnection, end: str) -> None:
+    def end_attempt(self, link: ServerConnection, end: str) -> None:
+        """End the attempt on a connection in one of the ways of the test."""
         if end == "not connected":
             link.close(Outcome.NO_CONNECTION)
             return
@@ -150,15 +164,15 @@
             self.clock.advance(8_000_000)
             for call in self.timers.ready():
                 call()
-        elif end == "answer that can't be used":
-            self.desk.on_server_message(link, Message(MessageKind.ANSWER, ID, {}))
+        elif end == "invalid answer":
+            self.manager.on_server_message(link, Message(MessageKind.ANSWER, ID, {}))
         else:
-            self.desk.on_server_message(
+            self.manager.on_server_message(
                 link, Message(MessageKind.RELEASE, ID, {Parameter.CAUSE: bytes([Cause[end]])})
             )
 
-    def test_each_end_of_a_join(self) -> None:
-        for end, joins, status in (
+    def test_each_way_in_which_an_attempt_ends(self) -> None:
+        for end, attempts, status in (
             ("not connected", 2, 453),
             ("FULL", 2, 453),
             ("NOT_EXECUTED", 2, 453),
@@ -167,128 +181,135 @@
             ("CANCELLED", 1, 500),
             ("closed", 1, 500),
             ("silent", 1, 500),
-            ("answer that can't be used", 1, 500),
+            ("invalid answer", 1, 500),
         ):
             with self.subTest(end):
-                assert self.joins_after(end) == joins
-                [answer] = self.viewer.said
+                assert self.attempts_after(end) == attempts
+                [answer] = self.connection.sent
                 assert answer.startswith(b"RTSP/1.0 %d " % status), answer
-                assert not self.desk.sessions
+                assert not self.manager.sessions
 
-    def test_a_node_that_ends_does_not_call_it_harmless(self) -> None:
-        self.rig()
+    def test_a_node_that_shuts_down_does_not_reject_it_for_a_retry(self) -> None:
+        self.create_manager()
         fields = {"cseq": "1", "session": ID.hex(), "call-kind": "recorded", "answer-within": "8000"}
         fields["routing-data"] = "home:0;copies:4;top:2"
         with mock.patch("threading.Thread"):
             client_requests.on_client_message(
-                self.desk, self.viewer, rtsp.Request("SETUP", "rtsp://media/7f", fields, b"what")
+                self.manager, self.connection, rtsp.Request("SETUP", "rtsp://media/7f", fields, b"what")
             )
-        assert self.desk.shut_down() == 1
-        [answer] = self.viewer.said
+        assert self.manager.shut_down() == 1
+        [answer] = self.connection.sent
         assert answer.startswith(b"RTSP/1.0 500 ")
 
 
-class BoardTest(unittest.TestCase):
-    def test_a_board_that_breaks_off_and_one_that_goes_silent_are_asked_again(self) -> None:
-        # What it would have told counts as told soon after: a front that hears nothing breaks the grace.
-        told = notice(2, [{**HOST, "health": "draining"}])
-        whole = json.dumps({"rev": 2, "notices": [told]}).encode()
-        turns = iter(("half", "silent", "whole"))
-        asked: list[bytes] = []
+class DiscoveryTest(unittest.TestCase):
+    def test_after_a_partial_response_and_after_none_discovery_is_polled_again(self) -> None:
+        # Changes count as known soon after their publication; a front that misses one ignores a drain.
+        drain_notice = notice(2, [{**HOST_ENTRY, "health": "draining"}])
+        body = json.dumps({"rev": 2, "notices": [drain_notice]}).encode()
+        responses = iter(("partial", "silent", "complete"))
+        requests: list[bytes] = []
 
         def serve(listener: socket.socket) -> None:
             with suppress(OSError):
-                for turn in turns:
+                for response in responses:
                     sock, _ = listener.accept()
                     self.addCleanup(sock.close)
-                    asked.append(sock.recv(4096))
-                    data = http.response(200, [], whole)
-                    sock.sendall({"half": data[: len(data) // 2], "silent": b"", "whole": data}[turn])
-                    if turn == "half":
+                    requests.append(sock.recv(4096))
+                    data = http.response(200, [], body)
+                    sock.sendall(
+                        {"partial": data[: len(data) // 2], "silent": b"", "complete": data}[response]
+                    )
+                    if response == "partial":
                         sock.close()
 
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         threading.Thread(target=serve, args=(listener,), daemon=True).start()
         clock = SystemClock()
-        made = session_manager.SessionManager(config.parse(TREE), clock, Timers(clock), silent)
-        for first in made.config.initial_batch.events:
-            made.on_discovery_event(first)
-        watch = DiscoveryClient(made, clock, Address("127.0.0.1", listener.getsockname()[1]), 1)
-        self.addCleanup(watch.stop)
-        threading.Thread(target=watch.run, daemon=True).start()
-        eventually(lambda: made.policy.servers["s0"].state is ServerState.LEAVING, "the news")
-        assert len(asked) == 3
-        assert all(b"/board/poll?watch=1&" in request for request in asked)
+        manager = session_manager.SessionManager(config.parse(NODE_CONFIG), clock, Timers(clock), silent)
+        for event in manager.config.initial_batch.events:
+            manager.on_discovery_event(event)
+        client = DiscoveryClient(manager, clock, Address("127.0.0.1", listener.getsockname()[1]), 1)
+        self.addCleanup(client.stop)
+        threading.Thread(target=client.run, daemon=True).start()
+        wait_until(lambda: manager.policy.servers["s0"].state is ServerState.LEAVING, "the drain")
+        assert len(requests) == 3
+        assert all(b"/board/poll?watch=1&" in request for request in requests)
 
 
 class NamesTest(unittest.TestCase):
-    def said(self, room: str, kind: str, zone: str, tenant: str) -> list[bytes]:
-        """What a viewer is told where the settings use these names; the last requests are refused."""
+    def messages_to_client(self, service_class: str, kind: str, zone: str, tenant: str) -> list[bytes]:
+        """All messages to a client if the settings use these names; the last requests are rejected."""
         settings = {
             **SETTINGS,
             "Zone": zone,
             "Kinds": [kind],
-            "Lanes": [{**SETTINGS["Lanes"][0], "Name": room}],
+            "Lanes": [{**SETTINGS["Lanes"][0], "Name": service_class}],
             "Tenants": [{"Name": tenant, "QuotaPerS": 3}],
             "FamilyInfo": {**SETTINGS["FamilyInfo"], "KindStreams": [6]},
         }
-        rows = [{**HOST, "host": f"s{i}", "block": i, "site": zone, "class": kind} for i in range(3)]
-        tree = {
-            **TREE,
+        entries = [{**HOST_ENTRY, "host": f"s{i}", "block": i, "site": zone, "class": kind} for i in range(3)]
+        node_config = {
+            **NODE_CONFIG,
             "settings": settings,
-            "known": {"rev": 1, "notices": [notice(1, rows, whole=True)]},
+            "known": {"rev": 1, "notices": [notice(1, entries, complete=True)]},
         }
         clock = ManualClock(wall_start_us=1_000_000_000)
-        made = session_manager.SessionManager(config.parse(tree), clock, Timers(clock), silent)
-        for told in made.config.initial_batch.events:
-            made.on_discovery_event(told)
-        viewer = Said(made)
-        self.addCleanup(viewer.sock.close)
+        manager = session_manager.SessionManager(config.parse(node_config), clock, Timers(clock), silent)
+        for event in manager.config.initial_batch.events:
+            manager.on_discovery_event(event)
+        connection = RecordingConnection(manager)
+        self.addCleanup(connection.sock.close)
         with (
             mock.patch("threading.Thread"),
             mock.patch("fennelcove.node.server_connection.send_now", return_value=True),
         ):
             for number in range(30):
                 id = number.to_bytes(8, "big")
-                fields = {"cseq": "1", "session": id.hex(), "call-kind": room, "answer-within": "8000"}
+                fields = {
+                    "cseq": "1",
+                    "session": id.hex(),
+                    "call-kind": service_class,
+                    "answer-within": "8000",
+                }
                 fields["routing-data"] = "home:0;copies:3;top:2"
                 client_requests.on_client_message(
-                    made, viewer, rtsp.Request("SETUP", "rtsp://media/7f", fields, b"")
+                    manager, connection, rtsp.Request("SETUP", "rtsp://media/7f", fields, b"")
                 )
-                for server in made.servers.values():
+                for server in manager.servers.values():
                     for link in [link for link in server.links if link.dispatched_session]:
                         link.state = ConnectionState.OPEN
                         answer = Message(
                             MessageKind.ANSWER, id, {Parameter.DESCRIPTION: server.name.encode()}
                         )
-                        made.on_server_message(link, answer)
-        return viewer.said
+                        manager.on_server_message(link, answer)
+        return connection.sent
 
     def test_other_names_in_the_settings_change_nothing(self) -> None:
-        # Nothing may be fitted to one deployment: classes, kinds, zones and customers are the settings'.
-        here = self.said("recorded", "kind", "here", "north")
-        assert {data[9:12] for data in here} == {b"200", b"453"}
-        assert self.said("x9", "another", "hall-z", "nobody") == here
+        # No behaviour may depend on a deployment's names of service classes, kinds, zones and customers.
+        expected = self.messages_to_client("recorded", "kind", "here", "north")
+        assert {data[9:12] for data in expected} == {b"200", b"453"}
+        assert self.messages_to_client("x9", "another", "hall-z", "nobody") == expected
 
 
 class CallsTest(unittest.TestCase):
-    # Refused by the bench; a library that calls them by itself is seen by the deploy test's look at children.
-    REFUSED = frozenset(
+    # The bench forbids these; DeployTest detects libraries that call them, by the child processes.
+    FORBIDDEN = frozenset(
         "fork forkpty vfork posix_spawn posix_spawnp system popen Popen spawnv spawnl sendfile splice "
         "subprocess multiprocessing asyncio concurrent AF_UNIX AF_INET6 socketpair".split()
     )
 
-    def test_what_run_imports_makes_no_call_that_is_refused(self) -> None:
+    def test_no_imported_module_makes_a_forbidden_call(self) -> None:
         code = (
             "import sys, fennelcove.node.program\n"
             "print(*(m.__file__ for n, m in sys.modules.items() if n.startswith('fennelcove')"
             " and getattr(m, '__file__', None)), sep='\\n')"
         )
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-        files = [Path(line) for line in done.stdout.split()]
+        result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+        files = [Path(line) for line in result.stdout.split()]
         assert "program.py" in {path.name for path in files}
-        found = []
+        forbidden_names = []
         for path in files:
             for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
                 names = [
@@ -298,5 +319,5 @@
                 ]
                 if isinstance(node, ast.Import | ast.ImportFrom):
                     names += [alias.name for alias in node.names]
-                found += [f"{path.name}: {n}" for n in names if set(n.split(".")) & self.REFUSED]
-        assert found == []
+                forbidden_names += [f"{path.name}: {n}" for n in names if set(n.split(".")) & self.FORBIDDEN]
+        assert forbidden_names == []
--- a/tests/test_node_reload.py
+++ b/tests/test_node_reload.py
@@ -1,4 +1,4 @@
-"""What a front node takes over of a file at SIGHUP, and what it says of one that it can't use."""
+"""What a front node applies from its configuration at SIGHUP, and how it reports an invalid one."""
 
 from __future__ import annotations
 
@@ -12,161 +12,184 @@
 
 from fennelcove.node.config_reloader import MAX_ATTEMPTS
 
-from tests.node_harness import StandInBoard, StandInServer, eventually
-from tests.node_process_control import BRIEF, Gate, Rig, run
+from tests.node_harness import FakeDiscovery, FakeServer, wait_until
+from tests.node_process_control import (
+    SHORT_TIMEOUT_SETTINGS,
+    BlockingPipe,
+    LoggedNodeProcess,
+    start_node_process,
+)
 
 
 class ReloadTest(unittest.TestCase):
-    def rig(self) -> Rig:
-        made = Rig(StandInServer("s0", 0))
-        self.addCleanup(made.close)
-        return made
-
-    def handed(self, rig: Rig, change: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
-        """The log line of one SIGHUP with the rig's file changed so."""
-        tree = copy.deepcopy(rig.config)
-        change(tree)
-        fresh = rig.path.with_suffix(".other")
-        fresh.write_text(json.dumps(tree))
-        fresh.replace(rig.path)
-        before = len(rig.told("config_reloaded", "config_reload_failed"))
-        rig.signal(signal.SIGHUP)
-        lines = eventually(
-            lambda: rig.told("config_reloaded", "config_reload_failed")[before:], "a line of the log"
+    def start_node(self) -> LoggedNodeProcess:
+        """Start a node that ends with the test."""
+        node = LoggedNodeProcess(FakeServer("s0", 0))
+        self.addCleanup(node.close)
+        return node
+
+    def reload(self, node: LoggedNodeProcess, change: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
+        """Change the configuration, send SIGHUP, and return the log line that follows."""
+        node_config = copy.deepcopy(node.config)
+        change(node_config)
+        replacement = node.config_path.with_suffix(".other")
+        replacement.write_text(json.dumps(node_config))
+        replacement.replace(node.config_path)
+        before = len(node.log_events("config_reloaded", "config_reload_failed"))
+        node.send_signal(signal.SIGHUP)
+        lines = wait_until(
+            lambda: node.log_events("config_reloaded", "config_reload_failed")[before:], "a log line"
         )
         return dict(lines[0])
 
-    def test_a_file_that_is_not_this_node_s_is_refused_whole(self) -> None:
-        rig = self.rig()
-        stranger = StandInBoard(rig.board.notices)
+    def test_the_configuration_of_another_node_is_rejected_completely(self) -> None:
+        node = self.start_node()
+        foreign_discovery = FakeDiscovery(node.discovery.notices)
 
-        def settings(tree: dict[str, Any], **fields: Any) -> None:
-            tree["settings"].update(fields)
+        def update_settings(node_config: dict[str, Any], **fields: Any) -> None:
+            node_config["settings"].update(fields)
 
-        lane = {**BRIEF["Lanes"][0], "Name": "another's"}
+        service_class = {**SHORT_TIMEOUT_SETTINGS["Lanes"][0], "Name": "other"}
         changes: dict[str, Callable[[dict[str, Any]], Any]] = {
-            "name": lambda tree: tree.update(name="n7"),
-            "listen": lambda tree: tree.update(listen="127.0.0.1:9"),
-            "limits.sockets": lambda tree: tree["limits"].update(sockets=64),
-            "limits.memory_mb": lambda tree: tree["limits"].update(memory_mb=32),
-            "settings.Lanes": lambda tree: settings(tree, Lanes=[lane]),
-            "settings.Balancers": lambda tree: settings(tree, Balancers=2),
-            "settings.Allowed": lambda tree: settings(tree, Allowed={"ConnIdleMs": 1000}),
+            "name": lambda node_config: node_config.update(name="n7"),
+            "listen": lambda node_config: node_config.update(listen="127.0.0.1:9"),
+            "limits.sockets": lambda node_config: node_config["limits"].update(sockets=64),
+            "limits.memory_mb": lambda node_config: node_config["limits"].update(memory_mb=32),
+            "settings.Lanes": lambda node_config: update_settings(node_config, Lanes=[service_class]),
+            "settings.Balancers": lambda node_config: update_settings(node_config, Balancers=2),
+            "settings.Allowed": lambda node_config: update_settings(
+                node_config, Allowed={"ConnIdleMs": 1000}
+            ),
         }
         for field, change in changes.items():
             with self.subTest(field):
 
-                def foreign(tree: dict[str, Any], change: Callable[[dict[str, Any]], Any] = change) -> None:
-                    tree["board"] = stranger.address
-                    change(tree)
+                def make_foreign(
+                    node_config: dict[str, Any], change: Callable[[dict[str, Any]], Any] = change
+                ) -> None:
+                    node_config["board"] = foreign_discovery.address
+                    change(node_config)
 
-                line = self.handed(rig, foreign)
+                line = self.reload(node, make_foreign)
                 assert (line["event"], line.get("code")) == (
                     "config_reload_failed",
                     "node-configuration-foreign",
                 )
                 assert line["reason"].endswith(f"differs from the running configuration in {field}"), line
                 assert "restart the node" in line["advice"]
-        polls = rig.board.polls
-        eventually(lambda: rig.board.polls > polls + 2, "polls at the node's own board")
-        assert stranger.polls == 0
-        viewer = rig.caller()
-        viewer.set_up("9b1f03aa5c7e2d41")
-        assert viewer.answer().status == 200
-
-    def test_a_refused_file_is_told_of_once(self) -> None:
-        rig = self.rig()
-        rig.path.unlink()
-        gate = Gate(rig.path)
-        rig.signal(signal.SIGHUP)
-        for _ in range(MAX_ATTEMPTS):  # each try of one signal reads the same
-            held = gate.held()
-            gate.renew()
-            gate.let(held, "{")
-        eventually(lambda: rig.told("config_reload_failed"), "its line")
-        rig.signal(signal.SIGHUP)
-        gate.let(gate.held(), json.dumps(rig.config))
-        eventually(lambda: rig.told("config_reloaded"), "the good file")
-        assert len(rig.told("config_reload_failed")) == 1
-
-    def test_a_file_caught_half_written_is_read_again(self) -> None:
-        rig = self.rig()
-        rig.path.unlink()
-        gate = Gate(rig.path)
-        rig.signal(signal.SIGHUP)
-        held = gate.held()
-        rig.write()  # the whole one is in its place before the half has been read
-        gate.let(held, "{")
-        eventually(lambda: rig.told("config_reloaded"), "the whole file")
-        assert rig.told("config_reload_failed") == []
-
-    def test_the_node_s_own_file_with_another_board_is_taken(self) -> None:
-        rig = self.rig()
-        board = StandInBoard(rig.board.notices)
-
-        def own(tree: dict[str, Any]) -> None:
-            tree.update(board=board.address, seed="0f", known={"rev": 0, "notices": []})
-            tree["settings"]["NotRead"] = 7  # says nothing that the node runs by
-
-        assert self.handed(rig, own)["event"] == "config_reloaded"
-        eventually(lambda: board.polls > 2, "polls at the new board")
-
-
-class UnusableTest(unittest.TestCase):
-    """A file that can't be used, at a start and at SIGHUP."""
-
-    def texts(self, good: dict[str, Any]) -> dict[str, str]:
+        poll_count = node.discovery.poll_count
+        wait_until(
+            lambda: node.discovery.poll_count > poll_count + 2, "polls at the node's own discovery service"
+        )
+        assert foreign_discovery.poll_count == 0
+        client = node.connect_client()
+        client.set_up("9b1f03aa5c7e2d41")
+        assert client.receive_response().status == 200
+
+    def test_a_rejected_file_is_logged_once(self) -> None:
+        node = self.start_node()
+        node.config_path.unlink()
+        pipe = BlockingPipe(node.config_path)
+        node.send_signal(signal.SIGHUP)
+        for _ in range(MAX_ATTEMPTS):  # each attempt after one signal reads the same text
+            descriptor = pipe.wait_for_reader()
+            pipe.replace()
+            pipe.write_and_close(descriptor, "{")
+        wait_until(lambda: node.log_events("config_reload_failed"), "the logged failure")
+        node.send_signal(signal.SIGHUP)
+        pipe.write_and_close(pipe.wait_for_reader(), json.dumps(node.config))
+        wait_until(lambda: node.log_events("config_reloaded"), "the valid file")
+        assert len(node.log_events("config_reload_failed")) == 1
+
+    def test_a_partly_written_file_is_read_again(self) -> None:
+        node = self.start_node()
+        node.config_path.unlink()
+        pipe = BlockingPipe(node.config_path)
+        node.send_signal(signal.SIGHUP)
+        descriptor = pipe.wait_for_reader()
+        node.write_config()  # the complete file is in place before the partial one has been read
+        pipe.write_and_close(descriptor, "{")
+        wait_until(lambda: node.log_events("config_reloaded"), "the complete file")
+        assert node.log_events("config_reload_failed") == []
+
+    def test_the_node_s_own_file_with_another_discovery_address_is_applied(self) -> None:
+        node = self.start_node()
+        discovery = FakeDiscovery(node.discovery.notices)
+
+        def change_discovery(node_config: dict[str, Any]) -> None:
+            node_config.update(board=discovery.address, seed="0f", known={"rev": 0, "notices": []})
+            node_config["settings"]["NotRead"] = 7  # a setting that the node does not use
+
+        assert self.reload(node, change_discovery)["event"] == "config_reloaded"
+        wait_until(lambda: discovery.poll_count > 2, "polls at the new discovery service")
+
+
+class InvalidFileTest(unittest.TestCase):
+    """An invalid configuration, at the start and at SIGHUP."""
+
+    def invalid_files(self, valid_config: dict[str, Any]) -> dict[str, str]:
+        """Invalid contents of the configuration file, by their fault."""
+
         def with_settings(**fields: Any) -> str:
-            return json.dumps({**good, "settings": {**good["settings"], **fields}})
+            return json.dumps({**valid_config, "settings": {**valid_config["settings"], **fields}})
 
         return {
             "empty": "",
-            "half": json.dumps(good)[:-40],
-            "no text": "\x00\x01",
+            "truncated": json.dumps(valid_config)[:-40],
+            "binary data": "\x00\x01",
             "a list": "[]",
-            "nested past all depth": "[" * 100_000,
-            "no settings": json.dumps({**good, "settings": None}),
-            "no room types": with_settings(Lanes=[]),
-            "a wait past all numbers": with_settings(Allowed={"ConnIdleMs": 1e308}),
-            "no address": json.dumps({**good, "listen": "nowhere"}),
-            "no board": json.dumps({**good, "board": None}),
-            "a seed that is a list": json.dumps({**good, "seed": []}),
-            "a seed past all numbers": json.dumps({**good, "seed": 0}).replace('"seed": 0', '"seed": 1e999'),
-            "known that is none": json.dumps({**good, "known": {"rev": 1, "notices": [{"pool": 7}]}}),
-            "a birth past all numbers": json.dumps(good).replace('"born_ms": 0', '"born_ms": 1e308'),
+            "nested too deeply": "[" * 100_000,
+            "no settings": json.dumps({**valid_config, "settings": None}),
+            "no service classes": with_settings(Lanes=[]),
+            "a timeout that is too large": with_settings(Allowed={"ConnIdleMs": 1e308}),
+            "no address": json.dumps({**valid_config, "listen": "nowhere"}),
+            "no discovery address": json.dumps({**valid_config, "board": None}),
+            "a seed that is a list": json.dumps({**valid_config, "seed": []}),
+            "a seed that is too large": json.dumps({**valid_config, "seed": 0}).replace(
+                '"seed": 0', '"seed": 1e999'
+            ),
+            "an invalid known list": json.dumps(
+                {**valid_config, "known": {"rev": 1, "notices": [{"pool": 7}]}}
+            ),
+            "a start time that is too large": json.dumps(valid_config).replace(
+                '"born_ms": 0', '"born_ms": 1e308'
+            ),
         }
 
-    def test_at_a_start_it_is_told_with_what_can_be_done_and_status_1(self) -> None:
-        rig = Rig(StandInServer("s0", 0))
-        self.addCleanup(rig.close)
-        path = rig.path.with_name("spoilt.json")
-        texts = self.texts(rig.config)
-        # Another's address, as seen from here: nothing can listen there.
-        texts["an address that is taken"] = json.dumps(rig.config)
-        for name, text in [*texts.items(), ("missing", None)]:
+    def test_at_the_start_it_is_reported_with_advice_and_status_1(self) -> None:
+        node = LoggedNodeProcess(FakeServer("s0", 0))
+        self.addCleanup(node.close)
+        path = node.config_path.with_name("invalid.json")
+        contents = self.invalid_files(node.config)
+        # The running node's own address: no other process can listen on it.
+        contents["an address in use"] = json.dumps(node.config)
+        for name, text in [*contents.items(), ("missing", None)]:
             with self.subTest(name):
                 path.unlink(missing_ok=True)
                 if text is not None:
                     path.write_text(text)
-                process = run(path)
-                said, _ = process.communicate(timeout=30)
+                process = start_node_process(path)
+                output, _ = process.communicate(timeout=30)
                 assert process.returncode == 1
-                assert "Traceback" not in said
+                assert "Traceback" not in output
                 assert re.search(
-                    "(?s)^fennelcove: .+\\n  what can be done: .+ \\[node-configuration-\\w+\\]\\n$", said
+                    "(?s)^fennelcove: .+\\n  what can be done: .+ \\[node-configuration-\\w+\\]\\n$", output
                 )
 
-    def test_at_sighup_the_old_one_stays_whole(self) -> None:
-        rig = Rig(StandInServer("s0", 0))
-        self.addCleanup(rig.close)
-        for count, (name, text) in enumerate(self.texts(rig.config).items(), 1):
+    def test_at_sighup_the_previous_configuration_stays_in_force(self) -> None:
+        node = LoggedNodeProcess(FakeServer("s0", 0))
+        self.addCleanup(node.close)
+        for count, (name, text) in enumerate(self.invalid_files(node.config).items(), 1):
             with self.subTest(name):
-                rig.path.write_text(text)
-                rig.signal(signal.SIGHUP)
-                lines = eventually(
-                    lambda count=count: rig.told("config_reload_failed")[count - 1 :], "its line"
+                node.config_path.write_text(text)
+                node.send_signal(signal.SIGHUP)
+                lines = wait_until(
+                    lambda count=count: node.log_events("config_reload_failed")[count - 1 :],
+                    "the logged failure",
                 )
                 assert lines[0].get("code") == "node-configuration-unusable"
-        polls = rig.board.polls
-        eventually(lambda: rig.board.polls > polls + 2, "polls at the node's own board")
-        assert rig.test() == 200
+        poll_count = node.discovery.poll_count
+        wait_until(
+            lambda: node.discovery.poll_count > poll_count + 2, "polls at the node's own discovery service"
+        )
+        assert node.health_status() == 200
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one customer serve nobody else: apart, one after the other, and beside each other."""
+"""Settings of one customer do not affect another: separately, in sequence, and interleaved."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from fennelcove.placement import PlacementPolicy
 
 from tests.helpers import SECOND, Recorder
-from tests.node_harness import SETTINGS, NodeRig, StandInServer, eventually
+from tests.node_harness import SETTINGS, FakeServer, NodeProcess, wait_until
 
 NORTH: dict[str, Any] = {
     **SETTINGS,
@@ -72,17 +72,17 @@
 }
 
 
-class BesideEachOtherTest(unittest.TestCase):
-    def play(self, tree: dict[str, Any], seed: int) -> Iterator[list[tuple[Any, ...]]]:
-        """One front under some load, a step at a time; at each, all that it has asked for so far."""
-        settings = facts.read_settings(tree)[0]
-        said, draws, rooms = Recorder(), Random(seed), list(settings.service_classes)
-        front = PlacementPolicy(settings, seed, said, 100 * SECOND)
+class IndependentPoliciesTest(unittest.TestCase):
+    def run_front(self, platform_settings: dict[str, Any], seed: int) -> Iterator[list[tuple[Any, ...]]]:
+        """Run a front under some load, and yield all its effects so far after each step."""
+        settings = facts.read_settings(platform_settings)[0]
+        effects, rng, service_classes = Recorder(), Random(seed), list(settings.service_classes)
+        front = PlacementPolicy(settings, seed, effects, 100 * SECOND)
         entries = tuple(
             ListEntry(
                 f"s{i}",
                 settings.zone,
-                tree["Kinds"][i % 2],
+                platform_settings["Kinds"][i % 2],
                 i,
                 ServerState.ACTIVE,
                 1.0,
@@ -95,7 +95,7 @@
             now_us = 100 * SECOND + number * 30_000
             request = Request(
                 str(number),
-                rooms[number % len(rooms)],
+                service_classes[number % len(service_classes)],
                 number % 7,
                 number % 6,
                 3,
@@ -104,32 +104,32 @@
                 tenant="school",
             )
             front.handle(request, now_us)
-            if number % 3 and (sub := front.sessions.get(str(number))) is not None and sub.attempts:
-                front.handle(SessionStarted(sub.id, 0, 1000), now_us + 1000)
-            elif sub := front.sessions.get(str(number)):
-                outcome = draws.choice((Outcome.SERVER_ERROR, Outcome.REJECTED, Outcome.CONNECTION_LOST))
-                report = LoadReport(draws.random(), None)
-                front.handle(AttemptCompleted(sub.id, 0, outcome, False, report), now_us + 1000)
-            yield said.calls
-
-    def test_each_does_beside_the_other_what_it_does_alone(self) -> None:
+            if number % 3 and (session := front.sessions.get(str(number))) is not None and session.attempts:
+                front.handle(SessionStarted(session.id, 0, 1000), now_us + 1000)
+            elif session := front.sessions.get(str(number)):
+                outcome = rng.choice((Outcome.SERVER_ERROR, Outcome.REJECTED, Outcome.CONNECTION_LOST))
+                report = LoadReport(rng.random(), None)
+                front.handle(AttemptCompleted(session.id, 0, outcome, False, report), now_us + 1000)
+            yield effects.calls
+
+    def test_interleaved_policies_do_the_same_as_separate_ones(self) -> None:
         alone = {}
-        for name, tree in (("north", NORTH), ("south", SOUTH), ("north again", NORTH)):
-            for calls in self.play(tree, 5):
+        for name, platform_settings in (("north", NORTH), ("south", SOUTH), ("north again", NORTH)):
+            for calls in self.run_front(platform_settings, 5):
                 alone[name] = calls
         assert alone["north"] == alone["north again"]
         assert alone["north"] != alone["south"]
         assert len(alone["south"]) > 100
-        for north, south in zip(self.play(NORTH, 5), self.play(SOUTH, 5), strict=True):
-            beside = (list(north), list(south))
-        assert beside == (alone["north"], alone["south"])
+        for north, south in zip(self.run_front(NORTH, 5), self.run_front(SOUTH, 5), strict=True):
+            interleaved = (list(north), list(south))
+        assert interleaved == (alone["north"], alone["south"])
 
-    def test_what_one_names_and_the_other_does_not_is_as_if_nobody_named_it(self) -> None:
+    def test_settings_that_only_another_customer_names_keep_their_defaults(self) -> None:
         plain = facts.read_settings(SETTINGS)[0]
         facts.read_settings(NORTH), facts.read_settings(SOUTH)
         after = facts.read_settings(SETTINGS)[0]
         for name in type(plain).__slots__:
-            if name != "service_classes":  # whose types are equal to themselves alone
+            if name != "service_classes":  # its values are compared by identity
                 assert getattr(plain, name) == getattr(after, name), name
         assert list(after.service_classes) == ["recorded"]
         assert facts.connection_settings({**NORTH, "Allowed": {}}).connect_us == 0
@@ -138,47 +138,51 @@
 SESSION_NUMBERS = itertools.count(1)
 
 
-class Node(NodeRig):
-    """A node under some settings."""
+class CustomSettingsNode(NodeProcess):
+    """A node with the given settings."""
 
-    def __init__(self, settings: dict[str, Any], server: StandInServer) -> None:
+    def __init__(self, settings: dict[str, Any], server: FakeServer) -> None:
         self.settings = settings
         super().__init__(server)
 
-    def write(self) -> None:
+    def write_config(self) -> None:
         self.config["settings"] = self.settings
-        super().write()
+        super().write_config()
 
 
-class ProcessesTest(unittest.TestCase):
-    def node(self, settings: dict[str, Any]) -> Node:
-        server = StandInServer("s0", 0)
+class IndependentProcessesTest(unittest.TestCase):
+    def start_node(self, settings: dict[str, Any]) -> CustomSettingsNode:
+        """Start a node that ends with the test."""
+        server = FakeServer("s0", 0)
         self.addCleanup(server.listener.close)
-        node = Node(settings, server)
+        node = CustomSettingsNode(settings, server)
         self.addCleanup(node.close)
         return node
 
-    def answers(self, node: Node, *asks: tuple[str, int]) -> list[int]:
-        caller, found = node.caller(), list[int]()
-        with caller.sock:
-            for room, top in asks:
+    def answer_statuses(self, node: CustomSettingsNode, *requests: tuple[str, int]) -> list[int]:
+        """The statuses of set-ups, each with a service class and a highest rung."""
+        client, statuses = node.connect_client(), list[int]()
+        with client.sock:
+            for service_class, top in requests:
                 routing = f"home:0;copies:4;top:{top}"
-                caller.set_up(f"{next(SESSION_NUMBERS):016x}", routing=routing, **{"Call-Kind": room})
-                found.append(caller.answer().status)
-        return found
-
-    def test_two_processes_and_a_file_that_names_another_customer(self) -> None:
-        asks = (("lesson", 2), ("exam", 4), ("exam", 2))
-        north, south = self.node(NORTH), self.node(SOUTH)
-        assert self.answers(north, *asks) == [200, 451, 200]
-        assert self.answers(south, *asks) == [451, 200, 200]
-        # Of a file read anew the node takes its board alone: half of another's settings are nobody's.
+                client.set_up(
+                    f"{next(SESSION_NUMBERS):016x}", routing=routing, **{"Call-Kind": service_class}
+                )
+                statuses.append(client.receive_response().status)
+        return statuses
+
+    def test_two_processes_and_a_reloaded_file_of_another_customer(self) -> None:
+        requests = (("lesson", 2), ("exam", 4), ("exam", 2))
+        north, south = self.start_node(NORTH), self.start_node(SOUTH)
+        assert self.answer_statuses(north, *requests) == [200, 451, 200]
+        assert self.answer_statuses(south, *requests) == [451, 200, 200]
+        # From a reloaded file the node applies only the discovery address, so that settings are never mixed.
         north.settings = SOUTH
-        north.write()
-        polls = north.board.polls
-        north.signal(signal.SIGHUP)
-        eventually(lambda: north.board.polls > polls + 2, "polls after the signal")
-        assert self.answers(north, *asks) == [200, 451, 200]
+        north.write_config()
+        poll_count = north.discovery.poll_count
+        north.send_signal(signal.SIGHUP)
+        wait_until(lambda: north.discovery.poll_count > poll_count + 2, "polls after the signal")
+        assert self.answer_statuses(north, *requests) == [200, 451, 200]
 
 
 if __name__ == "__main__":
--- a/tests/test_session_guard.py
+++ b/tests/test_session_guard.py
@@ -1,4 +1,4 @@
-"""The guard of sessions' invariants: a step that would break one is refused or made harmless, and counted."""
+"""The guard of session invariants: a step that would violate one is prevented or corrected, and counted."""
 
 from __future__ import annotations
 
@@ -13,77 +13,82 @@
 from fennelcove.node.session_states import SessionEvent
 from fennelcove.rtsp import writer
 
-from tests.node_harness import SETTINGS, StandInServer, eventually
-from tests.node_process_control import Rig
-from tests.test_node_clients import mute
-from tests.test_node_connections import FrontHere
+from tests.node_harness import SETTINGS, FakeServer, wait_until
+from tests.node_process_control import LoggedNodeProcess
+from tests.test_node_clients import no_reply
+from tests.test_node_connections import InProcessFront
 
 ID = "00000000000000a1"
 SINGLE_SHOT: dict[str, Any] = {**SETTINGS, "Lanes": [{**SETTINGS["Lanes"][0], "Effect": "single_shot"}]}
 
 
 class GuardTest(unittest.TestCase):
-    def begun(self, settings: dict[str, Any] = SINGLE_SHOT) -> tuple[FrontHere, Session, StandInServer]:
-        """A session whose attempt is out at a server that says nothing."""
-        server = StandInServer("s0", 0, mute)
-        front = FrontHere(server.row, settings=settings)
+    def start_attempt(
+        self, settings: dict[str, Any] = SINGLE_SHOT
+    ) -> tuple[InProcessFront, Session, FakeServer]:
+        """A session with an open attempt at a server that does not answer."""
+        server = FakeServer("s0", 0, no_reply)
+        front = InProcessFront(server.host_entry, settings=settings)
         with front.manager.lock:
             front.set_up(ID)
-        eventually(lambda: server.of(MessageKind.SET_UP), "the set-up")
+        wait_until(lambda: server.messages(MessageKind.SET_UP), "the set-up")
         return front, front.manager.sessions[bytes.fromhex(ID)], server
 
-    def violations(self, front: FrontHere) -> dict[str, int]:
+    def violations(self, front: InProcessFront) -> dict[str, int]:
+        """The counted violations, by invariant."""
         return dict(front.manager.metrics.counts[Metric.VIOLATION])
 
     def test_a_second_answer_is_not_sent(self) -> None:
-        front, session, _ = self.begun()
+        front, session, _ = self.start_attempt()
         with front.manager.lock:
             session_states.apply_event(front.manager, session, SessionEvent.ABORTED)
             session.state = SessionState.PENDING
             session_states.apply_event(front.manager, session, SessionEvent.FAILED)
-        assert front.caller.answer().status == 500
-        front.caller.send(writer.request("OPTIONS", "rtsp://media/ping", ("CSeq", "3")))
-        assert front.caller.answer().fields["cseq"] == "3"
+        assert front.client.receive_response().status == 500
+        front.client.send(writer.request("OPTIONS", "rtsp://media/ping", ("CSeq", "3")))
+        assert front.client.receive_response().fields["cseq"] == "3"
         assert self.violations(front) == {"answered_once": 1}
 
-    def test_a_single_shot_request_that_may_have_run_is_neither_repeated_nor_called_harmless(self) -> None:
-        front, session, server = self.begun()
+    def test_a_single_shot_request_that_may_have_run_is_neither_repeated_nor_rejected_for_a_retry(
+        self,
+    ) -> None:
+        front, session, server = self.start_attempt()
         with front.manager.lock:
             session.current_attempt.outcome = Outcome.NO_ANSWER
             session.may_have_run = True
-            again = session.attempt = Attempt(
+            second_attempt = session.attempt = Attempt(
                 session.current_attempt.server, 1, front.manager.now_us(), 1_000_000
             )
-            [link] = again.server.links
+            [link] = second_attempt.server.links
             link.dispatch(session)
             assert self.violations(front) == {"repeated_with_proof": 1}
-        assert front.caller.answer().status == 500
-        assert len(server.of(MessageKind.SET_UP)) == 1
+        assert front.client.receive_response().status == 500
+        assert len(server.messages(MessageKind.SET_UP)) == 1
         assert self.violations(front)["repeated_with_proof"] == 1
 
-    def test_nothing_is_sent_past_its_client_s_timeout(self) -> None:
-        # Its connection was made as the time ran out, while the timer that ends the attempt waited.
-        front, session, server = self.begun()
+    def test_nothing_is_sent_after_the_client_s_timeout(self) -> None:
+        # The connection was established as the time ran out, before the delayed timer ended the attempt.
+        front, session, server = self.start_attempt()
         with front.manager.lock:
             attempt = session.current_attempt
             assert attempt.link is not None
             attempt.is_sent = False
             session.answer_deadline_us = front.manager.clock.now_us() - 1
             attempt.link.dispatch(session)
-        assert len(server.of(MessageKind.SET_UP)) == 1
+        assert len(server.messages(MessageKind.SET_UP)) == 1
         assert self.violations(front) == {}
 
     def test_an_attempt_is_sent_once(self) -> None:
-        front, session, server = self.begun()
+        front, session, server = self.start_attempt()
         with front.manager.lock:
             link = session.current_attempt.link
             assert link is not None
             link.dispatch(session)
         assert self.violations(front) == {"one_attempt": 1}
-        assert len(server.of(MessageKind.SET_UP)) == 1
+        assert len(server.messages(MessageKind.SET_UP)) == 1
 
     def test_a_set_up_does_not_replace_another_under_its_id(self) -> None:
-        front, session, _ = self.begun()
+        front, session, _ = self.start_attempt()
         with front.manager.lock:
             front.manager.admission.admit(Session(session.id, ID, "1", "recorded", "7f", b"", None, ""), None)  # type: ignore[arg-type]
         assert front.manager.sessions[session.id] is session
@@ -91,10 +96,10 @@
 
 
 class LogTest(unittest.TestCase):
-    def test_a_node_that_is_served_by_the_rules_breaks_none(self) -> None:
-        rig = Rig(StandInServer("s0", 0))
-        self.addCleanup(rig.close)
-        caller = rig.caller()
-        caller.set_up(ID)
-        assert caller.answer().status == 200
-        assert rig.told("invariant_violated") == []
+    def test_a_normal_request_violates_no_invariant(self) -> None:
+        node = LoggedNodeProcess(FakeServer("s0", 0))
+        self.addCleanup(node.close)
+        client = node.connect_client()
+        client.set_up(ID)
+        assert client.receive_response().status == 200
+        assert node.log_events("invariant_violated") == []
--- a/tests/test_work_per_event.py
+++ b/tests/test_work_per_event.py
@@ -1,6 +1,6 @@
-"""What one event costs must not grow with the fleet: its work is done while every request waits for the lock.
+"""The cost of one event must not grow with the fleet, since all requests wait for the lock meanwhile.
 
-Cost is counted in lines of Python run, so that the verdict does not hang on the machine.
+Cost is counted in executed lines of Python, so that the result does not depend on the machine.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from tests.helpers import SECOND, complete_attempt, entry, establish_session, front, report_measurement
 from tests.node_harness import SETTINGS, notice
 
-USUAL, MANY = 200, 3_200
+USUAL_SERVERS, MANY_SERVERS = 200, 3_200
 GROWTH = (
     1.4  # the operators' bound on processor time from the usual number of servers to sixteen times as many
 )
@@ -32,7 +32,7 @@
 
 
 def lines_run(call: Callable[[], object]) -> int:
-    """Lines of Python that a call runs, each time through a loop or a comprehension counted."""
+    """The number of Python lines that a call executes; each iteration of a loop or comprehension counts."""
     count = 0
 
     def trace(frame: FrameType, event: str, argument: Any) -> Any:
@@ -50,7 +50,7 @@
 
 
 def policy_among(servers: int) -> PlacementPolicy:
-    """A policy that knows so many servers in two racks, and has a session playing at each of a few."""
+    """A policy that knows so many servers in two racks, with one session at each of the first few."""
     policy, _ = front(0, total_links_kb=1_000.0 * servers, uplink_kb=1_000.0 * servers)
     policy.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(servers))), policy.now_us)
     for i in range(SESSIONS):
@@ -59,7 +59,8 @@
 
 
 def assert_no_growth(lines_among: Callable[[int], int]) -> None:
-    assert lines_among(MANY) <= GROWTH * lines_among(USUAL)
+    """Check that work for many servers is not much more than for the usual number."""
+    assert lines_among(MANY_SERVERS) <= GROWTH * lines_among(USUAL_SERVERS)
 
 
 def test_the_end_of_a_session_visits_no_server_without_sessions() -> None:
@@ -79,7 +80,7 @@
     assert_no_growth(lines_among)
 
 
-def test_racks_hold_active_servers_and_those_with_sessions_in_the_order_of_the_list() -> None:
+def test_racks_contain_active_servers_and_those_with_sessions_in_list_order() -> None:
     policy = policy_among(30)
     busy = next(iter(policy.sessions.values())).server
     update = tuple(
@@ -106,7 +107,7 @@
         policy.now_us += 1
         return lines_run(policy.mean_utilization)
 
-    assert lines_among(MANY) <= GROWTH * lines_among(MAX_SAMPLED_LINKS)
+    assert lines_among(MANY_SERVERS) <= GROWTH * lines_among(MAX_SAMPLED_LINKS)
 
 
 def test_the_mean_utilization_follows_the_servers_contacted_last() -> None:
@@ -123,47 +124,50 @@
 
 
 def node_among(servers: int, connected: int = SESSIONS) -> SessionManager:
-    """A node's parts without sockets: servers that it is connected to have just been removed."""
-    rows = [row(i) for i in range(servers)]
-    known = {"rev": 1, "notices": [notice(1, rows, whole=True)]}
-    tree = {"listen": "127.0.0.1:1", "board": "127.0.0.1:2", "known": known, "settings": SETTINGS}
+    """A session manager without sockets; the servers that it is connected to have just been removed."""
+    entries = [host_entry(i) for i in range(servers)]
+    known = {"rev": 1, "notices": [notice(1, entries, complete=True)]}
+    node_config = {"listen": "127.0.0.1:1", "board": "127.0.0.1:2", "known": known, "settings": SETTINGS}
     clock = ManualClock(wall_start_us=1_700_000_000 * SECOND)
-    node = SessionManager(config.parse(tree), clock, Timers(clock), silent)
+    node = SessionManager(config.parse(node_config), clock, Timers(clock), silent)
     for event in node.config.initial_batch.events:
         node.on_discovery_event(event)
     for i in range(connected):
         node.pool.create(node.servers[f"s{i}"])
-    removed = [row(i, health="removed") for i in range(connected)]
+    removed = [host_entry(i, health="removed") for i in range(connected)]
     node.on_discovery_event(change(2, *removed))
     return node
 
 
-def row(i: int, **changes: Any) -> dict[str, Any]:
+def host_entry(i: int, **changes: Any) -> dict[str, Any]:
+    """The entry of a server in a discovery notice."""
     address = f"127.0.{i // 250}.{i % 250}:3868"
-    fixed = {"site": "here", "class": "kind", "block": i, "health": "up", "share": 1, "born_ms": 0}
-    return {"host": f"s{i}", "dial": address, **fixed, **changes}
+    defaults = {"site": "here", "class": "kind", "block": i, "health": "up", "share": 1, "born_ms": 0}
+    return {"host": f"s{i}", "dial": address, **defaults, **changes}
 
 
-def change(rev: int, *rows: dict[str, Any]) -> DiscoveryEvent:
-    [event] = DiscoveryBatch.parse({"rev": rev, "notices": [notice(rev, list(rows))]}).events
+def change(rev: int, *entries: dict[str, Any]) -> DiscoveryEvent:
+    """A discovery event with these servers."""
+    [event] = DiscoveryBatch.parse({"rev": rev, "notices": [notice(rev, list(entries))]}).events
     return event
 
 
 def test_a_discovery_event_visits_no_server_without_connections() -> None:
     def lines_among(servers: int) -> int:
         node = node_among(servers)
-        event = change(3, row(100, host="new", dial="127.1.0.1:3868"))
+        event = change(3, host_entry(100, host="new", dial="127.1.0.1:3868"))
         return lines_run(lambda: node.on_discovery_event(event))
 
     assert_no_growth(lines_among)
 
 
 def test_a_batch_of_discovery_events_visits_connected_servers_once() -> None:
-    # Each event of a batch visited them all: 124 ms with the lock held, for the events of a release.
+    # Each event of a batch visited all of them: the events of a release held the lock for 124 ms.
     def lines_with(connected: int) -> int:
-        node = node_among(USUAL, connected)
+        node = node_among(USUAL_SERVERS, connected)
         events = [
-            change(rev, row(rev, host=f"new-{rev}", dial=f"127.1.0.{rev}:3868")) for rev in range(3, 203)
+            change(rev, host_entry(rev, host=f"new-{rev}", dial=f"127.1.0.{rev}:3868"))
+            for rev in range(3, 203)
         ]
         return lines_run(lambda: node.on_discovery_events(events))
 
@@ -179,7 +183,7 @@
     assert_no_growth(lines_among)
 
 
-def test_making_room_for_a_connection_visits_no_server_without_connections() -> None:
+def test_closing_an_idle_connection_visits_no_server_without_connections() -> None:
     def lines_among(servers: int) -> int:
         node = node_among(servers)
         node.run_maintenance()
@@ -188,9 +192,9 @@
     assert_no_growth(lines_among)
 
 
-def test_the_work_on_a_batch_of_events_grows_with_their_number_alone() -> None:
+def test_the_work_on_a_batch_of_events_grows_only_with_their_number() -> None:
     def lines_for(events: int) -> int:
-        notices = [notice(rev, [row(rev)]) for rev in range(2, events + 2)]
+        notices = [notice(rev, [host_entry(rev)]) for rev in range(2, events + 2)]
         batch = DiscoveryBatch.parse({"rev": events + 1, "notices": notices})
         return lines_run(lambda: batch.events_after(1, gapless=True))
 
@@ -199,36 +203,37 @@
 
 def test_a_change_of_the_list_visits_no_server_that_drains_unchanged() -> None:
     def lines_among(draining: int) -> int:
-        policy = policy_among(MANY)
+        policy = policy_among(MANY_SERVERS)
         update = tuple(entry(f"s{i}", i, state=ServerState.LEAVING) for i in range(draining))
         policy.handle(ListUpdate(ListMode.INCREMENTAL, update), policy.now_us)
         another = ListUpdate(ListMode.INCREMENTAL, (entry("new", 7),))
         return lines_run(lambda: policy.handle(another, policy.now_us))
 
-    assert lines_among(USUAL * 10) <= GROWTH * lines_among(USUAL)
+    assert lines_among(USUAL_SERVERS * 10) <= GROWTH * lines_among(USUAL_SERVERS)
 
 
 def overloaded(servers: int) -> PlacementPolicy:
+    """A policy of one of three fronts that share the servers."""
     policy = policy_among(servers)
     policy.settings = replace(policy.settings, front_count=3)
     return policy
 
 
 def test_an_overloaded_uplink_costs_no_work_and_no_memory_for_each_server_of_the_rack() -> None:
-    # Each report of it left an entry at every link of the rack: 50 MB in 20 s, among 3,200 servers.
+    # Each report added an entry to every link of the rack: 50 MB in 20 s with 3,200 servers.
     def lines_among(servers: int) -> int:
         policy = overloaded(servers)
         return lines_run(lambda: report_measurement(policy, ReportKind.UPLINK, 1.5, "session-3"))
 
     assert_no_growth(lines_among)
-    policy = overloaded(MANY)
+    policy = overloaded(MANY_SERVERS)
     for _ in range(20):
         report_measurement(policy, ReportKind.UPLINK, 1.5, "session-3")
     assert sum(len(server.link.unreported) for server in policy.servers.values()) < 20 * SESSIONS * 2
 
 
-def test_an_overloaded_uplink_is_relieved_by_what_other_fronts_send_to_all_its_servers() -> None:
-    policy = overloaded(USUAL)
+def test_an_overloaded_uplink_accounts_for_the_load_of_other_fronts_on_all_its_servers() -> None:
+    policy = overloaded(USUAL_SERVERS)
     rack = policy.sessions["session-3"].server.rack
     report_measurement(policy, ReportKind.UPLINK, 1.5, "session-3")
     others_kb = sum(policy.others_kb(server) for server in rack.servers)
@@ -244,8 +249,8 @@
     assert_no_growth(lines_among)
 
 
-def test_servers_whose_sessions_have_ended_are_loaded_no_longer() -> None:
-    # Sums of rates leave a remainder: each server ever used was visited at each session's end.
+def test_servers_whose_sessions_have_ended_are_not_loaded() -> None:
+    # Rounding left a remainder in sums of rates, so each server ever used was visited at each session's end.
     sizes = {"total_links_kb": 90_000.0, "uplink_kb": 90_000.0, "ladder_kb": (100.1, 200.3, 400.7)}
     policy, _ = front(6, {"rate_scale": 0.7}, **sizes)
     for i in range(60):
