--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,8 +23,8 @@
 )
 from fennelcove.placement import PlacementPolicy
 
-SECOND = 1_000_000
-SERVICE_CLASS = ServiceClass(SECOND, 1.0, Effect.FREE, Scope.ALL, 5 * SECOND, 1.0, 0, 0)
+SECOND_US = 1_000_000
+SERVICE_CLASS = ServiceClass(SECOND_US, 1.0, Effect.FREE, Scope.ALL, 5 * SECOND_US, 1.0, 0, 0)
 SETTINGS = Settings(
     {"standard": SERVICE_CLASS},
     2,
@@ -40,16 +40,16 @@
     6,
     2500.0,
     False,
-    SECOND,
-    3 * SECOND,
+    SECOND_US,
+    3 * SECOND_US,
     1.0,
     0.0,
     4,
-    2 * SECOND,
+    2 * SECOND_US,
     False,
     None,
     0.5,
-    10 * SECOND,
+    10 * SECOND_US,
     None,
     0.0,
     0,
@@ -81,7 +81,7 @@
     effects = Recorder()
     policy = PlacementPolicy(replace(SETTINGS, service_classes=service_classes, **settings), 7, effects, 0)
     policy.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(servers))), 0)
-    policy.now_us = 100 * SECOND if warm else 0
+    policy.now_us = 100 * SECOND_US if warm else 0
     for server in policy.servers.values():
         server.link.observe(0.0, policy.now_us - 1)
         policy.record_contact(server)
@@ -90,7 +90,7 @@
 
 
 def request_session(policy: PlacementPolicy, id: str = "a", at: int | None = None, **changes: Any) -> None:
-    request = replace(Request(id, "standard", 5, 0, 3, 2, 3 * SECOND), **changes)
+    request = replace(Request(id, "standard", 5, 0, 3, 2, 3 * SECOND_US), **changes)
     policy.handle(request, policy.now_us if at is None else at)
 
 
@@ -99,7 +99,7 @@
     outcome: Outcome,
     id: str = "a",
     attempt: int = 0,
-    after: int = SECOND // 10,
+    after: int = SECOND_US // 10,
     finished: bool = False,
 ) -> None:
     policy.handle(AttemptCompleted(id, attempt, outcome, finished, None), policy.now_us + after)
@@ -108,11 +108,12 @@
 def establish_session(policy: PlacementPolicy, id: str = "a", **changes: Any) -> None:
     request_session(policy, id, **changes)
     policy.handle(
-        SessionStarted(id, len(policy.sessions[id].attempts) - 1, SECOND // 10), policy.now_us + SECOND // 10
+        SessionStarted(id, len(policy.sessions[id].attempts) - 1, SECOND_US // 10),
+        policy.now_us + SECOND_US // 10,
     )
 
 
 def report_measurement(
-    policy: PlacementPolicy, kind: ReportKind, level: float, id: str = "a", after: int = SECOND
+    policy: PlacementPolicy, kind: ReportKind, level: float, id: str = "a", after: int = SECOND_US
 ) -> None:
     policy.handle(SessionReport(id, policy.sessions[id].server.address, kind, level), policy.now_us + after)
--- a/tests/test_node_platform_requirements.py
+++ b/tests/test_node_platform_requirements.py
@@ -38,7 +38,7 @@
 from fennelcove.placement import PlacementPolicy
 from fennelcove.rtsp import messages as rtsp
 
-from tests.helpers import SECOND, Recorder
+from tests.helpers import SECOND_US, Recorder
 from tests.node_harness import SETTINGS, notice, wait_until
 from tests.test_node_session_manager import HOST_ENTRY, ID, NODE_CONFIG, RecordingConnection
 
@@ -66,7 +66,7 @@
 class WarmUpTest(unittest.TestCase):
     def test_all_fronts_together_stay_below_the_limit_of_a_server_that_warms_up(self) -> None:
         # A few attempts of one front are harmless, but those of all fronts together overloaded servers.
-        warm_up_us, window_us, fronts, overload_factor = 8 * SECOND, 3 * SECOND, 60, 2.0
+        warm_up_us, window_us, fronts, overload_factor = 8 * SECOND_US, 3 * SECOND_US, 60, 2.0
         rules = {
             "RampTimeMs": warm_up_us // 1000,
             "StartCapacity": 0.5,
@@ -78,18 +78,18 @@
         for index in range(fronts):
             settings = {**SETTINGS, "Balancers": fronts, "Index": index, "Rules": rules, "FamilyInfo": family}
             front = PlacementPolicy(facts.read_settings(settings)[0], index, Recorder(), 0)
-            front.handle(ListUpdate(ListMode.FULL, (entry("cold", 100 * SECOND),)), 100 * SECOND)
+            front.handle(ListUpdate(ListMode.FULL, (entry("cold", 100 * SECOND_US),)), 100 * SECOND_US)
             policies.append(front)
         sent: list[int] = []
-        for now_us in range(100 * SECOND, 100 * SECOND + warm_up_us, SECOND // 10):
+        for now_us in range(100 * SECOND_US, 100 * SECOND_US + warm_up_us, SECOND_US // 10):
             for front in policies:
-                front.handle(Request(str(now_us), "recorded", 5, 0, 1, 0, 3 * SECOND), now_us)
+                front.handle(Request(str(now_us), "recorded", 5, 0, 1, 0, 3 * SECOND_US), now_us)
                 if str(now_us) in front.sessions:
                     sent.append(now_us)
                     front.handle(AttemptCompleted(str(now_us), 0, Outcome.CANCELLED, True, None), now_us)
         assert len(sent) > 20
         for at_us in sent:
-            capacity_share = 0.5 + 0.5 * (at_us - 100 * SECOND) / warm_up_us
+            capacity_share = 0.5 + 0.5 * (at_us - 100 * SECOND_US) / warm_up_us
             allowed = overload_factor * 40 / warm_up_us * capacity_share * window_us
             within = sum(at_us - window_us < other <= at_us for other in sent)
             assert within <= allowed + 3 * sqrt(allowed) + 3
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -23,7 +23,7 @@
 )
 from fennelcove.placement import PlacementPolicy
 
-from tests.helpers import SECOND, Recorder
+from tests.helpers import SECOND_US, Recorder
 from tests.node_harness import SETTINGS, FakeServer, NodeProcess, wait_until
 
 NORTH: dict[str, Any] = {
@@ -77,7 +77,7 @@
         """Run a front under some load, and yield all its effects so far after each step."""
         settings = facts.read_settings(platform_settings)[0]
         effects, rng, service_classes = Recorder(), Random(seed), list(settings.service_classes)
-        front = PlacementPolicy(settings, seed, effects, 100 * SECOND)
+        front = PlacementPolicy(settings, seed, effects, 100 * SECOND_US)
         entries = tuple(
             ListEntry(
                 f"s{i}",
@@ -86,13 +86,13 @@
                 i,
                 ServerState.ACTIVE,
                 1.0,
-                (i % 3) * 45 * SECOND,
+                (i % 3) * 45 * SECOND_US,
             )
             for i in range(6)
         )
-        front.handle(ListUpdate(ListMode.FULL, entries), 100 * SECOND)
+        front.handle(ListUpdate(ListMode.FULL, entries), 100 * SECOND_US)
         for number in range(300):
-            now_us = 100 * SECOND + number * 30_000
+            now_us = 100 * SECOND_US + number * 30_000
             request = Request(
                 str(number),
                 service_classes[number % len(service_classes)],
@@ -100,7 +100,7 @@
                 number % 6,
                 3,
                 2,
-                2 * SECOND,
+                2 * SECOND_US,
                 tenant="school",
             )
             front.handle(request, now_us)
--- a/tests/test_node_warm_up.py
+++ b/tests/test_node_warm_up.py
@@ -18,7 +18,7 @@
 from fennelcove.isup.messages import MessageKind
 from fennelcove.isup.reader import Reader as ServerReader
 
-from tests.helpers import SECOND
+from tests.helpers import SECOND_US
 from tests.node_harness import FakeServer, NodeProcess, encode_answer, notice, wait_until
 from tests.warm_up_simulation import FleetSimulation, Scenario, WarmUpSettings
 
@@ -108,7 +108,7 @@
         # A restarted front used the attempts that its previous incarnation had just used: twice as many.
         settings = WarmUpSettings(5000, 0.6, 3.0, 1000, 150)
         for fronts, request_count in ((20, 1500), (30, 1500), (200, 4000)):
-            for down_us in (0, SECOND // 2):
+            for down_us in (0, SECOND_US // 2):
                 scenario = Scenario(
                     settings,
                     fronts,
@@ -117,7 +117,7 @@
                     quiet_us=300 * settings.warm_up_ms,
                 )
                 self.check(
-                    replace(scenario, restart_fraction=0.7, restart_us=SECOND // 2, down_us=down_us), 0.1
+                    replace(scenario, restart_fraction=0.7, restart_us=SECOND_US // 2, down_us=down_us), 0.1
                 )
 
     def test_a_server_that_loses_every_connection(self) -> None:
@@ -136,7 +136,7 @@
                 fronts,
                 cold=4,
                 warm=8,
-                spread_us=7 * SECOND,
+                spread_us=7 * SECOND_US,
                 request_count=2500,
                 failure_fraction=0.3,
             )
--- a/tests/test_placement_policy.py
+++ b/tests/test_placement_policy.py
@@ -39,7 +39,7 @@
 from fennelcove.placement.slow_start import has_slow_start_turn
 
 from tests.helpers import (
-    SECOND,
+    SECOND_US,
     Recorder,
     complete_attempt,
     entry,
@@ -133,7 +133,7 @@
         for server in policy.servers.values():
             server.link.observe(1.0, policy.now_us)
         request_session(policy)
-        assert effects.calls == [("reject", "a", 2 * SECOND)]
+        assert effects.calls == [("reject", "a", 2 * SECOND_US)]
 
     def test_new_session_leaves_out_steps_while_others_wait_for_better_ones(self) -> None:
         policy, effects = front(1, rung_utilities=(0.5, 0.9, 1.0))
@@ -159,7 +159,7 @@
         sent_kb = lambda: sum(s.link.unreported_kb - s.own_kb for s in policy.servers.values())  # noqa: E731
         request_session(policy)
         for attempt in range(2):
-            complete_attempt(policy, Outcome.SERVER_ERROR, attempt=attempt, after=SECOND // 100)
+            complete_attempt(policy, Outcome.SERVER_ERROR, attempt=attempt, after=SECOND_US // 100)
         assert len(policy.sessions["a"].attempts) == 3
         self.assertAlmostEqual(sent_kb(), 0.0)
         request_session(policy, "b")
@@ -201,9 +201,9 @@
         policy, effects = front(2)  # a front that stalled handles both at once
         update = (entry("s0", 0, state=ServerState.LEAVING),)
         policy.handle(ListUpdate(ListMode.INCREMENTAL, update), policy.now_us)
-        request_session(policy, timeout_us=SECOND // 10)
+        request_session(policy, timeout_us=SECOND_US // 10)
         ((_, _, server, timeout_us),) = effects.named("start_attempt")
-        assert (server, timeout_us) == ("s1", SECOND // 10)
+        assert (server, timeout_us) == ("s1", SECOND_US // 10)
 
     def test_servers_that_left_the_list_are_deleted(self) -> None:
         policy, _ = front(3)
@@ -236,7 +236,7 @@
         policy.servers["s0"].link.observe(0.95, policy.now_us)
         report_measurement(policy, ReportKind.DELIVERED, 0.8)
         assert policy.sessions["a"].rung == 2  # the recent report takes precedence
-        report_measurement(policy, ReportKind.DELIVERED, 0.8, after=6 * SECOND)
+        report_measurement(policy, ReportKind.DELIVERED, 0.8, after=6 * SECOND_US)
         assert policy.sessions["a"].rung < 2
 
     def test_short_delivery_on_a_link_with_capacity_counts_as_a_full_uplink(self) -> None:
@@ -259,7 +259,7 @@
         report_measurement(policy, ReportKind.DELIVERED, 0.6)
         assert server.rack.uplink.report is None
         another = next(s for s in server.rack.servers if s is not server)
-        another.link.full_until_us = policy.now_us + 10 * SECOND
+        another.link.full_until_us = policy.now_us + 10 * SECOND_US
         another.link.observe(0.5, policy.now_us)
         report_measurement(policy, ReportKind.DELIVERED, 0.6)
         assert server.rack.uplink.report is not None
@@ -274,7 +274,7 @@
         report_measurement(policy, ReportKind.DELIVERED, 0.6)
         own_share = server.own_kb / server.rack.uplink.capacity_kb
         assert policy.uplink_utilization(server.rack) > 0.8
-        policy.now_us += 1000 * SECOND
+        policy.now_us += 1000 * SECOND_US
         self.assertAlmostEqual(policy.uplink_utilization(server.rack), own_share, places=3)
 
     def test_estimated_loads_of_links_fill_no_uplink(self) -> None:
@@ -296,7 +296,7 @@
         policy.sessions["a"].has_report = True
         report_measurement(policy, ReportKind.LINK, 1.3)
         lowered = len(effects.named("set_rung"))
-        report_measurement(policy, ReportKind.LINK, 1.3, after=SECOND // 2)
+        report_measurement(policy, ReportKind.LINK, 1.3, after=SECOND_US // 2)
         assert len(effects.named("set_rung")) == lowered
 
     def test_capacity_beyond_the_margin_raises_the_rung(self) -> None:
@@ -349,9 +349,9 @@
     def test_an_attempt_leaves_time_for_another_and_ends_by_the_client_timeout(self) -> None:
         policy, effects = front()
         request_session(policy)
-        assert effects.named("start_attempt")[0][3] == SECOND // 2
-        request_session(policy, "b", timeout_us=SECOND // 10)
-        assert effects.named("start_attempt")[1][3] == SECOND // 10
+        assert effects.named("start_attempt")[0][3] == SECOND_US // 2
+        request_session(policy, "b", timeout_us=SECOND_US // 10)
+        assert effects.named("start_attempt")[1][3] == SECOND_US // 10
 
     def test_a_single_shot_that_may_have_run_is_neither_repeated_nor_rejected(self) -> None:
         for outcome, call in ((Outcome.NO_ANSWER, "fail"), (Outcome.NO_CONNECTION, "start_attempt")):
@@ -369,7 +369,7 @@
         assert effects.calls[-1] == ("fail", "a")
         policy, effects = front(service_class={**guarded, "scope": Scope.ALL})
         request_session(policy)
-        complete_attempt(policy, Outcome.NO_ANSWER, after=6 * SECOND)
+        complete_attempt(policy, Outcome.NO_ANSWER, after=6 * SECOND_US)
         assert effects.calls[-1][0] == "reject"
 
     def test_no_attempt_is_sent_to_a_draining_or_delisted_server(self) -> None:
@@ -387,7 +387,7 @@
         policy.servers["s0"].started_us = policy.now_us - 1
         start_us, sent = policy.now_us, 0
         for tick in range(100):
-            request_session(policy, str(tick), start_us + tick * SECOND // 10, top_rung=0)
+            request_session(policy, str(tick), start_us + tick * SECOND_US // 10, top_rung=0)
             sent = len(effects.named("start_attempt"))
             if str(tick) in policy.sessions:
                 complete_attempt(policy, Outcome.CANCELLED, str(tick), after=0, finished=True)
@@ -397,8 +397,8 @@
     def test_unused_turns_at_a_warming_server_are_not_all_used_at_once(self) -> None:
         # Twelve fronts had each saved one turn during the warm-up. Six used theirs within 3 s, and the server
         # failed under the load.
-        fronts, streams, slack_us = 12, 10, 3 * SECOND
-        for age_us in range(SECOND, 9 * SECOND, SECOND // 2):
+        fronts, streams, slack_us = 12, 10, 3 * SECOND_US
+        for age_us in range(SECOND_US, 9 * SECOND_US, SECOND_US // 2):
             open_turns = 0
             for index in range(fronts):
                 policy, _ = front(
@@ -411,7 +411,7 @@
                 server = policy.servers["s0"]
                 server.started_us = policy.now_us - age_us
                 open_turns += has_slow_start_turn(policy, server)
-            pace = streams / (10 * SECOND) * (0.5 + 0.5 * age_us / (10 * SECOND))
+            pace = streams / (10 * SECOND_US) * (0.5 + 0.5 * age_us / (10 * SECOND_US))
             assert open_turns <= pace * slack_us + 1
             assert open_turns > 0
 
@@ -454,19 +454,19 @@
         report_measurement(policy, ReportKind.LINK, 5.0)
         assert policy.sessions["a"].rung == 1
         request_session(policy, "b")
-        assert effects.calls[-1] == ("reject", "b", 2 * SECOND)
+        assert effects.calls[-1] == ("reject", "b", 2 * SECOND_US)
         complete_attempt(policy, Outcome.SERVED, finished=True)
         policy.servers["s0"].link.observe(0.0, policy.now_us)
         request_session(policy, "c")
         assert effects.calls[-1][0] == "start_attempt"
 
     def test_retry_budget(self) -> None:
-        policy, effects = front(retry_base=1.0, retry_window_us=10 * SECOND)
+        policy, effects = front(retry_base=1.0, retry_window_us=10 * SECOND_US)
         for id in ("a", "b"):
             request_session(policy, id)
             complete_attempt(policy, Outcome.SERVER_ERROR, id)
         assert len(effects.named("start_attempt")) == 3
-        assert effects.calls[-1] == ("reject", "b", 2 * SECOND)
+        assert effects.calls[-1] == ("reject", "b", 2 * SECOND_US)
 
     def test_attempt_limit(self) -> None:
         policy, effects = front(max_attempts=1)
@@ -475,10 +475,10 @@
         assert effects.calls[-1][0] == "reject"
 
     def test_a_failed_list_poll_is_repeated_after_a_pause(self) -> None:
-        policy, effects = front(must_poll_list=True, list_poll_window_us=8 * SECOND)
+        policy, effects = front(must_poll_list=True, list_poll_window_us=8 * SECOND_US)
         policy.handle(ListUpdate(ListMode.FAILED, ()), policy.now_us)
-        assert effects.calls == [("set_timer", TimerName.POLL_LIST, SECOND)]
-        policy.handle(TimerFired(TimerName.POLL_LIST), policy.now_us + SECOND)
+        assert effects.calls == [("set_timer", TimerName.POLL_LIST, SECOND_US)]
+        policy.handle(TimerFired(TimerName.POLL_LIST), policy.now_us + SECOND_US)
         assert effects.calls[-1] == ("watch_list",)
 
 
@@ -522,7 +522,7 @@
         policy, effects = front(2)
         request_session(policy)
         complete_attempt(policy, Outcome.SERVER_ERROR)
-        policy.handle(SessionStarted("a", 1, SECOND // 10), policy.now_us + SECOND // 10)
+        policy.handle(SessionStarted("a", 1, SECOND_US // 10), policy.now_us + SECOND_US // 10)
         first, second = (policy.servers[call[2]] for call in effects.named("start_attempt"))
         assert (first.health, second.health) == (Health.SHUT, Health.WELL)
 
@@ -586,9 +586,9 @@
     def test_a_lost_reply_delays_nobody_by_more_than_an_eighth_of_the_shorter_limit(self) -> None:
         # With an eighth of the objective alone, a client with a timeout of 50 ms was answered after it.
         policy, effects = self.front_without_reports(**self.PROBE_SETTINGS)
-        request_session(policy, timeout_us=SECOND // 20)
+        request_session(policy, timeout_us=SECOND_US // 20)
         ((_, name, delay_us),) = effects.named("set_timer")
-        assert (name, delay_us) == (TimerName.POLL_DEADLINE, SECOND // 160)
+        assert (name, delay_us) == (TimerName.POLL_DEADLINE, SECOND_US // 160)
         policy.handle(TimerFired(name), policy.now_us + delay_us)
         assert len(effects.named("start_attempt")) == 1
 
@@ -598,13 +598,13 @@
         policy.handle(ClientGone("a"), policy.now_us)
         for _, server in effects.named("probe"):
             self.complete_probe(policy, server, 0.0)
-        policy.handle(TimerFired(TimerName.POLL_DEADLINE), policy.now_us + SECOND)
+        policy.handle(TimerFired(TimerName.POLL_DEADLINE), policy.now_us + SECOND_US)
         assert (policy.sessions, effects.named("start_attempt")) == ({}, [])
 
     def test_none_is_probed_while_all_recent_reports_are_full(self) -> None:
         policy, effects = front(**self.PROBE_SETTINGS)
         for server in policy.servers.values():
-            server.link.report, server.link.as_of_us = 1.2, policy.now_us - 2 * SECOND
+            server.link.report, server.link.as_of_us = 1.2, policy.now_us - 2 * SECOND_US
         request_session(policy)
         assert [call[0] for call in effects.calls] == ["reject"]
 
@@ -627,7 +627,7 @@
             establish_session(policy)
             set_rungs(policy, {policy.sessions["a"]: 0})
             server = policy.sessions["a"].server
-            server.link.full_until_us = policy.now_us + 60 * SECOND
+            server.link.full_until_us = policy.now_us + 60 * SECOND_US
             for full_until_us, probes in ((server.link.full_until_us, 0), (0, probe_count)):
                 server.link.full_until_us = full_until_us
                 assert server.next_probe_us is not None
@@ -666,7 +666,7 @@
         ]
         assert len(polled) == 8
         assert sum(len(server.waiting_sessions) for server in policy.servers.values()) == 8
-        policy.handle(TimerFired(TimerName.POLL_DEADLINE), policy.now_us + SECOND)
+        policy.handle(TimerFired(TimerName.POLL_DEADLINE), policy.now_us + SECOND_US)
         assert policy.polling_sessions == {}
         assert not any(server.waiting_sessions for server in policy.servers.values())
         effects.calls.clear()
@@ -682,8 +682,8 @@
 
     def test_a_load_from_before_the_restart_of_a_server_is_ignored(self) -> None:
         policy, _ = self.front_without_reports(front_count=9, front_index=5, peer_price=0.01)
-        policy.servers["s0"].started_us = policy.now_us - SECOND
-        policy.handle(PeerMessage(0, loads=(CellLoad(0, 0.5, None, 2 * SECOND),)), policy.now_us)
+        policy.servers["s0"].started_us = policy.now_us - SECOND_US
+        policy.handle(PeerMessage(0, loads=(CellLoad(0, 0.5, None, 2 * SECOND_US),)), policy.now_us)
         assert policy.servers["s0"].link.report is None
 
     def test_encoded_messages_are_decoded_and_malformed_ones_are_not(self) -> None:
@@ -700,31 +700,33 @@
 
 class UtilityTest(unittest.TestCase):
     def test_a_raise_must_repay_its_switch_in_the_time_left(self) -> None:
-        policy, effects = front(rung_switch_cost_us=SECOND)
-        establish_session(policy, expected_play_us=SECOND)
+        policy, effects = front(rung_switch_cost_us=SECOND_US)
+        establish_session(policy, expected_play_us=SECOND_US)
         set_rungs(policy, {policy.sessions["a"]: 0})
         effects.calls.clear()
         raise_rungs(policy, policy.sessions["a"].server, 0)
         assert effects.named("set_rung") == []
-        policy.sessions["a"].expected_play_us = 60 * SECOND
+        policy.sessions["a"].expected_play_us = 60 * SECOND_US
         raise_rungs(policy, policy.sessions["a"].server, None)
         assert effects.named("set_rung") == [("set_rung", "a", 2)]  # both steps in one change
 
     def test_an_exceeded_estimate_of_the_playing_time_leaves_half_of_it(self) -> None:
         policy, _ = front()
-        establish_session(policy, expected_play_us=10 * SECOND)
-        policy.now_us += 60 * SECOND
-        assert policy.remaining_play_us(policy.sessions["a"]) == 5 * SECOND
+        establish_session(policy, expected_play_us=10 * SECOND_US)
+        policy.now_us += 60 * SECOND_US
+        assert policy.remaining_play_us(policy.sessions["a"]) == 5 * SECOND_US
 
     def test_a_request_over_its_tenants_quota_counts_less(self) -> None:
         policy, _ = front(
             quotas={"t": 0.2}, over_quota_utility=0.1
         )  # one request in ten seconds for this front of two
-        shares = [quota_share(policy, Request(str(i), "standard", 5, 0, 3, 2, SECOND, "t")) for i in range(4)]
+        shares = [
+            quota_share(policy, Request(str(i), "standard", 5, 0, 3, 2, SECOND_US, "t")) for i in range(4)
+        ]
         assert (shares[0], round(shares[3], 2)) == (1.0, 0.46)
-        repeated = quota_share(policy, Request("r", "standard", 5, 0, 3, 2, SECOND, "t", is_repeat=True))
+        repeated = quota_share(policy, Request("r", "standard", 5, 0, 3, 2, SECOND_US, "t", is_repeat=True))
         assert repeated == shares[3]
-        assert quota_share(policy, Request("n", "standard", 5, 0, 3, 2, SECOND)) == 1.0
+        assert quota_share(policy, Request("n", "standard", 5, 0, 3, 2, SECOND_US)) == 1.0
 
     def test_the_worst_served_class_counts_a_second_time(self) -> None:
         policy, _ = front(worst_class_weight=0.5)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -33,7 +33,7 @@
 )
 from fennelcove.upstream.front_messaging import FrontMessaging
 
-from tests.helpers import SECOND, SETTINGS, Recorder, entry, request_session
+from tests.helpers import SECOND_US, SETTINGS, Recorder, entry, request_session
 from tests.rig import SETTINGS as FILE
 from tests.rig import FrontTestCase, wait_for
 
@@ -87,7 +87,7 @@
         effects = Recorder()
         made = ShadowedPolicy(SETTINGS, replace(SETTINGS, **alternative), 7, effects, 0)
         made.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(3))), 0)
-        made.now_us = 100 * SECOND
+        made.now_us = 100 * SECOND_US
         for front in (made, made.alternative):
             for server in front.servers.values():
                 server.link.observe(0.0, made.now_us - 1)
@@ -95,7 +95,7 @@
 
     def day(self, made: ShadowedPolicy) -> None:
         for i in range(30):
-            request_session(made, str(i), at=made.now_us + SECOND, tenant="t")
+            request_session(made, str(i), at=made.now_us + SECOND_US, tenant="t")
             if str(i) in made.sessions:
                 made.handle(SessionStarted(str(i), 0, 1000), made.now_us + 1000)
             if i >= 10 and str(i - 10) in made.sessions:
@@ -108,7 +108,7 @@
 
     def test_what_is_decided_is_what_a_front_alone_decides(self) -> None:
         both = (
-            self.watched(rung_switch_cost_us=SECOND, quotas={"t": 0.1}, over_quota_utility=0.1),
+            self.watched(rung_switch_cost_us=SECOND_US, quotas={"t": 0.1}, over_quota_utility=0.1),
             self.watched(),
         )
         for made, _ in both:
@@ -134,7 +134,7 @@
         made.handle(AttemptCompleted("a", 0, Outcome.SERVER_ERROR, False, None), made.now_us + 1000)
         made.handle(SessionStarted("a", 1, 1000), made.now_us + 1000)
         gone = tuple(entry(f"s{i}", i) for i in range(3) if f"s{i}" != first)
-        made.handle(ListUpdate(ListMode.FULL, gone), made.now_us + 60 * SECOND)
+        made.handle(ListUpdate(ListMode.FULL, gone), made.now_us + 60 * SECOND_US)
         assert first not in made.alternative.servers
         made.handle(TopRungChanged("a", 0), made.now_us + 1000)
         assert made.alternative.sessions["a"].rung == made.sessions["a"].rung
--- a/tests/test_work_per_event.py
+++ b/tests/test_work_per_event.py
@@ -21,7 +21,7 @@
 from fennelcove.placement import PlacementPolicy
 from fennelcove.placement.state import MAX_SAMPLED_LINKS
 
-from tests.helpers import SECOND, complete_attempt, entry, establish_session, front, report_measurement
+from tests.helpers import SECOND_US, complete_attempt, entry, establish_session, front, report_measurement
 from tests.node_harness import SETTINGS, notice
 
 USUAL_SERVERS, MANY_SERVERS = 200, 3_200
@@ -128,7 +128,7 @@
     entries = [host_entry(i) for i in range(servers)]
     known = {"rev": 1, "notices": [notice(1, entries, complete=True)]}
     node_config = {"listen": "127.0.0.1:1", "board": "127.0.0.1:2", "known": known, "settings": SETTINGS}
-    clock = ManualClock(wall_start_us=1_700_000_000 * SECOND)
+    clock = ManualClock(wall_start_us=1_700_000_000 * SECOND_US)
     node = SessionManager(config.parse(node_config), clock, Timers(clock), silent)
     for event in node.config.initial_batch.events:
         node.on_discovery_event(event)
--- a/tests/warm_up_simulation.py
+++ b/tests/warm_up_simulation.py
@@ -22,11 +22,11 @@
 )
 from fennelcove.placement import PlacementPolicy
 
-from tests.helpers import SECOND, Recorder
+from tests.helpers import SECOND_US, Recorder
 from tests.node_harness import SETTINGS
 
-START_US = 1_000 * SECOND
-ATTEMPT_DURATION_US = SECOND // 20
+START_US = 1_000 * SECOND_US
+ATTEMPT_DURATION_US = SECOND_US // 20
 # Outcomes of attempts that fail, and whether the set-up reached the server.
 REACHES_SERVER = {
     Outcome.REJECTED: True,
@@ -134,7 +134,7 @@
             self.random.sample(range(scenario.fronts), round(scenario.late_fraction * scenario.fronts))
         )
         self.lag_us = [
-            self.random.randint(SECOND, 3 * SECOND) if i in late else 0 for i in range(scenario.fronts)
+            self.random.randint(SECOND_US, 3 * SECOND_US) if i in late else 0 for i in range(scenario.fronts)
         ]
         self.policies = [self.create_policy(i) for i in range(scenario.fronts)]
         self.available_at_us = [0] * scenario.fronts
@@ -185,7 +185,7 @@
             self.schedule(max(at_us, START_US + scenario.quiet_us), lambda i=index: self.request_session(i))  # type: ignore[misc]
         if scenario.restart_fraction:
             self.schedule(START_US + scenario.quiet_us + scenario.restart_us, self.restart)
-        while self.events and self.events[0][0] < end_us + 2 * SECOND:
+        while self.events and self.events[0][0] < end_us + 2 * SECOND_US:
             self.now_us, _, call = heapq.heappop(self.events)
             call()
         return self
@@ -219,7 +219,7 @@
         first = self.random.randrange(self.server_count)
         front, id = self.policies[index], str(self.count)
         front.handle(
-            Request(id, "recorded", first, first, min(3, self.server_count), 0, 3 * SECOND), self.now_us
+            Request(id, "recorded", first, first, min(3, self.server_count), 0, 3 * SECOND_US), self.now_us
         )
         self.follow_attempt(index, front, id)
 
@@ -231,9 +231,9 @@
         informed = server in self.started_us and self.known_start_us(index, server) > 0
         sent_us = {
             "none": self.now_us,
-            "random": self.now_us + self.random.randint(0, SECOND),
-            "batched": -(-self.now_us // SECOND) * SECOND,
-            "delayed": max(self.now_us, START_US + self.scenario.quiet_us + SECOND),
+            "random": self.now_us + self.random.randint(0, SECOND_US),
+            "batched": -(-self.now_us // SECOND_US) * SECOND_US,
+            "delayed": max(self.now_us, START_US + self.scenario.quiet_us + SECOND_US),
         }[self.scenario.dial_delay]
         outcome, reaches_server = Outcome.CANCELLED, True
         if self.random.random() < (
