--- a/packages/codecs/src/fennelcove/hints/cmcd.py
+++ b/packages/codecs/src/fennelcove/hints/cmcd.py
@@ -13,10 +13,10 @@
 from urllib.parse import unquote
 
 import msgspec
-from fennelcove.hints.fields import Bare, Item, Token, dictionary, write_dictionary
+from fennelcove.hints.fields import Bare, Item, Token, parse_dictionary, write_dictionary
 
 NAMES = ("CMCD-Request", "CMCD-Object", "CMCD-Status", "CMCD-Session")
-HEADERS = ("cmcd-request", "cmcd-object", "cmcd-status", "cmcd-session")
+HEADER_KEYS = ("cmcd-request", "cmcd-object", "cmcd-status", "cmcd-session")
 QUERY_KEY = "CMCD"
 
 
@@ -43,93 +43,93 @@
         return self.values.get(key) is True
 
 
-def _whole(value: Bare) -> Bare | None:
+def _non_negative_integer(value: Bare) -> Bare | None:
     # What senders are to round to a hundred is read as it stands: finer is no fault.
-    ok = isinstance(value, int) and not isinstance(value, bool) and value >= 0
-    return value if ok else None
+    is_valid = isinstance(value, int) and not isinstance(value, bool) and value >= 0
+    return value if is_valid else None
 
 
-def _decimal(value: Bare) -> Bare | None:
-    ok = isinstance(value, int | float) and not isinstance(value, bool) and value >= 0
-    return float(value) if ok and not isinstance(value, str | bytes) else None
+def _non_negative_number(value: Bare) -> Bare | None:
+    is_valid = isinstance(value, int | float) and not isinstance(value, bool) and value >= 0
+    return float(value) if is_valid and not isinstance(value, str | bytes) else None
 
 
-def _flag(value: Bare) -> Bare | None:
+def _boolean(value: Bare) -> Bare | None:
     return value if isinstance(value, bool) else None
 
 
-def _text(most: int) -> Callable[[Bare], Bare | None]:
+def _string(max_chars: int) -> Callable[[Bare], Bare | None]:
     def check(value: Bare) -> Bare | None:
-        ok = isinstance(value, str) and not isinstance(value, Token) and len(value) <= most
-        return value if ok else None
+        is_valid = isinstance(value, str) and not isinstance(value, Token) and len(value) <= max_chars
+        return value if is_valid else None
 
     return check
 
 
-def _token(*known: str) -> Callable[[Bare], Bare | None]:
+def _token(*allowed: str) -> Callable[[Bare], Bare | None]:
     def check(value: Bare) -> Bare | None:
         # JSON and some players quote what the specification has as tokens: the words are the same.
-        return Token(value) if isinstance(value, str) and (not known or value in known) else None
+        return Token(value) if isinstance(value, str) and (not allowed or value in allowed) else None
 
     return check
 
 
 _V1: Mapping[str, Callable[[Bare], Bare | None]] = {
-    "br": _whole,
-    "bl": _whole,
-    "bs": _flag,
-    "cid": _text(64),
-    "d": _whole,
-    "dl": _whole,
-    "mtp": _whole,
-    "nor": _text(2048),
-    "nrr": _text(64),
+    "br": _non_negative_integer,
+    "bl": _non_negative_integer,
+    "bs": _boolean,
+    "cid": _string(64),
+    "d": _non_negative_integer,
+    "dl": _non_negative_integer,
+    "mtp": _non_negative_integer,
+    "nor": _string(2048),
+    "nrr": _string(64),
     "ot": _token("m", "a", "v", "av", "i", "c", "tt", "k", "o"),
-    "pr": _decimal,
-    "rtp": _whole,
+    "pr": _non_negative_number,
+    "rtp": _non_negative_integer,
     "sf": _token("d", "h", "s", "o"),
-    "sid": _text(64),
+    "sid": _string(64),
     "st": _token("v", "l"),
-    "su": _flag,
-    "tb": _whole,
-    "v": _whole,
+    "su": _boolean,
+    "tb": _non_negative_integer,
+    "v": _non_negative_integer,
 }
 _V2: Mapping[str, Callable[[Bare], Bare | None]] = {
-    "ab": _whole,
-    "bg": _flag,
-    "bsa": _whole,
-    "bsd": _whole,
-    "bsda": _whole,
-    "cdn": _text(128),
-    "cmsdd": _text(2048),
-    "cmsds": _text(2048),
-    "cs": _text(128),
-    "df": _whole,
+    "ab": _non_negative_integer,
+    "bg": _boolean,
+    "bsa": _non_negative_integer,
+    "bsd": _non_negative_integer,
+    "bsda": _non_negative_integer,
+    "cdn": _string(128),
+    "cmsdd": _string(2048),
+    "cmsds": _string(2048),
+    "cs": _string(128),
+    "df": _non_negative_integer,
     "e": _token(),
-    "ec": _text(64),
-    "h": _text(128),
-    "lab": _whole,
-    "lb": _whole,
-    "ltc": _whole,
-    "msd": _whole,
-    "nr": _flag,
-    "pb": _whole,
-    "pt": _whole,
-    "rc": _whole,
-    "sn": _whole,
+    "ec": _string(64),
+    "h": _string(128),
+    "lab": _non_negative_integer,
+    "lb": _non_negative_integer,
+    "ltc": _non_negative_integer,
+    "msd": _non_negative_integer,
+    "nr": _boolean,
+    "pb": _non_negative_integer,
+    "pt": _non_negative_integer,
+    "rc": _non_negative_integer,
+    "sn": _non_negative_integer,
     "sta": _token("s", "p", "k", "r", "a", "w", "e", "f", "q", "d"),
-    "tab": _whole,
-    "tbl": _whole,
-    "tpb": _whole,
-    "ts": _whole,
-    "ttfb": _whole,
-    "ttfbb": _whole,
-    "ttlb": _whole,
-    "url": _text(2048),
+    "tab": _non_negative_integer,
+    "tbl": _non_negative_integer,
+    "tpb": _non_negative_integer,
+    "ts": _non_negative_integer,
+    "ttfb": _non_negative_integer,
+    "ttfbb": _non_negative_integer,
+    "ttlb": _non_negative_integer,
+    "url": _string(2048),
 }
-RESERVED: Mapping[str, Callable[[Bare], Bare | None]] = {**_V1, **_V2}
+RESERVED_KEYS: Mapping[str, Callable[[Bare], Bare | None]] = {**_V1, **_V2}
 # Where version 1 puts each of its keys; players are read whichever header they use.
-HOME = {
+HEADER_INDEX = {
     "bl": 0,
     "dl": 0,
     "mtp": 0,
@@ -151,19 +151,19 @@
 }
 
 
-def _add(into: Cmcd, key: str, value: Bare) -> None:
+def _add(hints: Cmcd, key: str, value: Bare) -> None:
     if "-" in key:
-        into.custom[key] = value
+        hints.custom[key] = value
         return
-    check = RESERVED.get(key)
+    check = RESERVED_KEYS.get(key)
     checked = check(value) if check else None
     if checked is None:
-        into.dropped += 1
+        hints.dropped += 1
     else:
-        into.values[key] = checked
+        hints.values[key] = checked
 
 
-def _plain(item: Item) -> Bare | None:
+def _first_value(item: Item) -> Bare | None:
     """The value, or the first of an inner list: version 2 lists figures by object type."""
     if isinstance(item.value, tuple):
         first = item.value[0].value if item.value else None
@@ -175,10 +175,10 @@
     """Hints out of header values, or out of a query argument already unquoted."""
     found = Cmcd()
     for text in texts:
-        items, dropped = dictionary(text)
+        items, dropped = parse_dictionary(text)
         found.dropped += dropped
         for key, item in items.items():
-            value = _plain(item)
+            value = _first_value(item)
             if value is None:
                 found.dropped += 1
             else:
@@ -189,16 +189,16 @@
 def read_json(raw: bytes | Mapping[str, Any]) -> Cmcd:
     """Hints out of a JSON object."""
     found = Cmcd()
-    tree: Any = raw
+    decoded: Any = raw
     if isinstance(raw, bytes):
         try:
-            tree = msgspec.json.decode(raw)
+            decoded = msgspec.json.decode(raw)
         except msgspec.DecodeError:
-            tree = None
-    if not isinstance(tree, Mapping):
+            decoded = None
+    if not isinstance(decoded, Mapping):
         found.dropped += 1
         return found
-    for key, value in list(tree.items())[:64]:
+    for key, value in list(decoded.items())[:64]:
         if isinstance(value, list) and value:
             value = value[0]
         if isinstance(key, str) and isinstance(value, int | float | str | bool):
@@ -210,7 +210,7 @@
 
 def read(headers: Mapping[str, str], query: Mapping[str, str], body: Any = None) -> Cmcd:
     """Hints from whichever carrier brought them: headers, else the query argument, else a JSON object."""
-    texts = [headers[name] for name in HEADERS if name in headers]
+    texts = [headers[name] for name in HEADER_KEYS if name in headers]
     if texts:
         return read_text(texts)
     if QUERY_KEY in query:
@@ -222,8 +222,8 @@
     """A query's arguments, the first of each name counting; what is no argument is passed over."""
     found: dict[str, str] = {}
     for part in query.split("&")[:64]:
-        name, mark, value = part.partition("=")
-        if mark:
+        name, separator, value = part.partition("=")
+        if separator:
             found.setdefault(unquote(name), unquote(value))
     return found
 
@@ -237,5 +237,5 @@
     groups: list[dict[str, Bare]] = [{}, {}, {}, {}]
     for key in sorted(values):
         if values[key] is not False:
-            groups[HOME.get(key, 3)][key] = values[key]
+            groups[HEADER_INDEX.get(key, 3)][key] = values[key]
     return [(name, write_dictionary(group)) for name, group in zip(NAMES, groups, strict=True) if group]
--- a/packages/codecs/src/fennelcove/hints/cmsd.py
+++ b/packages/codecs/src/fennelcove/hints/cmsd.py
@@ -14,8 +14,8 @@
     Bare,
     Item,
     Params,
-    dictionary,
-    listing,
+    parse_dictionary,
+    parse_list,
     write_bare,
     write_dictionary,
     write_params,
@@ -23,8 +23,8 @@
 
 STATIC, DYNAMIC = "cmsd-static", "cmsd-dynamic"
 LINK_KEY, UPLINK_KEY = "fennelcove-link", "fennelcove-uplink"
-Kinds = Mapping[str, type]
-_STATIC_KINDS: Kinds = {
+KeyTypes = Mapping[str, type]
+_STATIC_KEYS: KeyTypes = {
     "at": int,
     "br": int,
     "d": int,
@@ -38,7 +38,7 @@
     "su": bool,
     "v": int,
 }
-_DYNAMIC_KINDS: Kinds = {
+_DYNAMIC_KEYS: KeyTypes = {
     "du": bool,
     "etp": int,
     "mb": int,
@@ -74,17 +74,17 @@
     dropped: int = 0
 
 
-def _fits(value: Bare, kind: type) -> bool:
-    if kind is bool or isinstance(value, bool):
-        return kind is bool and isinstance(value, bool)
-    return isinstance(value, kind)
+def _has_type(value: Bare, value_type: type) -> bool:
+    if value_type is bool or isinstance(value, bool):
+        return value_type is bool and isinstance(value, bool)
+    return isinstance(value, value_type)
 
 
-def _typed(values: Mapping[str, Bare], kinds: Kinds) -> tuple[dict[str, Bare], int]:
+def _check_types(values: Mapping[str, Bare], key_types: KeyTypes) -> tuple[dict[str, Bare], int]:
     found: dict[str, Bare] = {}
     dropped = 0
     for key, value in values.items():
-        if "-" in key or (key in kinds and _fits(value, kinds[key])):
+        if "-" in key or (key in key_types and _has_type(value, key_types[key])):
             found[key] = value
         else:
             dropped += 1
@@ -94,29 +94,29 @@
 def read(static: str | None, dynamic: str | None) -> Cmsd:
     """Hints out of the two header values; a malformed entry or key costs only itself."""
     dropped = 0
-    fixed: dict[str, Bare] = {}
+    static_values: dict[str, Bare] = {}
     if static:
-        items, dropped = dictionary(static)
-        plain = {key: item.value for key, item in items.items() if not isinstance(item.value, tuple)}
-        fixed, lost = _typed(plain, _STATIC_KINDS)
-        dropped += lost + len(items) - len(plain)
+        items, dropped = parse_dictionary(static)
+        bare_items = {key: item.value for key, item in items.items() if not isinstance(item.value, tuple)}
+        static_values, dropped_now = _check_types(bare_items, _STATIC_KEYS)
+        dropped += dropped_now + len(items) - len(bare_items)
     hops: list[Hop] = []
     if dynamic:
-        entries, lost = listing(dynamic)
-        dropped += lost
+        entries, dropped_now = parse_list(dynamic)
+        dropped += dropped_now
         for entry in entries:
-            hop, lost = _hop(entry)
-            dropped += lost
+            hop, dropped_now = _parse_hop(entry)
+            dropped += dropped_now
             if hop is not None:
                 hops.append(hop)
-    return Cmsd(fixed, tuple(hops), dropped)
+    return Cmsd(static_values, tuple(hops), dropped)
 
 
-def _hop(entry: Item) -> tuple[Hop | None, int]:
+def _parse_hop(entry: Item) -> tuple[Hop | None, int]:
     if not isinstance(entry.value, str):
         return None, 1
-    values, lost = _typed(entry.params, _DYNAMIC_KINDS)
-    return Hop(str(entry.value), values), lost
+    values, dropped_now = _check_types(entry.params, _DYNAMIC_KEYS)
+    return Hop(str(entry.value), values), dropped_now
 
 
 def write_static(values: Mapping[str, Bare]) -> str:
@@ -143,17 +143,17 @@
     Bounded by count; the value longest unused goes first. One thread at a time.
     """
 
-    def __init__(self, most: int = 512) -> None:
-        self.most = most
-        self.known: OrderedDict[tuple[str | None, str | None], Cmsd] = OrderedDict()
+    def __init__(self, max_entries: int = 512) -> None:
+        self.max_entries = max_entries
+        self.entries: OrderedDict[tuple[str | None, str | None], Cmsd] = OrderedDict()
 
     def read(self, static: str | None, dynamic: str | None) -> Cmsd:
         """As `read`, out of memory where the same pair came lately."""
         key = (static, dynamic)
-        if key in self.known:
-            self.known.move_to_end(key)
-            return self.known[key]
-        found = self.known[key] = read(static, dynamic)
-        if len(self.known) > self.most:
-            self.known.popitem(last=False)
+        if key in self.entries:
+            self.entries.move_to_end(key)
+            return self.entries[key]
+        found = self.entries[key] = read(static, dynamic)
+        if len(self.entries) > self.max_entries:
+            self.entries.popitem(last=False)
         return found
--- a/packages/codecs/src/fennelcove/hints/fields.py
+++ b/packages/codecs/src/fennelcove/hints/fields.py
@@ -15,8 +15,8 @@
 from decimal import ROUND_HALF_EVEN, Decimal
 from typing import NamedTuple
 
-MOST_CHARS = 4096
-MOST_MEMBERS = 64
+MAX_CHARS = 4096
+MAX_MEMBERS = 64
 
 
 class Token(str):
@@ -51,81 +51,81 @@
 _MEMBER = re.compile(r'(?:"(?:[^"\\]|\\.)*"?|[^,"()]|\((?:"(?:[^"\\]|\\.)*"?|[^")])*\)?|\))+')
 
 
-def _bare(text: str, at: int) -> tuple[Bare, int]:
-    first = text[at : at + 1]
-    if first == '"' and (match := _STRING.match(text, at)):
+def _parse_bare(text: str, position: int) -> tuple[Bare, int]:
+    first_char = text[position : position + 1]
+    if first_char == '"' and (match := _STRING.match(text, position)):
         return re.sub(r"\\(.)", r"\1", match[1]), match.end()
-    if (first.isdigit() or first == "-") and (match := _NUMBER.match(text, at)):
+    if (first_char.isdigit() or first_char == "-") and (match := _NUMBER.match(text, position)):
         if match[2] is None:
             return int(match[1]), match.end()
         if len(match[1].lstrip("-")) > 12:
-            raise FieldError(f"a decimal of more than 12 whole digits at {at}")
+            raise FieldError(f"a decimal with more than 12 integer digits at position {position}")
         return float(f"{match[1]}.{match[2]}"), match.end()
-    if first == "?" and (match := _BOOL.match(text, at)):
+    if first_char == "?" and (match := _BOOL.match(text, position)):
         return match[1] == "1", match.end()
-    if first == ":" and (match := _BYTES.match(text, at)):
+    if first_char == ":" and (match := _BYTES.match(text, position)):
         try:
             return base64.b64decode(match[1] + "=" * (-len(match[1]) % 4), validate=True), match.end()
         except binascii.Error:
-            raise FieldError(f"bytes that are no base64 at {at}") from None
-    if match := _TOKEN.match(text, at):
+            raise FieldError(f"a byte sequence that is not valid base64 at position {position}") from None
+    if match := _TOKEN.match(text, position):
         return Token(match[0]), match.end()
-    raise FieldError(f"no value at {at} of {text[:40]!r}")
+    raise FieldError(f"no valid value at position {position} of {text[:40]!r}")
 
 
-def _params(text: str, at: int) -> tuple[Params, int]:
+def _parse_params(text: str, position: int) -> tuple[Params, int]:
     found: Params = {}
-    while text.startswith(";", at):
-        spaces = _SPACES.match(text, at + 1)
+    while text.startswith(";", position):
+        spaces = _SPACES.match(text, position + 1)
         assert spaces is not None
         key = _KEY.match(text, spaces.end())
         if key is None:
-            raise FieldError(f"no parameter key at {at}")
-        at = key.end()
+            raise FieldError(f"no parameter key at position {position}")
+        position = key.end()
         found[key[0]] = True
-        if text.startswith("=", at):
-            found[key[0]], at = _bare(text, at + 1)
-    return found, at
+        if text.startswith("=", position):
+            found[key[0]], position = _parse_bare(text, position + 1)
+    return found, position
 
 
-def _item(text: str, at: int) -> tuple[Item, int]:
-    if text.startswith("(", at):
-        return _inner(text, at + 1)
-    value, at = _bare(text, at)
-    params, at = _params(text, at)
-    return Item(value, params), at
+def _parse_item(text: str, position: int) -> tuple[Item, int]:
+    if text.startswith("(", position):
+        return _parse_inner_list(text, position + 1)
+    value, position = _parse_bare(text, position)
+    params, position = _parse_params(text, position)
+    return Item(value, params), position
 
 
-def _inner(text: str, at: int) -> tuple[Item, int]:
+def _parse_inner_list(text: str, position: int) -> tuple[Item, int]:
     items: list[Item] = []
     while True:
-        spaces = _SPACES.match(text, at)
+        spaces = _SPACES.match(text, position)
         assert spaces is not None
-        gap, at = spaces.end() - at, spaces.end()
-        if text.startswith(")", at):
-            params, at = _params(text, at + 1)
-            return Item(tuple(items), params), at
-        if items and not gap:
-            raise FieldError(f"inner values that run together at {at}")
-        if text.startswith("(", at):
-            raise FieldError(f"an inner list inside one at {at}")
-        item, at = _item(text, at)
+        space_count, position = spaces.end() - position, spaces.end()
+        if text.startswith(")", position):
+            params, position = _parse_params(text, position + 1)
+            return Item(tuple(items), params), position
+        if items and not space_count:
+            raise FieldError(f"inner list items without a space between them at position {position}")
+        if text.startswith("(", position):
+            raise FieldError(f"a nested inner list at position {position}")
+        item, position = _parse_item(text, position)
         items.append(item)
 
 
-def item(text: str) -> Item:
+def parse_item(text: str) -> Item:
     """One item or inner list.
 
     Raises:
         FieldError: anything else, or something left over.
     """
-    found, at = _item(text, 0)
-    if at != len(text):
-        raise FieldError(f"something left over at {at} of {text[:40]!r}")
+    found, position = _parse_item(text, 0)
+    if position != len(text):
+        raise FieldError(f"unexpected characters at position {position} of {text[:40]!r}")
     return found
 
 
-def member(text: str) -> tuple[str, Item]:
+def parse_member(text: str) -> tuple[str, Item]:
     """One member of a dictionary: `key`, `key=item` or `key;params`.
 
     Raises:
@@ -133,47 +133,47 @@
     """
     key = _KEY.match(text)
     if key is None:
-        raise FieldError(f"no key in {text[:40]!r}")
+        raise FieldError(f"no valid key at the start of {text[:40]!r}")
     if text.startswith("=", key.end()):
-        return key[0], item(text[key.end() + 1 :])
-    params, at = _params(text, key.end())
-    if at != len(text):
-        raise FieldError(f"something left over at {at} of {text[:40]!r}")
+        return key[0], parse_item(text[key.end() + 1 :])
+    params, position = _parse_params(text, key.end())
+    if position != len(text):
+        raise FieldError(f"unexpected characters at position {position} of {text[:40]!r}")
     return key[0], Item(True, params)
 
 
-def members(text: str) -> Iterator[str | None]:
+def split_members(text: str) -> Iterator[str | None]:
     """The raw members of a list or dictionary; None for each that is empty or past the bounds."""
-    if len(text) > MOST_CHARS:
+    if len(text) > MAX_CHARS:
         yield None
         return
-    at, count = 0, 0
-    while at < len(text):
-        match = _MEMBER.match(text, at)
+    position, count = 0, 0
+    while position < len(text):
+        match = _MEMBER.match(text, position)
         raw = match[0].strip(" \t") if match else ""
-        at = match.end() if match else at
-        if at < len(text):
-            at += 1
-            if at == len(text):
+        position = match.end() if match else position
+        if position < len(text):
+            position += 1
+            if position == len(text):
                 yield raw or None
                 yield None  # a comma with nothing after it
                 return
         count += 1
-        if count > MOST_MEMBERS:
+        if count > MAX_MEMBERS:
             yield None
             return
         yield raw or None
 
 
-def dictionary(text: str) -> tuple[dict[str, Item], int]:
+def parse_dictionary(text: str) -> tuple[dict[str, Item], int]:
     """The well-formed members, the last of each key counting, and how many were dropped."""
     found: dict[str, Item] = {}
     dropped = 0
-    for raw in members(text):
+    for raw in split_members(text):
         try:
             if raw is None:
                 raise FieldError("an empty member")
-            key, value = member(raw)
+            key, value = parse_member(raw)
         except FieldError:
             dropped += 1
             continue
@@ -182,15 +182,15 @@
     return found, dropped
 
 
-def listing(text: str) -> tuple[list[Item], int]:
+def parse_list(text: str) -> tuple[list[Item], int]:
     """The well-formed members of a list, and how many were dropped."""
     found: list[Item] = []
     dropped = 0
-    for raw in members(text):
+    for raw in split_members(text):
         try:
             if raw is None:
                 raise FieldError("an empty member")
-            found.append(item(raw))
+            found.append(parse_item(raw))
         except FieldError:
             dropped += 1
     return found, dropped
@@ -206,24 +206,24 @@
         return f"?{int(value)}"
     if isinstance(value, int):
         if abs(value) > 999_999_999_999_999:
-            raise FieldError(f"an integer of more than 15 digits: {value}")
+            raise FieldError(f"an integer with more than 15 digits: {value}")
         return str(value)
     if isinstance(value, float):
         if not math.isfinite(value):
-            raise FieldError(f"no decimal: {value}")
+            raise FieldError(f"not a finite number: {value}")
         rounded = Decimal(value).quantize(Decimal("0.001"), ROUND_HALF_EVEN)
         if abs(rounded) >= 10**12:
-            raise FieldError(f"a decimal of more than 12 whole digits: {value}")
+            raise FieldError(f"a decimal with more than 12 integer digits: {value}")
         text = f"{rounded:f}".rstrip("0")
         return text + "0" if text.endswith(".") else text
     if isinstance(value, bytes):
         return f":{base64.b64encode(value).decode()}:"
     if isinstance(value, Token):
         if _TOKEN.fullmatch(value) is None:
-            raise FieldError(f"no token: {value!r}")
+            raise FieldError(f"not a valid token: {value!r}")
         return str(value)
     if not value.isascii() or not value.isprintable():
-        raise FieldError(f"a string with other than printable ASCII: {value!r}")
+        raise FieldError(f"a string with characters other than printable ASCII: {value!r}")
     return '"' + value.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
--- a/packages/codecs/src/fennelcove/http1/syntax.py
+++ b/packages/codecs/src/fennelcove/http1/syntax.py
@@ -12,13 +12,13 @@
 _FIELD = re.compile(rb"(" + _TCHAR + rb"+):[ \t]*([\t\x20-\x7e\x80-\xff]*)")
 _REQUEST = re.compile(rb"(" + _TCHAR + rb"{1,32}) ([\x21-\x7e]+) HTTP/1\.([01])")
 _STATUS = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9]{2})(?: [\t\x20-\x7e\x80-\xff]*)?")
-_OLD_REQUEST = re.compile(rb".* HTTP/[0-9.]+")
-LONE_LF = re.compile(rb"(?:^|[^\r])\n")
+_OTHER_VERSION_REQUEST = re.compile(rb".* HTTP/[0-9.]+")
+BARE_LF = re.compile(rb"(?:^|[^\r])\n")
 _DIGITS = re.compile(rb"[0-9]{1,18}")
-HEX = re.compile(rb"([0-9A-Fa-f]{1,15})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?")
+CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?")
 
 
-def fields(lines: list[bytes], limits: CodecLimits) -> Headers:
+def parse_fields(lines: list[bytes], limits: CodecLimits) -> Headers:
     """Header lines, names in lower case.
 
     Raises:
@@ -26,18 +26,18 @@
     """
     if len(lines) > limits.head_count:
         raise ProtocolError(431, f"more than {limits.head_count} header fields")
-    found: Headers = []
+    headers: Headers = []
     for line in lines:
         match = _FIELD.fullmatch(line)
         if match is None:
             if line[:1] in (b" ", b"\t"):
                 raise ProtocolError(400, "a folded header field")
             raise ProtocolError(400, "a header field that is no `name: value`")
-        found.append((match[1].lower(), match[2].rstrip(b" \t")))
-    return found
+        headers.append((match[1].lower(), match[2].rstrip(b" \t")))
+    return headers
 
 
-def request_head(raw: bytes, limits: CodecLimits) -> RequestHead:
+def parse_request_head(raw: bytes, limits: CodecLimits) -> RequestHead:
     """A request's head, without its closing empty line.
 
     Raises:
@@ -46,14 +46,14 @@
     lines = raw.split(b"\r\n")
     match = _REQUEST.fullmatch(lines[0])
     if match is None:
-        if _OLD_REQUEST.fullmatch(lines[0]) and not lines[0].endswith((b"HTTP/1.0", b"HTTP/1.1")):
+        if _OTHER_VERSION_REQUEST.fullmatch(lines[0]) and not lines[0].endswith((b"HTTP/1.0", b"HTTP/1.1")):
             raise ProtocolError(505, "a version other than HTTP/1.0 and 1.1")
         raise ProtocolError(400, "a request line that is no `method target version`")
-    headers = fields(lines[1:], limits)
-    hosts = sum(1 for name, _ in headers if name == b"host")
-    if hosts > 1 or (hosts == 0 and match[3] == b"1"):
-        raise ProtocolError(400, f"{hosts} Host fields where one is due")
-    head = RequestHead(match[1].decode(), match[2].decode(), headers, _keeps(headers, match[3]))
+    headers = parse_fields(lines[1:], limits)
+    host_count = sum(1 for name, _ in headers if name == b"host")
+    if host_count > 1 or (host_count == 0 and match[3] == b"1"):
+        raise ProtocolError(400, f"{host_count} Host fields where one is due")
+    head = RequestHead(match[1].decode(), match[2].decode(), headers, _keeps_alive(headers, match[3]))
     expect = head.get(b"expect")
     if expect is not None:
         if expect.lower() != b"100-continue":
@@ -62,7 +62,7 @@
     return head
 
 
-def response_head(raw: bytes, limits: CodecLimits) -> ResponseHead:
+def parse_response_head(raw: bytes, limits: CodecLimits) -> ResponseHead:
     """A response's head, without its closing empty line.
 
     Raises:
@@ -72,18 +72,18 @@
     match = _STATUS.fullmatch(lines[0])
     if match is None:
         raise ProtocolError(502, "a status line that is no `version status reason`")
-    headers = fields(lines[1:], limits)
-    return ResponseHead(int(match[2]), headers, _keeps(headers, match[1]))
+    headers = parse_fields(lines[1:], limits)
+    return ResponseHead(int(match[2]), headers, _keeps_alive(headers, match[1]))
 
 
-def _keeps(headers: Headers, minor: bytes) -> bool:
+def _keeps_alive(headers: Headers, minor_version: bytes) -> bool:
     options = {
         option.strip().lower()
         for name, value in headers
         if name == b"connection"
         for option in value.split(b",")
     }
-    return minor == b"1" and b"close" not in options
+    return minor_version == b"1" and b"close" not in options
 
 
 CHUNKED = -1
--- a/packages/codecs/src/fennelcove/http1/writer.py
+++ b/packages/codecs/src/fennelcove/http1/writer.py
@@ -49,7 +49,7 @@
     lines = []
     for name, value in fields:
         if _SAFE_NAME.fullmatch(name) is None or _SAFE_VALUE.fullmatch(value) is None:
-            raise ValueError(f"header field {name!r} would break its line")
+            raise ValueError(f"header field {name!r} contains an invalid character")
         lines.append(f"{name}: {value}\r\n")
     return "".join(lines)
 
@@ -61,8 +61,8 @@
         ValueError: a field that would break its line.
     """
     length = "" if status in (101, 204) else f"Content-Length: {len(body)}\r\n"
-    ending = "Connection: close\r\n" if close else ""
-    head = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}\r\n{_lines(fields)}{length}{ending}\r\n"
+    closing = "Connection: close\r\n" if close else ""
+    head = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}\r\n{_lines(fields)}{length}{closing}\r\n"
     return head.encode("latin-1") + body
 
 
@@ -91,7 +91,7 @@
         ValueError: a field or target that would break its line.
     """
     if _SAFE_TARGET.fullmatch(target) is None or _SAFE_NAME.fullmatch(method) is None:
-        raise ValueError(f"request target {target!r} would break its line")
+        raise ValueError(f"request target {target!r} or its method contains an invalid character")
     length = f"Content-Length: {len(body)}\r\n" if body or method in ("POST", "PUT", "PATCH") else ""
     head = f"{method} {target} HTTP/1.1\r\n{_lines([('Host', host), *fields])}{length}\r\n"
     return head.encode("latin-1") + body
--- a/packages/codecs/src/fennelcove/websocket/conversation.py
+++ b/packages/codecs/src/fennelcove/websocket/conversation.py
@@ -13,10 +13,17 @@
 
 from fennelcove.websocket import frames
 from fennelcove.websocket.deflate import Inflater, deflate
-from fennelcove.websocket.frames import FrameReader, Piece
-from fennelcove.websocket.terms import MOST_CONTROL, Bounds, CloseCode, Opcode, Violation, may_come
+from fennelcove.websocket.frames import FramePart, FrameReader
+from fennelcove.websocket.terms import (
+    MAX_CONTROL_BYTES,
+    Bounds,
+    CloseCode,
+    Opcode,
+    Violation,
+    is_valid_close_code,
+)
 
-DEFLATE_FROM = 256  # bytes; shorter messages grow
+MIN_DEFLATE_BYTES = 256  # bytes; shorter messages grow
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,33 +59,33 @@
 Event = Message | Pinged | Ponged | Closed
 
 
-class Gathering(Enum):
+class MessageState(Enum):
     """What message is under way."""
 
-    NOTHING = auto()
+    NONE = auto()
     TEXT = auto()
     BINARY = auto()
 
 
-class Step(Enum):
+class DataAction(Enum):
     """What a data frame does."""
 
     BEGIN_TEXT = auto()
     BEGIN_BINARY = auto()
-    GO_ON = auto()
-    BREAK = auto()
-
-
-MESSAGES: dict[tuple[Gathering, Opcode], Step] = {
-    (Gathering.NOTHING, Opcode.TEXT): Step.BEGIN_TEXT,
-    (Gathering.NOTHING, Opcode.BINARY): Step.BEGIN_BINARY,
-    (Gathering.NOTHING, Opcode.CONTINUATION): Step.BREAK,
-    (Gathering.TEXT, Opcode.TEXT): Step.BREAK,
-    (Gathering.TEXT, Opcode.BINARY): Step.BREAK,
-    (Gathering.TEXT, Opcode.CONTINUATION): Step.GO_ON,
-    (Gathering.BINARY, Opcode.TEXT): Step.BREAK,
-    (Gathering.BINARY, Opcode.BINARY): Step.BREAK,
-    (Gathering.BINARY, Opcode.CONTINUATION): Step.GO_ON,
+    CONTINUE = auto()
+    REJECT = auto()
+
+
+MESSAGES: dict[tuple[MessageState, Opcode], DataAction] = {
+    (MessageState.NONE, Opcode.TEXT): DataAction.BEGIN_TEXT,
+    (MessageState.NONE, Opcode.BINARY): DataAction.BEGIN_BINARY,
+    (MessageState.NONE, Opcode.CONTINUATION): DataAction.REJECT,
+    (MessageState.TEXT, Opcode.TEXT): DataAction.REJECT,
+    (MessageState.TEXT, Opcode.BINARY): DataAction.REJECT,
+    (MessageState.TEXT, Opcode.CONTINUATION): DataAction.CONTINUE,
+    (MessageState.BINARY, Opcode.TEXT): DataAction.REJECT,
+    (MessageState.BINARY, Opcode.BINARY): DataAction.REJECT,
+    (MessageState.BINARY, Opcode.CONTINUATION): DataAction.CONTINUE,
 }
 
 
@@ -90,37 +97,43 @@
     CLOSED = auto()  # both sent, or the peer broke the protocol
 
 
-class Cue(Enum):
+class CloseEvent(Enum):
     """What happens to it."""
 
-    PEER_CLOSES = auto()
-    WE_CLOSE = auto()
-    PEER_BREAKS = auto()
-    PEER_ENDS = auto()  # its bytes end without a close
+    CLOSE_RECEIVED = auto()
+    CLOSE_REQUESTED = auto()
+    PROTOCOL_VIOLATED = auto()
+    CONNECTION_ENDED = auto()  # its bytes end without a close
 
 
-class Act(Enum):
+class CloseAction(Enum):
     """What is done about it."""
 
     SEND_CLOSE = auto()
     ECHO_CLOSE = auto()
-    TELL = auto()
-
-
-CLOSING: dict[tuple[State, Cue], tuple[State, tuple[Act, ...]]] = {
-    (State.OPEN, Cue.PEER_CLOSES): (State.CLOSED, (Act.ECHO_CLOSE, Act.TELL)),
-    (State.OPEN, Cue.WE_CLOSE): (State.CLOSING, (Act.SEND_CLOSE,)),
-    (State.OPEN, Cue.PEER_BREAKS): (State.CLOSED, (Act.SEND_CLOSE, Act.TELL)),
-    (State.OPEN, Cue.PEER_ENDS): (State.CLOSED, (Act.TELL,)),
+    EMIT_CLOSED = auto()
+
+
+CLOSING: dict[tuple[State, CloseEvent], tuple[State, tuple[CloseAction, ...]]] = {
+    (State.OPEN, CloseEvent.CLOSE_RECEIVED): (
+        State.CLOSED,
+        (CloseAction.ECHO_CLOSE, CloseAction.EMIT_CLOSED),
+    ),
+    (State.OPEN, CloseEvent.CLOSE_REQUESTED): (State.CLOSING, (CloseAction.SEND_CLOSE,)),
+    (State.OPEN, CloseEvent.PROTOCOL_VIOLATED): (
+        State.CLOSED,
+        (CloseAction.SEND_CLOSE, CloseAction.EMIT_CLOSED),
+    ),
+    (State.OPEN, CloseEvent.CONNECTION_ENDED): (State.CLOSED, (CloseAction.EMIT_CLOSED,)),
     # Closes that cross: each side takes the other's for the answer to its own.
-    (State.CLOSING, Cue.PEER_CLOSES): (State.CLOSED, (Act.TELL,)),
-    (State.CLOSING, Cue.WE_CLOSE): (State.CLOSING, ()),
-    (State.CLOSING, Cue.PEER_BREAKS): (State.CLOSED, (Act.TELL,)),
-    (State.CLOSING, Cue.PEER_ENDS): (State.CLOSED, (Act.TELL,)),
-    (State.CLOSED, Cue.PEER_CLOSES): (State.CLOSED, ()),
-    (State.CLOSED, Cue.WE_CLOSE): (State.CLOSED, ()),
-    (State.CLOSED, Cue.PEER_BREAKS): (State.CLOSED, ()),
-    (State.CLOSED, Cue.PEER_ENDS): (State.CLOSED, ()),
+    (State.CLOSING, CloseEvent.CLOSE_RECEIVED): (State.CLOSED, (CloseAction.EMIT_CLOSED,)),
+    (State.CLOSING, CloseEvent.CLOSE_REQUESTED): (State.CLOSING, ()),
+    (State.CLOSING, CloseEvent.PROTOCOL_VIOLATED): (State.CLOSED, (CloseAction.EMIT_CLOSED,)),
+    (State.CLOSING, CloseEvent.CONNECTION_ENDED): (State.CLOSED, (CloseAction.EMIT_CLOSED,)),
+    (State.CLOSED, CloseEvent.CLOSE_RECEIVED): (State.CLOSED, ()),
+    (State.CLOSED, CloseEvent.CLOSE_REQUESTED): (State.CLOSED, ()),
+    (State.CLOSED, CloseEvent.PROTOCOL_VIOLATED): (State.CLOSED, ()),
+    (State.CLOSED, CloseEvent.CONNECTION_ENDED): (State.CLOSED, ()),
 }
 
 
@@ -137,12 +150,12 @@
         self.outgoing = bytearray()
         self.state = State.OPEN
         self.events: list[Event] = []
-        self._clear()
+        self._reset_message()
 
-    def _clear(self) -> None:
-        self.gathering = Gathering.NOTHING
-        self.texts: list[str] = []
-        self.raw = bytearray()
+    def _reset_message(self) -> None:
+        self.message_state = MessageState.NONE
+        self.text_parts: list[str] = []
+        self.payload = bytearray()
         self.size = self.fragments = 0
         self.inflater: Inflater | None = None
         self.decoder: codecs.IncrementalDecoder | None = None
@@ -160,72 +173,74 @@
         if self.over:
             return []
         if not data:
-            self._cue(Cue.PEER_ENDS, CloseCode.ABNORMAL, "the peer hung up without a close", False)
+            self._apply(
+                CloseEvent.CONNECTION_ENDED, CloseCode.ABNORMAL, "the peer hung up without a close", False
+            )
             return self.events
         self.reader.feed(data)
         try:
-            while not self.over and (piece := self.reader.next()) is not None:
-                self._take(piece)
+            while not self.over and (part := self.reader.next()) is not None:
+                self._on_frame_part(part)
         except Violation as error:
-            self._cue(Cue.PEER_BREAKS, error.code, str(error), False)
+            self._apply(CloseEvent.PROTOCOL_VIOLATED, error.code, str(error), False)
         return self.events
 
-    def _take(self, piece: Piece) -> None:
-        opcode = piece.head.opcode
+    def _on_frame_part(self, part: FramePart) -> None:
+        opcode = part.header.opcode
         if opcode is Opcode.PING:
             if self.state is State.OPEN:
-                self._write(Opcode.PONG, piece.data)
-            self.events.append(Pinged(piece.data))
+                self._write(Opcode.PONG, part.data)
+            self.events.append(Pinged(part.data))
         elif opcode is Opcode.PONG:
-            self.events.append(Ponged(piece.data))
+            self.events.append(Ponged(part.data))
         elif opcode is Opcode.CLOSE:
-            code, reason = _close_payload(piece.data)
-            self._cue(Cue.PEER_CLOSES, code, reason, True)
+            code, reason = _decode_close(part.data)
+            self._apply(CloseEvent.CLOSE_RECEIVED, code, reason, True)
         else:
-            self._data(piece)
-
-    def _data(self, piece: Piece) -> None:
-        head = piece.head
-        begins = self.reader.taken == len(piece.data)  # the first piece of its frame
-        if begins:
-            step = MESSAGES[self.gathering, head.opcode]
-            if step is Step.BREAK:
-                what = "goes on with" if head.opcode is Opcode.CONTINUATION else "breaks into"
-                raise Violation(CloseCode.PROTOCOL_ERROR, f"a frame {what} no message or another one")
-            if step is not Step.GO_ON:
-                self._begin(step, head.compressed)
+            self._on_data(part)
+
+    def _on_data(self, part: FramePart) -> None:
+        header = part.header
+        is_first_part = self.reader.received == len(part.data)  # the first piece of its frame
+        if is_first_part:
+            action = MESSAGES[self.message_state, header.opcode]
+            if action is DataAction.REJECT:
+                phrase = "goes on with" if header.opcode is Opcode.CONTINUATION else "breaks into"
+                raise Violation(CloseCode.PROTOCOL_ERROR, f"a frame {phrase} no message or another one")
+            if action is not DataAction.CONTINUE:
+                self._begin_message(action, header.compressed)
             self.fragments += 1
             if self.fragments > self.bounds.fragments:
                 raise Violation(CloseCode.TOO_BIG, f"a message of over {self.bounds.fragments} frames")
-        data = self.inflater.add(piece.data) if self.inflater is not None else piece.data
-        whole = piece.last and head.fin
-        if whole and self.inflater is not None:
+        data = self.inflater.add(part.data) if self.inflater is not None else part.data
+        is_complete = part.is_last and header.fin
+        if is_complete and self.inflater is not None:
             data += self.inflater.end()
         self.size += len(data)
         if self.size > self.bounds.message_bytes:
             raise Violation(CloseCode.TOO_BIG, f"a message of over {self.bounds.message_bytes} bytes")
-        self._gather(data, whole)
-        if whole:
-            self._whole()
-
-    def _begin(self, step: Step, compressed: bool) -> None:
-        text = step is Step.BEGIN_TEXT
-        self.gathering = Gathering.TEXT if text else Gathering.BINARY
-        self.decoder = codecs.getincrementaldecoder("utf-8")() if text else None
+        self._add_payload(data, is_complete)
+        if is_complete:
+            self._end_message()
+
+    def _begin_message(self, action: DataAction, compressed: bool) -> None:
+        is_text = action is DataAction.BEGIN_TEXT
+        self.message_state = MessageState.TEXT if is_text else MessageState.BINARY
+        self.decoder = codecs.getincrementaldecoder("utf-8")() if is_text else None
         self.inflater = Inflater(self.bounds.message_bytes) if compressed else None
 
-    def _gather(self, data: bytes, whole: bool) -> None:
+    def _add_payload(self, data: bytes, is_complete: bool) -> None:
         if self.decoder is None:
-            self.raw += data
+            self.payload += data
             return
         try:
-            self.texts.append(self.decoder.decode(data, whole))
+            self.text_parts.append(self.decoder.decode(data, is_complete))
         except UnicodeDecodeError:
             raise Violation(CloseCode.BAD_DATA, "a text is not UTF-8") from None
 
-    def _whole(self) -> None:
-        data = bytes(self.raw) if self.decoder is None else "".join(self.texts)
-        self._clear()
+    def _end_message(self) -> None:
+        data = bytes(self.payload) if self.decoder is None else "".join(self.text_parts)
+        self._reset_message()
         if self.state is State.OPEN:  # what comes after our close is read past (section 1.4)
             self.events.append(Message(data))
 
@@ -236,20 +251,20 @@
         if self.state is not State.OPEN:
             return
         opcode = Opcode.TEXT if isinstance(data, str) else Opcode.BINARY
-        raw = data.encode() if isinstance(data, str) else data
-        if self.deflates and len(raw) >= DEFLATE_FROM:
-            self._write(opcode, deflate(raw), True)
+        payload = data.encode() if isinstance(data, str) else data
+        if self.deflates and len(payload) >= MIN_DEFLATE_BYTES:
+            self._write(opcode, deflate(payload), True)
         else:
-            self._write(opcode, raw)
+            self._write(opcode, payload)
 
     def ping(self, data: bytes = b"") -> None:
         """A ping; the peer's pong comes as an event."""
         if self.state is State.OPEN:
-            self._write(Opcode.PING, data[:MOST_CONTROL])
+            self._write(Opcode.PING, data[:MAX_CONTROL_BYTES])
 
     def close(self, code: CloseCode = CloseCode.NORMAL, reason: str = "") -> None:
         """Begin to close, or go on with it."""
-        self._cue(Cue.WE_CLOSE, code, reason, True)
+        self._apply(CloseEvent.CLOSE_REQUESTED, code, reason, True)
 
     def take(self) -> bytes:
         """What is to be sent now."""
@@ -257,32 +272,34 @@
         self.outgoing.clear()
         return raw
 
-    def _cue(self, cue: Cue, code: int, reason: str, clean: bool) -> None:
-        self.state, acts = CLOSING[self.state, cue]
-        for act in acts:
-            if act is Act.TELL:
+    def _apply(self, event: CloseEvent, code: int, reason: str, clean: bool) -> None:
+        self.state, actions = CLOSING[self.state, event]
+        for action in actions:
+            if action is CloseAction.EMIT_CLOSED:
                 self.events.append(Closed(code, reason, clean))
             else:
-                self._write(Opcode.CLOSE, _closing(code, reason if act is Act.SEND_CLOSE else ""))
+                self._write(
+                    Opcode.CLOSE, _encode_close(code, reason if action is CloseAction.SEND_CLOSE else "")
+                )
 
     def _write(self, opcode: Opcode, data: bytes, compressed: bool = False) -> None:
         mask = self.mask() if self.mask is not None else None
         self.outgoing += frames.write(opcode, data, mask, True, compressed)
 
 
-def _closing(code: int, reason: str) -> bytes:
+def _encode_close(code: int, reason: str) -> bytes:
     """A close frame's payload; a reason too long for it is cut between two characters."""
     if code == CloseCode.NO_STATUS:
         return b""
-    words = reason.encode()[: MOST_CONTROL - 2].decode("utf-8", "ignore")
-    return code.to_bytes(2, "big") + words.encode()
+    text = reason.encode()[: MAX_CONTROL_BYTES - 2].decode("utf-8", "ignore")
+    return code.to_bytes(2, "big") + text.encode()
 
 
-def _close_payload(data: bytes) -> tuple[int, str]:
+def _decode_close(data: bytes) -> tuple[int, str]:
     if not data:
         return CloseCode.NO_STATUS, ""
     code = int.from_bytes(data[:2], "big")
-    if len(data) == 1 or not may_come(code):
+    if len(data) == 1 or not is_valid_close_code(code):
         raise Violation(CloseCode.PROTOCOL_ERROR, "a close with no valid code")
     try:
         return code, data[2:].decode()
--- a/packages/codecs/src/fennelcove/websocket/deflate.py
+++ b/packages/codecs/src/fennelcove/websocket/deflate.py
@@ -10,25 +10,25 @@
 
 from fennelcove.websocket.terms import CloseCode, Violation
 
-TAIL = b"\x00\x00\xff\xff"  # section 7.2.1
-LEVEL = 1  # the messages are short: more effort buys next to nothing
-WINDOW = -15
+FLUSH_TAIL = b"\x00\x00\xff\xff"  # section 7.2.1
+COMPRESSION_LEVEL = 1  # the messages are short: more effort buys next to nothing
+WINDOW_BITS = -15
 
 
 def deflate(data: bytes) -> bytes:
     """A message's payload, compressed."""
-    packer = zlib.compressobj(LEVEL, zlib.DEFLATED, WINDOW)
-    packed = packer.compress(data) + packer.flush(zlib.Z_SYNC_FLUSH)
-    return packed[: -len(TAIL)] if packed.endswith(TAIL) else packed
+    compressor = zlib.compressobj(COMPRESSION_LEVEL, zlib.DEFLATED, WINDOW_BITS)
+    compressed = compressor.compress(data) + compressor.flush(zlib.Z_SYNC_FLUSH)
+    return compressed[: -len(FLUSH_TAIL)] if compressed.endswith(FLUSH_TAIL) else compressed
 
 
 class Inflater:
     """Inflates one message piece by piece, never past its bound: a bomb is cut off, not unpacked."""
 
-    def __init__(self, most_bytes: int) -> None:
-        self.most_bytes = most_bytes
-        self.count = 0
-        self.unpacker = zlib.decompressobj(WINDOW)
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.size = 0
+        self.decompressor = zlib.decompressobj(WINDOW_BITS)
 
     def add(self, data: bytes) -> bytes:
         """What this piece inflates to.
@@ -38,13 +38,13 @@
         """
         try:
             # One byte over the bound is asked for: so much shows that there is more, and no more is made.
-            plain = self.unpacker.decompress(data, self.most_bytes - self.count + 1)
+            inflated = self.decompressor.decompress(data, self.max_bytes - self.size + 1)
         except zlib.error:
             raise Violation(CloseCode.BAD_DATA, "a message can't be inflated") from None
-        self.count += len(plain)
-        if self.count > self.most_bytes or self.unpacker.unconsumed_tail:
-            raise Violation(CloseCode.TOO_BIG, f"a message inflates to over {self.most_bytes} bytes")
-        return plain
+        self.size += len(inflated)
+        if self.size > self.max_bytes or self.decompressor.unconsumed_tail:
+            raise Violation(CloseCode.TOO_BIG, f"a message inflates to over {self.max_bytes} bytes")
+        return inflated
 
     def end(self) -> bytes:
         """The message is whole.
@@ -52,4 +52,4 @@
         Raises:
             Violation: as for `add`.
         """
-        return self.add(TAIL) if not self.unpacker.eof else b""
+        return self.add(FLUSH_TAIL) if not self.decompressor.eof else b""
--- a/packages/codecs/src/fennelcove/websocket/frames.py
+++ b/packages/codecs/src/fennelcove/websocket/frames.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass
 
-from fennelcove.websocket.terms import MOST_CONTROL, Bounds, CloseCode, Opcode, Violation
+from fennelcove.websocket.terms import MAX_CONTROL_BYTES, Bounds, CloseCode, Opcode, Violation
 
 FIN, COMPRESSED, RESERVED = 0x80, 0x40, 0x30
 MASKED = 0x80
-CONTROL = 8  # opcodes from here on
+FIRST_CONTROL_OPCODE = 8  # opcodes from here on
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class FrameHeader:
     """A frame's head; `length` is of its payload, in bytes."""
 
     fin: bool
@@ -23,45 +23,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
+class FramePart:
     """Some of a frame's payload, unmasked; `last` where the frame is whole with it."""
 
-    head: Head
+    header: FrameHeader
     data: bytes
-    last: bool
+    is_last: bool
 
 
-def masked(data: bytes, mask: bytes, at: int = 0) -> bytes:
+def masked(data: bytes, mask: bytes, offset: int = 0) -> bytes:
     """Payload masked or unmasked (section 5.3); `at` is where in the payload the data begins.
 
     One exclusive-or of two long integers: byte by byte it cost forty times as much.
     """
     if not data:
         return b""
-    turned = mask[at % 4 :] + mask[: at % 4]
+    rotated = mask[offset % 4 :] + mask[: offset % 4]
     count = len(data)
-    pad = (turned * (count // 4 + 1))[:count]
-    return (int.from_bytes(data, "little") ^ int.from_bytes(pad, "little")).to_bytes(count, "little")
+    keystream = (rotated * (count // 4 + 1))[:count]
+    return (int.from_bytes(data, "little") ^ int.from_bytes(keystream, "little")).to_bytes(count, "little")
 
 
 def write(
     opcode: Opcode, data: bytes, mask: bytes | None, fin: bool = True, compressed: bool = False
 ) -> bytes:
     """One frame; a mask of four bytes makes it a client's."""
-    head = bytearray([opcode | (FIN if fin else 0) | (COMPRESSED if compressed else 0)])
-    bit = MASKED if mask is not None else 0
+    header = bytearray([opcode | (FIN if fin else 0) | (COMPRESSED if compressed else 0)])
+    mask_bit = MASKED if mask is not None else 0
     count = len(data)
     if count <= 125:
-        head.append(bit | count)
+        header.append(mask_bit | count)
     elif count < 65_536:
-        head.append(bit | 126)
-        head += count.to_bytes(2, "big")
+        header.append(mask_bit | 126)
+        header += count.to_bytes(2, "big")
     else:
-        head.append(bit | 127)
-        head += count.to_bytes(8, "big")
+        header.append(mask_bit | 127)
+        header += count.to_bytes(8, "big")
     if mask is not None:
-        return bytes(head) + mask + masked(data, mask)
-    return bytes(head) + data
+        return bytes(header) + mask + masked(data, mask)
+    return bytes(header) + data
 
 
 class FrameReader:
@@ -75,45 +75,45 @@
         self.deflates = deflates
         self.bounds = bounds
         self.buffer = bytearray()
-        self.head: Head | None = None
-        self.taken = 0
+        self.header: FrameHeader | None = None
+        self.received = 0
 
     def feed(self, data: bytes) -> None:
         """Bytes of the peer."""
         self.buffer += data
 
     @property
-    def begun(self) -> bool:
+    def is_mid_frame(self) -> bool:
         """Whether a frame has begun and is not whole."""
-        return self.head is not None or bool(self.buffer)
+        return self.header is not None or bool(self.buffer)
 
-    def next(self) -> Piece | None:
+    def next(self) -> FramePart | None:
         """The next piece; None where more bytes are needed.
 
         Raises:
             Violation: a frame that must not be acted on.
         """
-        if self.head is None:
-            self.head = self._read_head()
-            self.taken = 0
-            if self.head is None:
+        if self.header is None:
+            self.header = self._read_header()
+            self.received = 0
+            if self.header is None:
                 return None
-        head = self.head
-        left = head.length - self.taken
-        control = head.opcode >= CONTROL
-        if left and (not self.buffer or (control and len(self.buffer) < left)):
+        header = self.header
+        remaining = header.length - self.received
+        is_control = header.opcode >= FIRST_CONTROL_OPCODE
+        if remaining and (not self.buffer or (is_control and len(self.buffer) < remaining)):
             return None
-        data = bytes(self.buffer[:left])
-        del self.buffer[:left]
-        if head.mask is not None:
-            data = masked(data, head.mask, self.taken)
-        self.taken += len(data)
-        last = self.taken == head.length
-        if last:
-            self.head = None
-        return Piece(head, data, last)
-
-    def _read_head(self) -> Head | None:
+        data = bytes(self.buffer[:remaining])
+        del self.buffer[:remaining]
+        if header.mask is not None:
+            data = masked(data, header.mask, self.received)
+        self.received += len(data)
+        is_last = self.received == header.length
+        if is_last:
+            self.header = None
+        return FramePart(header, data, is_last)
+
+    def _read_header(self) -> FrameHeader | None:
         buffer = self.buffer
         if len(buffer) < 2:
             return None
@@ -124,8 +124,10 @@
             opcode = Opcode(first & 0x0F)
         except ValueError:
             raise Violation(CloseCode.PROTOCOL_ERROR, f"opcode {first & 0x0F} is reserved") from None
-        fin, short = bool(first & FIN), second & 0x7F
-        if opcode >= CONTROL and (not fin or short > MOST_CONTROL or first & COMPRESSED):
+        fin, length_code = bool(first & FIN), second & 0x7F
+        if opcode >= FIRST_CONTROL_OPCODE and (
+            not fin or length_code > MAX_CONTROL_BYTES or first & COMPRESSED
+        ):
             raise Violation(CloseCode.PROTOCOL_ERROR, "a control frame is fragmented, compressed or too long")
         if first & COMPRESSED and opcode is Opcode.CONTINUATION:
             raise Violation(
@@ -133,21 +135,21 @@
             )
         has_mask = bool(second & MASKED)
         if has_mask is not self.from_client:
-            side = "a client's frame is not masked" if self.from_client else "a server's frame is masked"
-            raise Violation(CloseCode.PROTOCOL_ERROR, side)
-        more = {126: 2, 127: 8}.get(short, 0)
-        size = 2 + more + (4 if has_mask else 0)
-        if len(buffer) < 2 + more:
+            reason = "a client's frame is not masked" if self.from_client else "a server's frame is masked"
+            raise Violation(CloseCode.PROTOCOL_ERROR, reason)
+        length_bytes = {126: 2, 127: 8}.get(length_code, 0)
+        header_bytes = 2 + length_bytes + (4 if has_mask else 0)
+        if len(buffer) < 2 + length_bytes:
             return None
-        length = int.from_bytes(buffer[2 : 2 + more], "big") if more else short
-        if (more == 2 and length <= 125) or (more == 8 and (length < 65_536 or length >> 63)):
+        length = int.from_bytes(buffer[2 : 2 + length_bytes], "big") if length_bytes else length_code
+        if (length_bytes == 2 and length <= 125) or (length_bytes == 8 and (length < 65_536 or length >> 63)):
             raise Violation(CloseCode.PROTOCOL_ERROR, "a length is not written the shortest way")
         if length > self.bounds.frame_bytes:
             raise Violation(
                 CloseCode.TOO_BIG, f"a frame of {length} bytes; {self.bounds.frame_bytes} at most"
             )
-        if len(buffer) < size:
+        if len(buffer) < header_bytes:
             return None
-        mask = bytes(buffer[size - 4 : size]) if has_mask else None
-        del buffer[:size]
-        return Head(fin, bool(first & COMPRESSED), opcode, length, mask)
+        mask = bytes(buffer[header_bytes - 4 : header_bytes]) if has_mask else None
+        del buffer[:header_bytes]
+        return FrameHeader(fin, bool(first & COMPRESSED), opcode, length, mask)
--- a/packages/codecs/src/fennelcove/websocket/handshake.py
+++ b/packages/codecs/src/fennelcove/websocket/handshake.py
@@ -13,9 +13,9 @@
 
 VERSION = "13"
 DEFLATE = "permessage-deflate"
-ALONE = f"{DEFLATE}; server_no_context_takeover; client_no_context_takeover"
+DEFLATE_WITHOUT_TAKEOVER = f"{DEFLATE}; server_no_context_takeover; client_no_context_takeover"
 # A server may be asked for these; a window other than the whole one we do not make (section 7.1.2).
-TAKEN = {"server_no_context_takeover", "client_no_context_takeover", "client_max_window_bits"}
+ACCEPTABLE_PARAMETERS = {"server_no_context_takeover", "client_no_context_takeover", "client_max_window_bits"}
 
 Fields = list[tuple[str, str]]
 
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class HandshakeResult:
     """What both sides agreed on, and the server's answer."""
 
     fields: Fields
@@ -45,23 +45,25 @@
 
 def wanted(head: RequestHead) -> bool:
     """Whether a request asks for a WebSocket."""
-    return "websocket" in _words(head.get(b"upgrade"))
+    return "websocket" in _list_items(head.get(b"upgrade"))
 
 
-def _words(value: bytes | None) -> list[str]:
+def _list_items(value: bytes | None) -> list[str]:
     if value is None:
         return []
-    return [word.strip().lower() for word in value.decode("latin-1").split(",")]
+    return [item.strip().lower() for item in value.decode("latin-1").split(",")]
 
 
-def server(head: RequestHead, protocols: Sequence[str], origins: Sequence[str], may_deflate: bool) -> Opened:
+def server(
+    head: RequestHead, protocols: Sequence[str], origins: Sequence[str], allow_deflate: bool
+) -> HandshakeResult:
     """A server's answer to a client's opening.
 
     Args:
         head: the request.
         protocols: subprotocols spoken here, the best first; one of them must be asked for.
         origins: from which web pages may be asked (section 10.2); empty for any. Other programs name none.
-        may_deflate: whether an offer of permessage-deflate is taken.
+        allow_deflate: whether an offer of permessage-deflate is taken.
 
     Raises:
         Refused: with the answer that is due.
@@ -73,40 +75,40 @@
         raise Refused(
             426, "this is version 13", [("Sec-WebSocket-Version", VERSION), ("Upgrade", "websocket")]
         )
-    if "upgrade" not in _words(head.get(b"connection")):
+    if "upgrade" not in _list_items(head.get(b"connection")):
         raise Refused(400, "Connection: Upgrade is missing")
     key = (head.get(b"sec-websocket-key") or b"").decode("latin-1").strip()
     try:
-        fair = len(base64.b64decode(key, validate=True)) == 16
+        is_valid_key = len(base64.b64decode(key, validate=True)) == 16
     except (binascii.Error, ValueError):
-        fair = False
-    if not fair:
+        is_valid_key = False
+    if not is_valid_key:
         raise Refused(400, "Sec-WebSocket-Key must be 16 bytes in base64")
     origin = head.get(b"origin")
     if origins and origin is not None and origin.decode("latin-1").strip().lower() not in origins:
         raise Refused(403, "not from this origin")
-    asked = [
-        word.strip() for word in (head.get(b"sec-websocket-protocol") or b"").decode("latin-1").split(",")
+    requested = [
+        item.strip() for item in (head.get(b"sec-websocket-protocol") or b"").decode("latin-1").split(",")
     ]
-    chosen = next((name for name in protocols if name in asked), "")
-    if protocols and not chosen:
+    protocol = next((name for name in protocols if name in requested), "")
+    if protocols and not protocol:
         raise Refused(400, f"ask for a subprotocol of {', '.join(protocols)}")
-    deflates = may_deflate and _offered(head.get(b"sec-websocket-extensions"))
+    deflates = allow_deflate and _has_acceptable_offer(head.get(b"sec-websocket-extensions"))
     fields: Fields = [("Upgrade", "websocket"), ("Connection", "Upgrade")]
     fields.append(("Sec-WebSocket-Accept", accept_key(key)))
-    if chosen:
-        fields.append(("Sec-WebSocket-Protocol", chosen))
+    if protocol:
+        fields.append(("Sec-WebSocket-Protocol", protocol))
     if deflates:
-        fields.append(("Sec-WebSocket-Extensions", ALONE))
-    return Opened(fields, chosen, deflates)
+        fields.append(("Sec-WebSocket-Extensions", DEFLATE_WITHOUT_TAKEOVER))
+    return HandshakeResult(fields, protocol, deflates)
 
 
-def _offered(value: bytes | None) -> bool:
+def _has_acceptable_offer(value: bytes | None) -> bool:
     """Whether one of the offers can be taken as it stands."""
     for offer in (value or b"").decode("latin-1").split(","):
         name, *rest = [part.strip() for part in offer.split(";")]
         names = [part.partition("=")[0].strip() for part in rest]
-        if name == DEFLATE and len(set(names)) == len(names) and TAKEN.issuperset(names):
+        if name == DEFLATE and len(set(names)) == len(names) and ACCEPTABLE_PARAMETERS.issuperset(names):
             return True
     return False
 
@@ -119,11 +121,11 @@
     if protocols:
         fields.append(("Sec-WebSocket-Protocol", ", ".join(protocols)))
     if deflates:
-        fields.append(("Sec-WebSocket-Extensions", ALONE))
+        fields.append(("Sec-WebSocket-Extensions", DEFLATE_WITHOUT_TAKEOVER))
     return fields
 
 
-def opened(head: ResponseHead, key: bytes, protocols: Sequence[str], deflates: bool) -> Opened:
+def opened(head: ResponseHead, key: bytes, protocols: Sequence[str], deflates: bool) -> HandshakeResult:
     """What a server's answer means to the client that sent `client(...)` (section 4.1).
 
     Raises:
@@ -131,19 +133,21 @@
     """
     if head.status != 101:
         raise Refused(head.status, "the server did not open a WebSocket")
-    proof = (head.get(b"sec-websocket-accept") or b"").decode("latin-1").strip()
-    upgraded = wanted_answer(head)
-    if not upgraded or proof != accept_key(base64.b64encode(key).decode()):
+    accept = (head.get(b"sec-websocket-accept") or b"").decode("latin-1").strip()
+    upgraded = is_upgrade_response(head)
+    if not upgraded or accept != accept_key(base64.b64encode(key).decode()):
         raise Refused(502, "the answer is none to this opening")
-    chosen = (head.get(b"sec-websocket-protocol") or b"").decode("latin-1").strip()
-    if chosen and chosen not in protocols:
-        raise Refused(502, f"the server chose {chosen!r}, which was not asked for")
+    protocol = (head.get(b"sec-websocket-protocol") or b"").decode("latin-1").strip()
+    if protocol and protocol not in protocols:
+        raise Refused(502, f"the server chose the subprotocol {protocol!r}, which was not requested")
     extensions = (head.get(b"sec-websocket-extensions") or b"").decode("latin-1")
     if extensions and not (deflates and extensions.split(";")[0].strip() == DEFLATE):
         raise Refused(502, "the server chose an extension that was not asked for")
-    return Opened([], chosen, bool(extensions))
+    return HandshakeResult([], protocol, bool(extensions))
 
 
-def wanted_answer(head: ResponseHead) -> bool:
+def is_upgrade_response(head: ResponseHead) -> bool:
     """Whether an answer's fields say that the protocol is changed."""
-    return "websocket" in _words(head.get(b"upgrade")) and "upgrade" in _words(head.get(b"connection"))
+    return "websocket" in _list_items(head.get(b"upgrade")) and "upgrade" in _list_items(
+        head.get(b"connection")
+    )
--- a/packages/codecs/src/fennelcove/websocket/terms.py
+++ b/packages/codecs/src/fennelcove/websocket/terms.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MOST_CONTROL = 125  # section 5.5
+MAX_CONTROL_BYTES = 125  # section 5.5
 GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"  # section 1.3
 
 
@@ -37,7 +37,7 @@
     TRY_LATER = 1013
 
 
-def may_come(code: int) -> bool:
+def is_valid_close_code(code: int) -> bool:
     """Whether a peer may send this close code (section 7.4.2)."""
     return 1000 <= code <= 1003 or 1007 <= code <= 1014 or 3000 <= code <= 4999
 
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 keys = st.text("abcdefghij", min_size=1, max_size=6)
-bares = st.one_of(
+bare_items = st.one_of(
     st.integers(-(10**15) + 1, 10**15 - 1),
     st.integers(-(10**6), 10**6).map(lambda n: n / 8),
     st.booleans(),
@@ -22,7 +22,7 @@
 )
 
 
-def plain(value: Any) -> Any:
+def to_native(value: Any) -> Any:
     """The other parser's values as ours."""
     if isinstance(value, http_sfv.Token):
         return str(value)
@@ -32,54 +32,54 @@
 
 
 class FieldsTest(unittest.TestCase):
-    @given(st.dictionaries(keys, bares, max_size=6))
+    @given(st.dictionaries(keys, bare_items, max_size=6))
     @settings(max_examples=150, deadline=None)
-    def test_what_we_write_both_read_alike(self, values: dict[str, fields.Bare]) -> None:
+    def test_both_parsers_read_a_written_dictionary_alike(self, values: dict[str, fields.Bare]) -> None:
         text = fields.write_dictionary(values)
-        ours, dropped = fields.dictionary(text)
-        theirs = http_sfv.Dictionary()
+        parsed, dropped = fields.parse_dictionary(text)
+        reference = http_sfv.Dictionary()
         if text:
-            theirs.parse(text.encode())
+            reference.parse(text.encode())
         assert dropped == 0
-        assert {key: item.value for key, item in ours.items()} == values
-        assert {key: plain(theirs[key].value) for key in theirs} == values
+        assert {key: item.value for key, item in parsed.items()} == values
+        assert {key: to_native(reference[key].value) for key in reference} == values
 
     @given(st.text("ab=?01\"\\;,:*() -.'/", max_size=24))
     @settings(max_examples=600, deadline=None)
-    def test_a_lone_member_is_taken_where_the_other_takes_it_and_only_there(self, text: str) -> None:
-        raws = list(fields.members(text))
-        if len(raws) != 1 or raws[0] is None or ":" in text:
+    def test_a_single_member_is_accepted_if_and_only_if_the_reference_accepts_it(self, text: str) -> None:
+        members = list(fields.split_members(text))
+        if len(members) != 1 or members[0] is None or ":" in text:
             return  # bytes with spare bits set: RFC 8941 asks parsers to take them, and http_sfv does not
         try:
-            ours: Any = fields.item(raws[0])
+            parsed: Any = fields.parse_item(members[0])
         except FieldError:
-            ours = None
-        theirs = http_sfv.List()
+            parsed = None
+        reference = http_sfv.List()
         try:
-            theirs.parse(text.strip(" \t").encode())
+            reference.parse(text.strip(" \t").encode())
         except ValueError:
-            assert ours is None, text
+            assert parsed is None, text
             return
-        assert ours is not None, text
+        assert parsed is not None, text
 
-    def test_a_malformed_member_costs_only_itself(self) -> None:
-        found, dropped = fields.dictionary('a=1,b==,c="x,y",d=(1 2);q,,e=1.2345,f')
+    def test_a_malformed_member_is_dropped_without_the_others(self) -> None:
+        found, dropped = fields.parse_dictionary('a=1,b==,c="x,y",d=(1 2);q,,e=1.2345,f')
         assert sorted(found) == ["a", "c", "d", "f"]
         assert dropped == 3
 
-    def test_bounds(self) -> None:
-        assert fields.dictionary("a=1," * 2000)[0] == {}
-        found, dropped = fields.dictionary(",".join(f"k{i}" for i in range(100)))
+    def test_limits(self) -> None:
+        assert fields.parse_dictionary("a=1," * 2000)[0] == {}
+        found, dropped = fields.parse_dictionary(",".join(f"k{i}" for i in range(100)))
         assert (len(found), dropped) == (64, 1)
 
-    def test_what_has_no_form_is_not_written(self) -> None:
+    def test_values_that_can_not_be_represented_are_rejected(self) -> None:
         for value in (float("nan"), float("inf"), 10**15, "\u00e9", Token("a b"), 1e12):
             with self.assertRaises(FieldError):
                 fields.write_bare(value)
 
 
 class CmcdTest(unittest.TestCase):
-    def test_the_four_headers_typed(self) -> None:
+    def test_the_four_headers_are_parsed_and_typed(self) -> None:
         found = cmcd.read(
             {
                 "cmcd-request": "mtp=25400,bl=21300,su",
@@ -93,17 +93,17 @@
         assert (found.text("cid"), found.number("pr")) == ("faec5fc2", 1.08)
         assert (found.custom, found.dropped) == ({"com.example-my": "x"}, 0)
 
-    def test_the_query_argument_and_json_say_the_same(self) -> None:
+    def test_the_query_argument_and_json_give_the_same_hints(self) -> None:
         query = cmcd.query_arguments("a=b&CMCD=bl%3D3000%2Ccid%3D%22t1%22%2Cbs%2Cnor%3D%22..%252Fx%22")
         by_query = cmcd.read({}, query)
         by_json = cmcd.read({}, {}, {"bl": 3000, "cid": "t1", "bs": True, "nor": "..%2Fx"})
         assert by_query.values == by_json.values
         assert by_query.text("nor") == "..%2Fx"
 
-    def test_version_two_lists_count_by_their_first(self) -> None:
+    def test_the_first_item_of_a_version_two_list_is_used(self) -> None:
         assert cmcd.read_text(["br=(3200;v 128;a),ltc=1500,v=2"]).values["br"] == 3200
 
-    def test_what_is_malformed_is_dropped_one_by_one(self) -> None:
+    def test_each_malformed_hint_is_dropped_and_counted(self) -> None:
         found = cmcd.read_text(['br=abc,bl=-5,cid=1,ot=zz,unknown=1,tb=900,sid="' + "x" * 65 + '"'])
         assert (found.values, found.dropped) == ({"tb": 900}, 6)
         assert cmcd.read_json(b"no json").dropped == 1
@@ -111,7 +111,7 @@
 
     @given(st.text(max_size=80), st.text(max_size=80))
     @settings(max_examples=200, deadline=None)
-    def test_nothing_makes_it_fail(self, header: str, query: str) -> None:
+    def test_arbitrary_text_raises_no_error(self, header: str, query: str) -> None:
         cmcd.read({"cmcd-request": header}, cmcd.query_arguments(query))
         cmcd.read({}, cmcd.query_arguments(query), {header: query})
 
@@ -134,20 +134,20 @@
         assert (found.hops[1].in_duress, found.hops[1].number("mb")) == (True, 1500)
         assert found.dropped == 0
 
-    def test_a_bad_hop_or_key_costs_only_itself(self) -> None:
+    def test_a_malformed_hop_or_key_is_dropped_without_the_others(self) -> None:
         found = cmsd.read("br=x,su", '"a";etp=fast;rtt=3, 5;rtt=1, "b";;, "c";du=?0')
         assert [hop.name for hop in found.hops] == ["a", "c"]
         assert dict(found.hops[0].values) == {"rtt": 3}
         assert not found.hops[1].in_duress
         assert found.dropped == 4
 
-    def test_memory_is_bounded_and_says_the_same(self) -> None:
-        memo = cmsd.Memo(most=3)
+    def test_the_cache_is_bounded_and_returns_what_read_returns(self) -> None:
+        cache = cmsd.Memo(max_entries=3)
         for i in range(10):
             text = cmsd.write_hop("box", {"etp": i})
-            assert memo.read(None, text) == cmsd.read(None, text)
-            assert memo.read(None, text) is memo.read(None, text)
-        assert len(memo.known) == 3
+            assert cache.read(None, text) == cmsd.read(None, text)
+            assert cache.read(None, text) is cache.read(None, text)
+        assert len(cache.entries) == 3
 
 
 if __name__ == "__main__":
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -14,13 +14,13 @@
 HOST = b"Host: a\r\n"
 
 
-def read(raw: bytes, requests: bool = True, stream: bool = False) -> list[Event]:
-    reader = Reader(requests, LIMITS, stream)
+def read(raw: bytes, reads_requests: bool = True, stream: bool = False) -> list[Event]:
+    reader = Reader(reads_requests, LIMITS, stream)
     reader.feed(raw)
-    found = []
+    events = []
     while (event := reader.next()) is not None:
-        found.append(event)
-    return found
+        events.append(event)
+    return events
 
 
 def post(fields: bytes, body: bytes = b"") -> bytes:
@@ -40,11 +40,11 @@
         assert b"".join(e.body for e in events if isinstance(e, Data)) == b"abcde"
         assert isinstance(events[-1], End)
 
-    def test_pipelined_requests_come_apart(self) -> None:
+    def test_pipelined_requests_are_separated(self) -> None:
         events = read(post(b"Content-Length: 2\r\n", b"ab") + b"GET /y HTTP/1.1\r\n" + HOST + b"\r\n")
         assert [e.target for e in events if isinstance(e, RequestHead)] == ["/x", "/y"]
 
-    def test_a_response_until_close_has_its_end_by_closing(self) -> None:
+    def test_a_response_without_a_length_ends_when_the_peer_closes(self) -> None:
         reader = Reader(False, LIMITS)
         reader.feed(b"HTTP/1.1 200 OK\r\n\r\nab")
         head = reader.next()
@@ -55,27 +55,27 @@
         reader.feed(b"")
         assert reader.next() == End()
 
-    def test_no_body_after_head_204_and_304_and_interim(self) -> None:
+    def test_responses_to_head_204_304_and_interim_responses_have_no_body(self) -> None:
         reader = Gatherer(Reader(False, LIMITS))
-        reader.reader.expect("HEAD")
+        reader.reader.expect_response_to("HEAD")
         reader.reader.feed(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
-        whole = reader.next()
-        assert isinstance(whole, Whole) and isinstance(whole.head, ResponseHead)
-        assert (whole.head.status, whole.body) == (200, b"")
-        assert isinstance(read(b"HTTP/1.1 204 No Content\r\n\r\n", requests=False)[-1], End)
+        message = reader.next()
+        assert isinstance(message, Whole) and isinstance(message.head, ResponseHead)
+        assert (message.head.status, message.body) == (200, b"")
+        assert isinstance(read(b"HTTP/1.1 204 No Content\r\n\r\n", reads_requests=False)[-1], End)
 
-    def test_expect_continue_is_told_and_other_expectations_refused(self) -> None:
+    def test_expect_continue_is_reported_and_other_expectations_are_rejected(self) -> None:
         head = read(post(b"Expect: 100-continue\r\nContent-Length: 1\r\n"))[0]
         assert isinstance(head, RequestHead)
         assert head.expects_continue
-        self.refused(post(b"Expect: the-best\r\n"), 417)
+        self.assert_rejected(post(b"Expect: the-best\r\n"), 417)
 
-    def refused(self, raw: bytes, status: int, requests: bool = True) -> None:
+    def assert_rejected(self, raw: bytes, status: int, reads_requests: bool = True) -> None:
         with self.assertRaises(ProtocolError) as caught:
-            read(raw, requests)
+            read(raw, reads_requests)
         assert caught.exception.status == status, raw
 
-    def test_every_way_to_smuggle_is_refused(self) -> None:
+    def test_every_form_of_request_smuggling_is_rejected(self) -> None:
         for fields in (
             b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
             b"Content-Length: 3\r\nContent-Length: 3\r\n",
@@ -94,38 +94,38 @@
             b"Host: b\r\n",
             b"no colon\r\n",
         ):
-            self.refused(post(fields, b"abc"), 400)
-        self.refused(post(b"Transfer-Encoding: gzip\r\n"), 501)
-        self.refused(post(b"Transfer-Encoding: xchunked\r\n"), 501)
-        self.refused(b"GET / HTTP/1.1\r\n\r\n", 400)  # no Host
-        self.refused(b"GET / HTTP/2.0\r\n" + HOST + b"\r\n", 505)
-        self.refused(b"GET  / HTTP/1.1\r\n" + HOST + b"\r\n", 400)
-        self.refused(b"GET /\n\n", 400)
-
-    def test_every_bound_holds(self) -> None:
-        self.refused(post(b"A: " + b"b" * 600 + b"\r\n"), 431)
-        self.refused(b"GET /" + b"a" * 600, 431)
-        self.refused(post(b"A: b\r\n" * 9), 431)
-        self.refused(post(b"Content-Length: 65\r\n"), 413)
+            self.assert_rejected(post(fields, b"abc"), 400)
+        self.assert_rejected(post(b"Transfer-Encoding: gzip\r\n"), 501)
+        self.assert_rejected(post(b"Transfer-Encoding: xchunked\r\n"), 501)
+        self.assert_rejected(b"GET / HTTP/1.1\r\n\r\n", 400)  # no Host
+        self.assert_rejected(b"GET / HTTP/2.0\r\n" + HOST + b"\r\n", 505)
+        self.assert_rejected(b"GET  / HTTP/1.1\r\n" + HOST + b"\r\n", 400)
+        self.assert_rejected(b"GET /\n\n", 400)
+
+    def test_every_limit_is_enforced(self) -> None:
+        self.assert_rejected(post(b"A: " + b"b" * 600 + b"\r\n"), 431)
+        self.assert_rejected(b"GET /" + b"a" * 600, 431)
+        self.assert_rejected(post(b"A: b\r\n" * 9), 431)
+        self.assert_rejected(post(b"Content-Length: 65\r\n"), 413)
         chunked = post(b"Transfer-Encoding: chunked\r\n")
-        self.refused(chunked + b"41\r\n", 413)
-        self.refused(chunked + b"40\r\n" + b"a" * 64 + b"\r\n1\r\n", 413)
-        self.refused(chunked + b"3" * 2000, 400)
-        self.refused(chunked + b"zz\r\n", 400)
-        self.refused(chunked + b"1\r\nabc\r\n", 400)
+        self.assert_rejected(chunked + b"41\r\n", 413)
+        self.assert_rejected(chunked + b"40\r\n" + b"a" * 64 + b"\r\n1\r\n", 413)
+        self.assert_rejected(chunked + b"3" * 2000, 400)
+        self.assert_rejected(chunked + b"zz\r\n", 400)
+        self.assert_rejected(chunked + b"1\r\nabc\r\n", 400)
 
-    def test_trailers_without_end_are_refused_and_not_recursed_into(self) -> None:
+    def test_too_many_trailers_are_rejected_without_recursion(self) -> None:
         # Each trailer line used to cost a stack frame: a few thousand ended the thread.
-        self.refused(post(b"Transfer-Encoding: chunked\r\n", b"0\r\n" + b"a:\r\n" * 5000), 431)
+        self.assert_rejected(post(b"Transfer-Encoding: chunked\r\n", b"0\r\n" + b"a:\r\n" * 5000), 431)
 
-    def test_a_refused_connection_stays_refused(self) -> None:
+    def test_a_reader_raises_again_after_a_protocol_error(self) -> None:
         reader = Reader(True, LIMITS)
         reader.feed(b"\x00\n")
         for _ in range(2):
             with self.assertRaises(ProtocolError):
                 reader.next()
 
-    def test_closed_in_mid_message(self) -> None:
+    def test_the_peer_closes_in_the_middle_of_a_message(self) -> None:
         reader = Reader(True, LIMITS)
         reader.feed(post(b"Content-Length: 3\r\n", b"a"))
         reader.next()
@@ -136,7 +136,7 @@
 
 
 class WriterTest(unittest.TestCase):
-    def test_no_field_breaks_its_line(self) -> None:
+    def test_fields_with_line_breaks_are_rejected(self) -> None:
         for name, value in (("A", "b\r\nC: d"), ("A\r\n", "b"), ("A", "b\n"), ("A b", "c"), ("A", "\x00")):
             with self.assertRaises(ValueError):
                 writer.response(200, [(name, value)])
@@ -155,33 +155,33 @@
 class FuzzTest(unittest.TestCase):
     @given(fields, st.binary(max_size=64), st.lists(st.integers(1, 30), max_size=40))
     @settings(max_examples=150, deadline=None)
-    def test_what_is_written_is_read_however_it_is_cut(
-        self, fields: list[tuple[str, str]], body: bytes, cuts: list[int]
+    def test_written_messages_are_read_whatever_the_sizes_of_the_received_parts(
+        self, fields: list[tuple[str, str]], body: bytes, part_sizes: list[int]
     ) -> None:
         raw = writer.request("POST", "/p", "h", fields, body) * 2
         reader = Gatherer(Reader(True, LIMITS))
-        got: list[Whole] = []
-        at = 0
-        for cut in [*cuts, len(raw)]:
-            reader.reader.feed(raw[at : at + cut] or b"")
-            at += cut
-            while (whole := reader.next()) is not None:
-                got.append(whole)
-            if at >= len(raw):
+        messages: list[Whole] = []
+        position = 0
+        for size in [*part_sizes, len(raw)]:
+            reader.reader.feed(raw[position : position + size] or b"")
+            position += size
+            while (message := reader.next()) is not None:
+                messages.append(message)
+            if position >= len(raw):
                 break
-        assert [whole.body for whole in got] == [body, body]
-        head = got[0].head
+        assert [message.body for message in messages] == [body, body]
+        head = messages[0].head
         for name, value in fields:
             assert (name.lower().encode(), value.encode()) in head.headers
 
     @given(st.binary(max_size=300), st.booleans(), st.booleans())
     @settings(max_examples=400, deadline=None)
-    def test_no_bytes_end_in_anything_but_events_or_a_refusal(
-        self, raw: bytes, requests: bool, stream: bool
+    def test_arbitrary_bytes_give_events_or_a_protocol_error(
+        self, raw: bytes, reads_requests: bool, stream: bool
     ) -> None:
-        for start in (b"", b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"):
-            reader = Reader(requests, LIMITS, stream)
-            reader.feed(start + raw)
+        for prefix in (b"", b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"):
+            reader = Reader(reads_requests, LIMITS, stream)
+            reader.feed(prefix + raw)
             reader.feed(b"")
             try:
                 for _ in range(1000):
