--- a/packages/codecs/src/fennelcove/hints/cmcd.py
+++ b/packages/codecs/src/fennelcove/hints/cmcd.py
@@ -1,8 +1,9 @@
-"""CMCD, what a player tells: CTA-5004 (version 1), and the keys that version 2 adds where they are public.
+"""Common Media Client Data (CMCD): hints from a client, as CTA-5004 defines them.
 
-Three carriers, as the specification has them: four request headers, one query argument, one JSON object. Keys
-come typed; keys of one's own carry a hyphen and are kept as they are. What is malformed is dropped and
-counted.
+The keys of version 1 are supported, and those of version 2 as far as they are public. Hints arrive in one of
+the three ways of the specification: four request headers, one query argument or one JSON object. The type of
+reserved keys is checked; custom keys, which contain a hyphen, are accepted with any type. Malformed hints are
+dropped and counted.
 """
 
 from __future__ import annotations
@@ -22,29 +23,35 @@
 
 @dataclass(slots=True)
 class Cmcd:
-    """One player's hints: reserved keys by name, typed; rates in kb/s, times in ms."""
+    """The hints of one request; rates are in kb/s, times in ms.
+
+    Attributes:
+        values: reserved keys with valid values.
+        custom: custom keys.
+        dropped: the number of malformed or unknown hints.
+    """
 
     values: dict[str, Bare] = field(default_factory=dict)
     custom: dict[str, Bare] = field(default_factory=dict)
     dropped: int = 0
 
     def number(self, key: str) -> float | None:
-        """A reserved key's figure, where it was given."""
+        """Return the number of a reserved key, or None if it is absent or has another type."""
         value = self.values.get(key)
         return None if value is None or isinstance(value, str | bytes) else float(value)
 
     def text(self, key: str) -> str | None:
-        """A reserved key's text, where it was given."""
+        """Return the text of a reserved key, or None if it is absent or has another type."""
         value = self.values.get(key)
         return value if isinstance(value, str) else None
 
     def flag(self, key: str) -> bool:
-        """Whether a reserved flag is set; absent is false (CTA-5004, section on keys)."""
+        """Return whether a reserved flag is set; an absent flag is false (CTA-5004, section on keys)."""
         return self.values.get(key) is True
 
 
 def _non_negative_integer(value: Bare) -> Bare | None:
-    # What senders are to round to a hundred is read as it stands: finer is no fault.
+    # Senders must round some values to the nearest hundred; a value that is not rounded is accepted.
     is_valid = isinstance(value, int) and not isinstance(value, bool) and value >= 0
     return value if is_valid else None
 
@@ -68,7 +75,7 @@
 
 def _token(*allowed: str) -> Callable[[Bare], Bare | None]:
     def check(value: Bare) -> Bare | None:
-        # JSON and some players quote what the specification has as tokens: the words are the same.
+        # JSON and some players send strings where the specification has tokens.
         return Token(value) if isinstance(value, str) and (not allowed or value in allowed) else None
 
     return check
@@ -128,7 +135,7 @@
     "url": _string(2048),
 }
 RESERVED_KEYS: Mapping[str, Callable[[Bare], Bare | None]] = {**_V1, **_V2}
-# Where version 1 puts each of its keys; players are read whichever header they use.
+# The index in `NAMES` of the header that version 1 assigns to each key; on reception any header is accepted.
 HEADER_INDEX = {
     "bl": 0,
     "dl": 0,
@@ -164,7 +171,7 @@
 
 
 def _first_value(item: Item) -> Bare | None:
-    """The value, or the first of an inner list: version 2 lists figures by object type."""
+    """Return the value, or the first item of an inner list: version 2 lists numbers by object type."""
     if isinstance(item.value, tuple):
         first = item.value[0].value if item.value else None
         return None if isinstance(first, tuple) else first
@@ -172,7 +179,7 @@
 
 
 def read_text(texts: Iterable[str]) -> Cmcd:
-    """Hints out of header values, or out of a query argument already unquoted."""
+    """Parse header values, or a query argument that is already percent-decoded."""
     found = Cmcd()
     for text in texts:
         items, dropped = parse_dictionary(text)
@@ -187,7 +194,7 @@
 
 
 def read_json(raw: bytes | Mapping[str, Any]) -> Cmcd:
-    """Hints out of a JSON object."""
+    """Parse a JSON object, encoded or decoded."""
     found = Cmcd()
     decoded: Any = raw
     if isinstance(raw, bytes):
@@ -209,7 +216,10 @@
 
 
 def read(headers: Mapping[str, str], query: Mapping[str, str], body: Any = None) -> Cmcd:
-    """Hints from whichever carrier brought them: headers, else the query argument, else a JSON object."""
+    """Parse the hints of a request: its headers, else its query argument, else a JSON object.
+
+    Names of headers are in lower case.
+    """
     texts = [headers[name] for name in HEADER_KEYS if name in headers]
     if texts:
         return read_text(texts)
@@ -219,7 +229,7 @@
 
 
 def query_arguments(query: str) -> dict[str, str]:
-    """A query's arguments, the first of each name counting; what is no argument is passed over."""
+    """Return the first argument of each name in a query; parts without `=` are ignored."""
     found: dict[str, str] = {}
     for part in query.split("&")[:64]:
         name, separator, value = part.partition("=")
@@ -229,10 +239,10 @@
 
 
 def write_headers(values: Mapping[str, Bare]) -> list[tuple[str, str]]:
-    """Hints as the four headers, keys in order; for players and stand-ins.
+    """Serialize hints as the four headers with sorted keys; for players and emulated clients.
 
     Raises:
-        FieldError: a value that can't be written.
+        FieldError: a value can't be represented.
     """
     groups: list[dict[str, Bare]] = [{}, {}, {}, {}]
     for key in sorted(values):
--- a/packages/codecs/src/fennelcove/hints/cmsd.py
+++ b/packages/codecs/src/fennelcove/hints/cmsd.py
@@ -1,7 +1,8 @@
-"""CMSD, what a server tells: CTA-5006. `CMSD-Static` is a dictionary; `CMSD-Dynamic` a list, one entry a hop.
+"""Common Media Server Data (CMSD): hints from servers, as CTA-5006 defines them.
 
-A box of ours adds keys of its own to the reserved ones, hyphenated as the specification asks: what is asked
-of its link over what the link gives, and the same of its rack's uplink.
+`CMSD-Static` is a dictionary; `CMSD-Dynamic` is a list with one entry a hop. The servers add two custom keys,
+with a hyphen as the specification requires: the ratio of the demand on the server's link to its capacity, and
+the same ratio for the uplink of its rack.
 """
 
 from __future__ import annotations
@@ -49,25 +50,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Hop:
-    """What one server on the way told; rates in kb/s, times in ms."""
+    """The hints of one server on the path; rates are in kb/s, times in ms."""
 
     name: str
     values: Mapping[str, Bare]
 
     def number(self, key: str) -> float | None:
-        """A key's figure, where it was given."""
+        """Return the number of a key, or None if it is absent or not a number."""
         value = self.values.get(key)
         return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
 
     @property
     def in_duress(self) -> bool:
-        """The server says that it is under stress (`du`)."""
+        """Whether the server reports that it is overloaded (`du`)."""
         return self.values.get("du") is True
 
 
 @dataclass(frozen=True, slots=True)
 class Cmsd:
-    """One answer's hints."""
+    """The hints of one response, and the number of malformed or unknown ones that were dropped."""
 
     static: Mapping[str, Bare] = field(default_factory=dict)
     hops: tuple[Hop, ...] = ()
@@ -92,7 +93,7 @@
 
 
 def read(static: str | None, dynamic: str | None) -> Cmsd:
-    """Hints out of the two header values; a malformed entry or key costs only itself."""
+    """Parse the values of the two headers; a malformed entry or key is dropped without the others."""
     dropped = 0
     static_values: dict[str, Bare] = {}
     if static:
@@ -120,27 +121,27 @@
 
 
 def write_static(values: Mapping[str, Bare]) -> str:
-    """The value of CMSD-Static, keys in order.
+    """Serialize the value of CMSD-Static with sorted keys.
 
     Raises:
-        FieldError: a value that can't be written.
+        FieldError: a value can't be represented.
     """
     return write_dictionary({key: values[key] for key in sorted(values)})
 
 
 def write_hop(name: str, values: Params) -> str:
-    """One entry of CMSD-Dynamic.
+    """Serialize one entry of CMSD-Dynamic.
 
     Raises:
-        FieldError: a value that can't be written.
+        FieldError: a value can't be represented.
     """
     return write_bare(name) + write_params({key: values[key] for key in sorted(values)})
 
 
 class Memo:
-    """Remembers how recent values read: a box repeats its own from answer to answer.
+    """A least-recently-used cache of parsed hints; a server repeats its values from response to response.
 
-    Bounded by count; the value longest unused goes first. One thread at a time.
+    Not thread-safe.
     """
 
     def __init__(self, max_entries: int = 512) -> None:
@@ -148,7 +149,7 @@
         self.entries: OrderedDict[tuple[str | None, str | None], Cmsd] = OrderedDict()
 
     def read(self, static: str | None, dynamic: str | None) -> Cmsd:
-        """As `read`, out of memory where the same pair came lately."""
+        """Parse as `read` does, or return the cached result of the same pair of values."""
         key = (static, dynamic)
         if key in self.entries:
             self.entries.move_to_end(key)
--- a/packages/codecs/src/fennelcove/hints/fields.py
+++ b/packages/codecs/src/fennelcove/hints/fields.py
@@ -1,8 +1,8 @@
-"""Structured fields (RFC 8941), read member by member so that one malformed member costs only itself.
+"""Structured fields (RFC 8941), parsed member by member.
 
-Each member is parsed as strictly as the RFC asks; what is lenient is that its neighbours still count.
-http_sfv, which refuses a whole field for one member, stands in the tests as the peer that this reader is held
-to; what both cost stands in docs/results.md.
+Each member is parsed as strictly as the RFC requires, but a malformed member is dropped without its
+neighbours. The library http_sfv, which rejects a field as a whole for one malformed member, is the reference
+in the tests; docs/results.md compares the cost of both.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Token(str):
-    """A token, apart from a string."""
+    """A token, as distinct from a string."""
 
     __slots__ = ()
 
@@ -30,14 +30,14 @@
 
 
 class Item(NamedTuple):
-    """A bare value, or the values of an inner list, with parameters."""
+    """A bare item or an inner list, with its parameters."""
 
     value: Bare | tuple[Item, ...]
     params: Params
 
 
 class FieldError(ValueError):
-    """A member that is no structured field."""
+    """A malformed member, or a value that a structured field can't represent."""
 
 
 _KEY = re.compile(r"[a-z*][a-z0-9_.*-]*")
@@ -47,7 +47,7 @@
 _BYTES = re.compile(r":([A-Za-z0-9+/=]*):")
 _BOOL = re.compile(r"\?([01])")
 _SPACES = re.compile(r" *")
-# A member reaches to the next comma outside quotes and inner lists.
+# A member ends at the next comma outside strings and inner lists.
 _MEMBER = re.compile(r'(?:"(?:[^"\\]|\\.)*"?|[^,"()]|\((?:"(?:[^"\\]|\\.)*"?|[^")])*\)?|\))+')
 
 
@@ -114,10 +114,10 @@
 
 
 def parse_item(text: str) -> Item:
-    """One item or inner list.
+    """Parse one item or inner list.
 
     Raises:
-        FieldError: anything else, or something left over.
+        FieldError: the text is malformed, or more follows the item.
     """
     found, position = _parse_item(text, 0)
     if position != len(text):
@@ -126,10 +126,10 @@
 
 
 def parse_member(text: str) -> tuple[str, Item]:
-    """One member of a dictionary: `key`, `key=item` or `key;params`.
+    """Parse one member of a dictionary: `key`, `key=item` or `key;params`.
 
     Raises:
-        FieldError: anything else.
+        FieldError: the text is malformed, or more follows the member.
     """
     key = _KEY.match(text)
     if key is None:
@@ -143,7 +143,10 @@
 
 
 def split_members(text: str) -> Iterator[str | None]:
-    """The raw members of a list or dictionary; None for each that is empty or past the bounds."""
+    """Split a list or dictionary into its raw members.
+
+    An empty member is None. Text after `MAX_MEMBERS` members, or a text longer than `MAX_CHARS`, is one None.
+    """
     if len(text) > MAX_CHARS:
         yield None
         return
@@ -156,7 +159,7 @@
             position += 1
             if position == len(text):
                 yield raw or None
-                yield None  # a comma with nothing after it
+                yield None  # a trailing comma
                 return
         count += 1
         if count > MAX_MEMBERS:
@@ -166,7 +169,7 @@
 
 
 def parse_dictionary(text: str) -> tuple[dict[str, Item], int]:
-    """The well-formed members, the last of each key counting, and how many were dropped."""
+    """Return the well-formed members, the last one of each key, and the number of dropped members."""
     found: dict[str, Item] = {}
     dropped = 0
     for raw in split_members(text):
@@ -183,7 +186,7 @@
 
 
 def parse_list(text: str) -> tuple[list[Item], int]:
-    """The well-formed members of a list, and how many were dropped."""
+    """Return the well-formed members of a list, and the number of dropped members."""
     found: list[Item] = []
     dropped = 0
     for raw in split_members(text):
@@ -197,10 +200,10 @@
 
 
 def write_bare(value: Bare) -> str:
-    """A bare value as RFC 8941 section 4.1 writes it.
+    """Serialize a bare item (RFC 8941 section 4.1).
 
     Raises:
-        FieldError: a value that has no such form.
+        FieldError: the value can't be represented.
     """
     if isinstance(value, bool):
         return f"?{int(value)}"
@@ -228,12 +231,20 @@
 
 
 def write_params(params: Params) -> str:
-    """Parameters as they follow an item."""
+    """Serialize the parameters of an item.
+
+    Raises:
+        FieldError: a value can't be represented.
+    """
     return "".join(
         f";{key}" if value is True else f";{key}={write_bare(value)}" for key, value in params.items()
     )
 
 
 def write_dictionary(values: dict[str, Bare]) -> str:
-    """A dictionary of plain values; true stands as the bare key."""
+    """Serialize a dictionary of bare items; true is written as the key alone.
+
+    Raises:
+        FieldError: a value can't be represented.
+    """
     return ",".join(key if value is True else f"{key}={write_bare(value)}" for key, value in values.items())
--- a/packages/codecs/src/fennelcove/http1/__init__.py
+++ b/packages/codecs/src/fennelcove/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 (RFC 9110, RFC 9112) as a codec without I/O: bytes in, messages out, and back."""
+"""An HTTP/1.1 codec without I/O (RFC 9110, RFC 9112): parses bytes into messages and serializes messages."""
--- a/packages/codecs/src/fennelcove/http1/messages.py
+++ b/packages/codecs/src/fennelcove/http1/messages.py
@@ -1,4 +1,4 @@
-"""What passes through the codec, and how a message is refused."""
+"""Message types, size limits and the protocol error of the HTTP/1.1 codec."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CodecLimits:
-    """Bounds on one message, in bytes and counts."""
+    """Limits on one message: the size of its head and body in bytes, and the number of header fields."""
 
     head_bytes: int = 16_384
     head_count: int = 64
@@ -17,10 +17,10 @@
 
 
 class ProtocolError(Exception):
-    """A message that must not be acted on; the connection can't be read any further.
+    """A malformed or oversized message; it must not be processed, and the connection can't be read further.
 
     Attributes:
-        status: the answer that RFC 9110 and 9112 ask for, where an answer is due.
+        status: the status code that RFC 9110 and 9112 require if a response is sent.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -32,14 +32,20 @@
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """The values of a field, joined as RFC 9110 section 5.3 allows; the name in lower case."""
+        """Return the value of a field, or None if it is absent.
+
+        Several values are joined with commas, as RFC 9110 section 5.3 allows.
+
+        Args:
+            name: the field name, in lower case.
+        """
         values = [value for key, value in self.headers if key == name]
         return b", ".join(values) if values else None
 
 
 @dataclass(slots=True)
 class RequestHead(_Head):
-    """A request line with its header fields, names in lower case."""
+    """A request line and header fields; field names are in lower case."""
 
     method: str
     target: str
@@ -50,7 +56,7 @@
 
 @dataclass(slots=True)
 class ResponseHead(_Head):
-    """A status line with its header fields, names in lower case."""
+    """A status line and header fields; field names are in lower case."""
 
     status: int
     headers: Headers
@@ -59,19 +65,19 @@
 
 @dataclass(slots=True)
 class Data:
-    """Some bytes of the body."""
+    """A part of a message body."""
 
     body: bytes
 
 
 @dataclass(slots=True)
 class End:
-    """The message is whole."""
+    """The end of a message."""
 
 
 @dataclass(slots=True)
 class Whole:
-    """A message gathered: its head, and its body in one piece."""
+    """A complete message: the head, and the body in one piece."""
 
     head: RequestHead | ResponseHead
     body: bytes = field(default=b"")
--- a/packages/codecs/src/fennelcove/http1/reader.py
+++ b/packages/codecs/src/fennelcove/http1/reader.py
@@ -1,4 +1,4 @@
-"""Reads messages off a stream of bytes: feed bytes, then take events until None says that more are needed."""
+"""Incremental parser of HTTP/1.1 messages: feed bytes, then take events until `next` returns None."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 Event = RequestHead | ResponseHead | Data | End
 
 State = Enum("State", "HEAD LENGTH CHUNK_SIZE CHUNK CHUNK_END TRAILERS UNTIL_CLOSE FAILED")
-# A chunk size line or a trailer section longer than this is nothing that a peer of ours sends.
-MAX_LINE_BYTES = 1024
+MAX_LINE_BYTES = 1024  # of a chunk size line or a trailer field; no supported peer sends a longer one
 NO_BODY_STATUSES = (204, 304)
-
-
-SWITCHING_PROTOCOLS = 101  # ends its exchange; what follows is another protocol (RFC 9110, section 15.2.2)
+# A final response although it is a 1xx: the bytes after it are of another protocol (RFC 9110 section 15.2.2).
+SWITCHING_PROTOCOLS = 101
 
 
 class Reader:
-    """One direction of one connection.
+    """Parses the messages of one direction of one connection.
+
+    After a ProtocolError, which is also raised if the peer closes in the middle of a message, every further
+    call of `next` raises it again.
 
-    Whole bodies are bounded by `limits.body_bytes`; with `stream` set, a body without end is let through
-    piece by piece and only each piece is bounded. After a ProtocolError, or once the peer has closed in
-    mid-message, every further call raises again.
+    Args:
+        reads_requests: whether the messages are requests; else they are responses.
+        limits: the limits on each message.
+        stream: whether a body may be endless; it is returned in parts, and `limits.body_bytes` doesn't apply.
     """
 
     def __init__(self, reads_requests: bool, limits: CodecLimits, stream: bool = False) -> None:
@@ -42,11 +44,11 @@
         self.error: ProtocolError | None = None
 
     def expect_response_to(self, method: str) -> None:
-        """The response that comes next answers a request of this method (RFC 9112 section 6.3)."""
+        """Set the method of the request that the next response answers (RFC 9112 section 6.3)."""
         self.no_body_expected = method == "HEAD"
 
     def feed(self, data: bytes) -> None:
-        """Add what was read; empty bytes say that the peer has closed."""
+        """Add received bytes; empty bytes mean that the peer has closed the connection."""
         if data:
             self.buffer += data
         else:
@@ -54,14 +56,14 @@
 
     @property
     def between(self) -> bool:
-        """Nothing of a message has been read."""
+        """Whether no part of the next message has been received."""
         return self.state is State.HEAD and not self.buffer
 
     def next(self) -> Event | None:
-        """The next event, or None while more bytes are needed.
+        """Return the next event, or None if more bytes are needed.
 
         Raises:
-            ProtocolError: the message is refused; nothing more can be read.
+            ProtocolError: the message is malformed or exceeds a limit; nothing more can be read.
         """
         if self.error is not None:
             raise self.error
@@ -73,13 +75,13 @@
             raise
 
     def _check_peer_open(self) -> None:
-        """More is needed: that is no fault unless the peer has closed in mid-message."""
+        """Raise a ProtocolError if the peer has closed in the middle of a message."""
         if self.is_peer_closed and not self.between:
             raise ProtocolError(400, "closed in mid-message")
 
     def _read_head(self) -> Event | None:
         if self.reads_requests and self.buffer.startswith(b"\r\n"):
-            del self.buffer[:2]  # one empty line before a request is to be passed over (RFC 9112 section 2.2)
+            del self.buffer[:2]  # one empty line before a request is ignored (RFC 9112 section 2.2)
         end = self.buffer.find(b"\r\n\r\n", max(0, self.scanned - 3))
         length = len(self.buffer) if end < 0 else end
         if syntax.BARE_LF.search(self.buffer, max(0, self.scanned - 1), length):
@@ -103,7 +105,7 @@
     def _start_response(self, raw: bytes) -> ResponseHead:
         head = syntax.parse_response_head(raw, self.limits)
         if head.status < 200 and head.status != SWITCHING_PROTOCOLS:
-            self.state = State.HEAD  # an interim response has no body and does not end the exchange
+            self.state = State.HEAD  # an interim response has no body; the final response follows
             return head
         if self.no_body_expected or head.status in (*NO_BODY_STATUSES, SWITCHING_PROTOCOLS):
             self._set_body_length(0)
@@ -186,7 +188,7 @@
         return self.next()
 
     def _read_trailers(self) -> Event | None:
-        # Trailers are read past and dropped: nothing of ours may hang on a field that came after the body.
+        # Trailers are validated and dropped: no decision may depend on a field that follows the body.
         while (line := self._read_line()) is not None:
             if not line:
                 self.state = State.HEAD
@@ -208,7 +210,7 @@
         return None
 
     def _raise_after_error(self) -> Event | None:
-        raise ProtocolError(400, "read after a refused message")
+        raise ProtocolError(400, "the connection can't be read after a protocol error")
 
 
 HANDLERS: dict[State, Callable[[Reader], Event | None]] = {
@@ -224,7 +226,7 @@
 
 
 class Gatherer:
-    """Gathers a reader's events into whole messages; interim responses are passed over."""
+    """Assembles the events of a reader into complete messages; interim responses are skipped."""
 
     def __init__(self, reader: Reader) -> None:
         self.reader = reader
@@ -232,10 +234,10 @@
         self.body = bytearray()
 
     def next(self) -> Whole | None:
-        """The next whole message, or None while more bytes are needed.
+        """Return the next complete message, or None if more bytes are needed.
 
         Raises:
-            ProtocolError: the message is refused.
+            ProtocolError: the message is malformed or exceeds a limit.
         """
         while (event := self.reader.next()) is not None:
             if isinstance(event, Data):
--- a/packages/codecs/src/fennelcove/http1/syntax.py
+++ b/packages/codecs/src/fennelcove/http1/syntax.py
@@ -1,5 +1,7 @@
-"""The grammar of heads, strict where leniency lets one message pass for two (RFC 9112 sections 2 to 7,
-11.2).
+"""Parsers of message heads (RFC 9112 sections 2 to 7).
+
+They are strict where leniency would let two parsers disagree about the length of a message, which is how one
+request is smuggled inside another (section 11.2).
 """
 
 from __future__ import annotations
@@ -19,10 +21,11 @@
 
 
 def parse_fields(lines: list[bytes], limits: CodecLimits) -> Headers:
-    """Header lines, names in lower case.
+    """Parse header lines; the names are returned in lower case.
 
     Raises:
-        ProtocolError: 400 for bare CR or LF, folds and space before the colon; 431 past the count.
+        ProtocolError: 400 for a bare CR or LF, a folded line or a space before the colon; 431 for too many
+            fields.
     """
     if len(lines) > limits.head_count:
         raise ProtocolError(431, f"more than {limits.head_count} header fields")
@@ -38,10 +41,11 @@
 
 
 def parse_request_head(raw: bytes, limits: CodecLimits) -> RequestHead:
-    """A request's head, without its closing empty line.
+    """Parse the head of a request, without the empty line at its end.
 
     Raises:
-        ProtocolError: 400 for what is malformed, 505 for another major version.
+        ProtocolError: 400 if it is malformed, 505 for an unsupported HTTP version, 417 for an unknown
+            expectation, 431 for too many fields.
     """
     lines = raw.split(b"\r\n")
     match = _REQUEST.fullmatch(lines[0])
@@ -63,15 +67,15 @@
 
 
 def parse_response_head(raw: bytes, limits: CodecLimits) -> ResponseHead:
-    """A response's head, without its closing empty line.
+    """Parse the head of a response, without the empty line at its end.
 
     Raises:
-        ProtocolError: whatever is malformed.
+        ProtocolError: it is malformed or has too many fields.
     """
     lines = raw.split(b"\r\n")
     match = _STATUS.fullmatch(lines[0])
     if match is None:
-        raise ProtocolError(502, "a status line that is no `version status reason`")
+        raise ProtocolError(502, "the status line is not of the form `version status reason`")
     headers = parse_fields(lines[1:], limits)
     return ResponseHead(int(match[2]), headers, _keeps_alive(headers, match[1]))
 
@@ -86,16 +90,18 @@
     return minor_version == b"1" and b"close" not in options
 
 
+# Values of `body_length` for a body whose length is not known in advance.
 CHUNKED = -1
 UNTIL_CLOSE = -2
 
 
 def body_length(headers: Headers, default: int, keep_alive: bool) -> int:
-    """How long the body is: a count of bytes, CHUNKED, or the default where no field tells.
+    """Return the length of the body in bytes, CHUNKED, or the default if no field states it.
 
     Raises:
-        ProtocolError: 400 for both lengths at once, a repeated or malformed length, chunked twice or on
-            HTTP/1.0-like messages; 501 for other codings. Each is a way to smuggle (RFC 9112 section 11.2).
+        ProtocolError: 400 for both Content-Length and Transfer-Encoding, for a repeated or malformed
+            Content-Length and for several transfer codings; 501 for a coding other than chunked. Each of them
+            can be used for request smuggling (RFC 9112 section 11.2).
     """
     lengths = [value for name, value in headers if name == b"content-length"]
     codings = [value for name, value in headers if name == b"transfer-encoding"]
--- a/packages/codecs/src/fennelcove/http1/writer.py
+++ b/packages/codecs/src/fennelcove/http1/writer.py
@@ -1,4 +1,7 @@
-"""Writes messages as bytes; a field that could end its line early is refused, whoever handed it in."""
+"""Serializes HTTP/1.1 messages.
+
+A field that contains a line break is an error wherever it comes from: it would inject header fields.
+"""
 
 from __future__ import annotations
 
@@ -55,10 +58,10 @@
 
 
 def response(status: int, fields: Fields, body: bytes = b"", close: bool = False) -> bytes:
-    """A whole response, framed by Content-Length.
+    """Serialize a complete response with a Content-Length.
 
     Raises:
-        ValueError: a field that would break its line.
+        ValueError: a field contains an invalid character.
     """
     length = "" if status in (101, 204) else f"Content-Length: {len(body)}\r\n"
     closing = "Connection: close\r\n" if close else ""
@@ -67,28 +70,32 @@
 
 
 def stream_head(status: int, fields: Fields) -> bytes:
-    """The head of a response that goes on in chunks."""
+    """Serialize the head of a response with a chunked body.
+
+    Raises:
+        ValueError: a field contains an invalid character.
+    """
     lines = _lines(fields)
     head = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}\r\n{lines}Transfer-Encoding: chunked\r\n\r\n"
     return head.encode("latin-1")
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk; empty data would end the body and is refused.
+    """Serialize one chunk of a body.
 
     Raises:
-        ValueError: no data.
+        ValueError: the data is empty, which would end the body.
     """
     if not data:
-        raise ValueError("an empty chunk ends the body; write LAST_CHUNK")
+        raise ValueError("an empty chunk would end the body; use LAST_CHUNK for that")
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def request(method: str, target: str, host: str, fields: Fields = (), body: bytes = b"") -> bytes:
-    """A whole request, framed by Content-Length.
+    """Serialize a complete request with a Content-Length.
 
     Raises:
-        ValueError: a field or target that would break its line.
+        ValueError: a field, the target or the method contains an invalid character.
     """
     if _SAFE_TARGET.fullmatch(target) is None or _SAFE_NAME.fullmatch(method) is None:
         raise ValueError(f"request target {target!r} or its method contains an invalid character")
--- a/packages/codecs/src/fennelcove/websocket/__init__.py
+++ b/packages/codecs/src/fennelcove/websocket/__init__.py
@@ -1,1 +1,1 @@
-"""WebSocket (RFC 6455) and permessage-deflate (RFC 7692), free of I/O: bytes in, events and bytes out."""
+"""A WebSocket codec without I/O (RFC 6455, RFC 7692): received bytes in; events and bytes to send out."""
--- a/packages/codecs/src/fennelcove/websocket/conversation.py
+++ b/packages/codecs/src/fennelcove/websocket/conversation.py
@@ -1,7 +1,9 @@
-"""One side of a WebSocket: messages from frames, control frames between them, the closing handshake.
+"""The protocol of one side of a WebSocket connection, without I/O.
 
-Two total tables say what each frame means: `MESSAGES` for data frames (RFC 6455, section 5.4), `CLOSING` for
-the connection's life (section 7). The owner feeds bytes, takes events, and sends what `outgoing` holds.
+It assembles messages from frames, answers control frames and performs the closing handshake. Its two state
+machines are total tables: `MESSAGES` for data frames (RFC 6455, section 5.4) and `CLOSING` for the connection
+(section 7). The owner passes received bytes to `receive`, handles the events that it returns, and
+sends the bytes that `take` returns.
 """
 
 from __future__ import annotations
@@ -23,19 +25,19 @@
     is_valid_close_code,
 )
 
-MIN_DEFLATE_BYTES = 256  # bytes; shorter messages grow
+MIN_DEFLATE_BYTES = 256  # deflate makes shorter messages longer
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A whole message: text, or bytes."""
+    """A complete message: text, or bytes."""
 
     data: str | bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Pinged:
-    """The peer sent a ping; its pong is in `outgoing`."""
+    """The peer sent a ping; if the connection is open, the pong is in `outgoing`."""
 
     data: bytes
 
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """The peer closes, or broke the protocol; nothing more comes. `clean` where it was its own word."""
+    """The last event: the connection is closed; `clean` if the peer sent a close frame."""
 
     code: int
     reason: str
@@ -60,7 +62,7 @@
 
 
 class MessageState(Enum):
-    """What message is under way."""
+    """The kind of the message that is being received."""
 
     NONE = auto()
     TEXT = auto()
@@ -68,7 +70,7 @@
 
 
 class DataAction(Enum):
-    """What a data frame does."""
+    """What to do with a data frame."""
 
     BEGIN_TEXT = auto()
     BEGIN_BINARY = auto()
@@ -90,24 +92,24 @@
 
 
 class State(Enum):
-    """The connection's life, as this side sees it."""
+    """The state of the connection on this side."""
 
     OPEN = auto()
-    CLOSING = auto()  # our close is sent, the peer's is awaited
-    CLOSED = auto()  # both sent, or the peer broke the protocol
+    CLOSING = auto()  # this side has sent a close frame and waits for that of the peer
+    CLOSED = auto()  # after both close frames, a protocol violation, or the end of the transport connection
 
 
 class CloseEvent(Enum):
-    """What happens to it."""
+    """An event of the closing state machine."""
 
     CLOSE_RECEIVED = auto()
     CLOSE_REQUESTED = auto()
     PROTOCOL_VIOLATED = auto()
-    CONNECTION_ENDED = auto()  # its bytes end without a close
+    CONNECTION_ENDED = auto()  # the transport connection ended without a close frame
 
 
 class CloseAction(Enum):
-    """What is done about it."""
+    """An action of the closing state machine."""
 
     SEND_CLOSE = auto()
     ECHO_CLOSE = auto()
@@ -125,7 +127,7 @@
         (CloseAction.SEND_CLOSE, CloseAction.EMIT_CLOSED),
     ),
     (State.OPEN, CloseEvent.CONNECTION_ENDED): (State.CLOSED, (CloseAction.EMIT_CLOSED,)),
-    # Closes that cross: each side takes the other's for the answer to its own.
+    # If both sides close at once, each takes the close frame of the other as the answer to its own.
     (State.CLOSING, CloseEvent.CLOSE_RECEIVED): (State.CLOSED, (CloseAction.EMIT_CLOSED,)),
     (State.CLOSING, CloseEvent.CLOSE_REQUESTED): (State.CLOSING, ()),
     (State.CLOSING, CloseEvent.PROTOCOL_VIOLATED): (State.CLOSED, (CloseAction.EMIT_CLOSED,)),
@@ -138,7 +140,13 @@
 
 
 class Conversation:
-    """One side. `mask` draws four bytes for each frame of a client; None makes this a server."""
+    """One side of a connection.
+
+    Args:
+        bounds: the limits on received frames and messages.
+        deflates: whether permessage-deflate was negotiated.
+        mask: for a client, returns four random bytes for each frame; None for a server.
+    """
 
     def __init__(
         self, bounds: Bounds, deflates: bool = False, mask: Callable[[], bytes] | None = None
@@ -162,19 +170,26 @@
 
     @property
     def over(self) -> bool:
-        """Nothing more comes and nothing more is sent."""
+        """Whether the connection is closed: no event follows, and nothing more is sent."""
         return self.state is State.CLOSED
 
-    # What comes.
+    # Receiving.
 
     def receive(self, data: bytes) -> list[Event]:
-        """Bytes of the peer, none for its end; what they mean, in order."""
+        """Handle received bytes, or empty bytes for the end of the transport connection.
+
+        Returns:
+            The events, in order.
+        """
         self.events = []
         if self.over:
             return []
         if not data:
             self._apply(
-                CloseEvent.CONNECTION_ENDED, CloseCode.ABNORMAL, "the peer hung up without a close", False
+                CloseEvent.CONNECTION_ENDED,
+                CloseCode.ABNORMAL,
+                "the peer disconnected without a close frame",
+                False,
             )
             return self.events
         self.reader.feed(data)
@@ -201,7 +216,7 @@
 
     def _on_data(self, part: FramePart) -> None:
         header = part.header
-        is_first_part = self.reader.received == len(part.data)  # the first piece of its frame
+        is_first_part = self.reader.received == len(part.data)  # of its frame
         if is_first_part:
             action = MESSAGES[self.message_state, header.opcode]
             if action is DataAction.REJECT:
@@ -241,13 +256,13 @@
     def _end_message(self) -> None:
         data = bytes(self.payload) if self.decoder is None else "".join(self.text_parts)
         self._reset_message()
-        if self.state is State.OPEN:  # what comes after our close is read past (section 1.4)
+        if self.state is State.OPEN:  # messages after a close frame of this side are ignored (section 1.4)
             self.events.append(Message(data))
 
-    # What is sent.
+    # Sending.
 
     def send(self, data: str | bytes) -> None:
-        """A whole message; nothing once the connection closes."""
+        """Send a complete message; ignored unless the connection is open."""
         if self.state is not State.OPEN:
             return
         opcode = Opcode.TEXT if isinstance(data, str) else Opcode.BINARY
@@ -258,16 +273,16 @@
             self._write(opcode, payload)
 
     def ping(self, data: bytes = b"") -> None:
-        """A ping; the peer's pong comes as an event."""
+        """Send a ping; the pong of the peer is reported as an event."""
         if self.state is State.OPEN:
             self._write(Opcode.PING, data[:MAX_CONTROL_BYTES])
 
     def close(self, code: CloseCode = CloseCode.NORMAL, reason: str = "") -> None:
-        """Begin to close, or go on with it."""
+        """Begin the closing handshake; ignored if the connection is closing or closed."""
         self._apply(CloseEvent.CLOSE_REQUESTED, code, reason, True)
 
     def take(self) -> bytes:
-        """What is to be sent now."""
+        """Return the bytes to be sent, and remove them from `outgoing`."""
         raw = bytes(self.outgoing)
         self.outgoing.clear()
         return raw
@@ -288,7 +303,7 @@
 
 
 def _encode_close(code: int, reason: str) -> bytes:
-    """A close frame's payload; a reason too long for it is cut between two characters."""
+    """Return the payload of a close frame; a reason that is too long is cut at a character boundary."""
     if code == CloseCode.NO_STATUS:
         return b""
     text = reason.encode()[: MAX_CONTROL_BYTES - 2].decode("utf-8", "ignore")
--- a/packages/codecs/src/fennelcove/websocket/deflate.py
+++ b/packages/codecs/src/fennelcove/websocket/deflate.py
@@ -1,7 +1,7 @@
-"""permessage-deflate (RFC 7692) without context takeover: each message stands alone.
+"""permessage-deflate (RFC 7692) without context takeover: each message is compressed on its own.
 
-So an idle connection holds no window (some 300 kB for both directions with takeover), and no message can be
-read without all of it being in its bound.
+With context takeover, the windows of an idle connection would take about 300 kB for both directions. Without
+it, the size limit of a message also limits all data that must be inflated to read it.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 
 from fennelcove.websocket.terms import CloseCode, Violation
 
-FLUSH_TAIL = b"\x00\x00\xff\xff"  # section 7.2.1
-COMPRESSION_LEVEL = 1  # the messages are short: more effort buys next to nothing
-WINDOW_BITS = -15
+FLUSH_TAIL = b"\x00\x00\xff\xff"  # of a sync flush; the sender removes it (section 7.2.1)
+COMPRESSION_LEVEL = 1  # messages are short; a higher level saves almost nothing
+WINDOW_BITS = -15  # negative: a raw deflate stream without a zlib header
 
 
 def deflate(data: bytes) -> bytes:
-    """A message's payload, compressed."""
+    """Compress the payload of a message."""
     compressor = zlib.compressobj(COMPRESSION_LEVEL, zlib.DEFLATED, WINDOW_BITS)
     compressed = compressor.compress(data) + compressor.flush(zlib.Z_SYNC_FLUSH)
     return compressed[: -len(FLUSH_TAIL)] if compressed.endswith(FLUSH_TAIL) else compressed
 
 
 class Inflater:
-    """Inflates one message piece by piece, never past its bound: a bomb is cut off, not unpacked."""
+    """Inflates one message in parts, and stops at the size limit to withstand decompression bombs."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
@@ -31,13 +31,13 @@
         self.decompressor = zlib.decompressobj(WINDOW_BITS)
 
     def add(self, data: bytes) -> bytes:
-        """What this piece inflates to.
+        """Inflate the next part of the message.
 
         Raises:
-            Violation: more than the bound, or no deflated data.
+            Violation: the message exceeds the limit or is not valid deflate data.
         """
         try:
-            # One byte over the bound is asked for: so much shows that there is more, and no more is made.
+            # Inflates at most one byte past the limit, which suffices to detect that the limit is exceeded.
             inflated = self.decompressor.decompress(data, self.max_bytes - self.size + 1)
         except zlib.error:
             raise Violation(CloseCode.BAD_DATA, "a message can't be inflated") from None
@@ -47,7 +47,7 @@
         return inflated
 
     def end(self) -> bytes:
-        """The message is whole.
+        """Return the rest of the message; no part follows.
 
         Raises:
             Violation: as for `add`.
--- a/packages/codecs/src/fennelcove/websocket/frames.py
+++ b/packages/codecs/src/fennelcove/websocket/frames.py
@@ -1,4 +1,4 @@
-"""Frames (RFC 6455, section 5.2): written whole, read as their bytes come."""
+"""Frames (RFC 6455, section 5.2): a serializer, and an incremental parser."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 FIN, COMPRESSED, RESERVED = 0x80, 0x40, 0x30
 MASKED = 0x80
-FIRST_CONTROL_OPCODE = 8  # opcodes from here on
+FIRST_CONTROL_OPCODE = 8  # control frames have this opcode or a higher one
 
 
 @dataclass(frozen=True, slots=True)
 class FrameHeader:
-    """A frame's head; `length` is of its payload, in bytes."""
+    """The header of a frame; `length` is that of the payload, in bytes."""
 
     fin: bool
     compressed: bool
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FramePart:
-    """Some of a frame's payload, unmasked; `last` where the frame is whole with it."""
+    """A part of a frame's payload, unmasked; `is_last` if the frame is complete with it."""
 
     header: FrameHeader
     data: bytes
@@ -32,9 +32,14 @@
 
 
 def masked(data: bytes, mask: bytes, offset: int = 0) -> bytes:
-    """Payload masked or unmasked (section 5.3); `at` is where in the payload the data begins.
+    """Mask or unmask payload data (section 5.3).
 
-    One exclusive-or of two long integers: byte by byte it cost forty times as much.
+    One exclusive or of two long integers is forty times as fast as a loop over the bytes.
+
+    Args:
+        data: the payload, or a part of it.
+        mask: the four bytes of the masking key.
+        offset: the position of the data in the payload.
     """
     if not data:
         return b""
@@ -47,7 +52,7 @@
 def write(
     opcode: Opcode, data: bytes, mask: bytes | None, fin: bool = True, compressed: bool = False
 ) -> bytes:
-    """One frame; a mask of four bytes makes it a client's."""
+    """Serialize one frame; frames of a client need a mask of four bytes, those of a server have none."""
     header = bytearray([opcode | (FIN if fin else 0) | (COMPRESSED if compressed else 0)])
     mask_bit = MASKED if mask is not None else 0
     count = len(data)
@@ -65,9 +70,9 @@
 
 
 class FrameReader:
-    """Reads frames of one peer. `feed` what came, then call `next` until it gives nothing.
+    """Parses the frames of one peer: `feed` received bytes, then call `next` until it returns None.
 
-    A frame over its bound is refused at its head, before a byte of it is kept.
+    A frame that exceeds the size limit is rejected by its header, before any of its payload is buffered.
     """
 
     def __init__(self, from_client: bool, deflates: bool, bounds: Bounds) -> None:
@@ -79,19 +84,19 @@
         self.received = 0
 
     def feed(self, data: bytes) -> None:
-        """Bytes of the peer."""
+        """Add received bytes."""
         self.buffer += data
 
     @property
     def is_mid_frame(self) -> bool:
-        """Whether a frame has begun and is not whole."""
+        """Whether a part of a frame has been received and its end has not."""
         return self.header is not None or bool(self.buffer)
 
     def next(self) -> FramePart | None:
-        """The next piece; None where more bytes are needed.
+        """Return the next part, or None if more bytes are needed.
 
         Raises:
-            Violation: a frame that must not be acted on.
+            Violation: a frame is malformed or exceeds the size limit.
         """
         if self.header is None:
             self.header = self._read_header()
--- a/packages/codecs/src/fennelcove/websocket/handshake.py
+++ b/packages/codecs/src/fennelcove/websocket/handshake.py
@@ -1,4 +1,4 @@
-"""The opening handshake (RFC 6455, section 4), both sides, and the offer of permessage-deflate (RFC 7692)."""
+"""The opening handshake (RFC 6455, section 4) of both sides, with permessage-deflate (RFC 7692)."""
 
 from __future__ import annotations
 
@@ -14,14 +14,20 @@
 VERSION = "13"
 DEFLATE = "permessage-deflate"
 DEFLATE_WITHOUT_TAKEOVER = f"{DEFLATE}; server_no_context_takeover; client_no_context_takeover"
-# A server may be asked for these; a window other than the whole one we do not make (section 7.1.2).
+# Offers with other parameters are declined: server_max_window_bits asks for a smaller window than the fixed
+# maximum that this codec compresses with (section 7.1.2).
 ACCEPTABLE_PARAMETERS = {"server_no_context_takeover", "client_no_context_takeover", "client_max_window_bits"}
 
 Fields = list[tuple[str, str]]
 
 
 class Refused(Exception):
-    """The handshake can't go on: an HTTP status, a reason, and header fields that belong to it."""
+    """The handshake failed.
+
+    Attributes:
+        status: the HTTP status code of the response.
+        fields: header fields that the response must contain.
+    """
 
     def __init__(self, status: int, reason: str, fields: Sequence[tuple[str, str]] = ()) -> None:
         super().__init__(reason)
@@ -31,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandshakeResult:
-    """What both sides agreed on, and the server's answer."""
+    """The result of a negotiation, and on the server the header fields of its response."""
 
     fields: Fields
     protocol: str
@@ -39,12 +45,12 @@
 
 
 def accept_key(key: str) -> str:
-    """The server's proof that it understood (section 4.2.2)."""
+    """Return the value of Sec-WebSocket-Accept for a key (section 4.2.2)."""
     return base64.b64encode(hashlib.sha1(key.encode() + GUID, usedforsecurity=False).digest()).decode()
 
 
 def wanted(head: RequestHead) -> bool:
-    """Whether a request asks for a WebSocket."""
+    """Return whether a request asks for an upgrade to WebSocket."""
     return "websocket" in _list_items(head.get(b"upgrade"))
 
 
@@ -57,16 +63,17 @@
 def server(
     head: RequestHead, protocols: Sequence[str], origins: Sequence[str], allow_deflate: bool
 ) -> HandshakeResult:
-    """A server's answer to a client's opening.
+    """Negotiate as a server.
 
     Args:
         head: the request.
-        protocols: subprotocols spoken here, the best first; one of them must be asked for.
-        origins: from which web pages may be asked (section 10.2); empty for any. Other programs name none.
-        allow_deflate: whether an offer of permessage-deflate is taken.
+        protocols: the supported subprotocols, the preferred one first; the client must request one of them.
+        origins: the allowed origins of web pages, in lower case (section 10.2); empty to allow all. A request
+            without an origin, as of a program that is not a browser, is always allowed.
+        allow_deflate: whether an offer of permessage-deflate may be accepted.
 
     Raises:
-        Refused: with the answer that is due.
+        Refused: the request can't be accepted.
     """
     if head.method != "GET":
         raise Refused(405, "a WebSocket opens with GET", [("Allow", "GET")])
@@ -104,7 +111,7 @@
 
 
 def _has_acceptable_offer(value: bytes | None) -> bool:
-    """Whether one of the offers can be taken as it stands."""
+    """Return whether one of the offers can be accepted without changes."""
     for offer in (value or b"").decode("latin-1").split(","):
         name, *rest = [part.strip() for part in offer.split(";")]
         names = [part.partition("=")[0].strip() for part in rest]
@@ -114,7 +121,7 @@
 
 
 def client(key: bytes, protocols: Sequence[str], deflates: bool) -> Fields:
-    """A client's header fields; the key is 16 bytes of chance."""
+    """Return the header fields of a client's request; the key is 16 random bytes."""
     fields: Fields = [("Upgrade", "websocket"), ("Connection", "Upgrade")]
     fields.append(("Sec-WebSocket-Key", base64.b64encode(key).decode()))
     fields.append(("Sec-WebSocket-Version", VERSION))
@@ -126,28 +133,28 @@
 
 
 def opened(head: ResponseHead, key: bytes, protocols: Sequence[str], deflates: bool) -> HandshakeResult:
-    """What a server's answer means to the client that sent `client(...)` (section 4.1).
+    """Check the response to a request with the header fields of `client` (section 4.1).
 
     Raises:
-        Refused: the server refused, or its answer is none to this opening.
+        Refused: the server rejected the request, or its response doesn't match it.
     """
     if head.status != 101:
-        raise Refused(head.status, "the server did not open a WebSocket")
+        raise Refused(head.status, "the server rejected the upgrade to WebSocket")
     accept = (head.get(b"sec-websocket-accept") or b"").decode("latin-1").strip()
     upgraded = is_upgrade_response(head)
     if not upgraded or accept != accept_key(base64.b64encode(key).decode()):
-        raise Refused(502, "the answer is none to this opening")
+        raise Refused(502, "the response lacks the upgrade or the Sec-WebSocket-Accept value of this request")
     protocol = (head.get(b"sec-websocket-protocol") or b"").decode("latin-1").strip()
     if protocol and protocol not in protocols:
         raise Refused(502, f"the server chose the subprotocol {protocol!r}, which was not requested")
     extensions = (head.get(b"sec-websocket-extensions") or b"").decode("latin-1")
     if extensions and not (deflates and extensions.split(";")[0].strip() == DEFLATE):
-        raise Refused(502, "the server chose an extension that was not asked for")
+        raise Refused(502, "the server chose an extension that was not requested")
     return HandshakeResult([], protocol, bool(extensions))
 
 
 def is_upgrade_response(head: ResponseHead) -> bool:
-    """Whether an answer's fields say that the protocol is changed."""
+    """Return whether the header fields of a response accept the upgrade to WebSocket."""
     return "websocket" in _list_items(head.get(b"upgrade")) and "upgrade" in _list_items(
         head.get(b"connection")
     )
--- a/packages/codecs/src/fennelcove/websocket/terms.py
+++ b/packages/codecs/src/fennelcove/websocket/terms.py
@@ -1,16 +1,16 @@
-"""The words of RFC 6455: opcodes, close codes, bounds, and what breaks them."""
+"""Constants and limits of RFC 6455, and the error for a peer that violates them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import IntEnum
 
-MAX_CONTROL_BYTES = 125  # section 5.5
-GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"  # section 1.3
+MAX_CONTROL_BYTES = 125  # the payload of a control frame (section 5.5)
+GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"  # hashed with the key of a handshake (section 1.3)
 
 
 class Opcode(IntEnum):
-    """Section 5.2."""
+    """Frame opcodes (section 5.2)."""
 
     CONTINUATION = 0
     TEXT = 1
@@ -21,7 +21,7 @@
 
 
 class CloseCode(IntEnum):
-    """Section 7.4.1 and the IANA registry."""
+    """Close codes (section 7.4.1 and the IANA registry)."""
 
     NORMAL = 1000
     GOING_AWAY = 1001
@@ -38,12 +38,16 @@
 
 
 def is_valid_close_code(code: int) -> bool:
-    """Whether a peer may send this close code (section 7.4.2)."""
+    """Return whether a peer may send this close code (section 7.4.2)."""
     return 1000 <= code <= 1003 or 1007 <= code <= 1014 or 3000 <= code <= 4999
 
 
 class Violation(Exception):
-    """The peer broke the protocol or a bound; the connection must be closed with this code."""
+    """The peer violated the protocol or exceeded a limit.
+
+    Attributes:
+        code: the code with which the connection must be closed.
+    """
 
     def __init__(self, code: CloseCode, reason: str) -> None:
         super().__init__(reason)
@@ -52,8 +56,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The most that one side takes, in bytes; a message's bytes are counted after inflating."""
+    """Limits on received frames and messages; the size of a message counts after decompression."""
 
     frame_bytes: int = 65_536
     message_bytes: int = 65_536
-    fragments: int = 64  # in one message: empty ones would cost nothing and never end
+    fragments: int = 64  # in one message; without it a message of empty fragments could be endless
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -1,4 +1,4 @@
-"""CMCD, CMSD and the structured fields under them, held to a parser that we did not write."""
+"""CMCD, CMSD and structured fields; the last are compared with an independent parser, http_sfv."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def to_native(value: Any) -> Any:
-    """The other parser's values as ours."""
+    """Convert a value of the reference parser to that of `fields`."""
     if isinstance(value, http_sfv.Token):
         return str(value)
     if isinstance(value, bool | int | str | bytes):
@@ -49,7 +49,8 @@
     def test_a_single_member_is_accepted_if_and_only_if_the_reference_accepts_it(self, text: str) -> None:
         members = list(fields.split_members(text))
         if len(members) != 1 or members[0] is None or ":" in text:
-            return  # bytes with spare bits set: RFC 8941 asks parsers to take them, and http_sfv does not
+            # RFC 8941 asks parsers to accept byte sequences with non-zero pad bits; http_sfv rejects them.
+            return
         try:
             parsed: Any = fields.parse_item(members[0])
         except FieldError:
@@ -144,7 +145,7 @@
     def test_the_cache_is_bounded_and_returns_what_read_returns(self) -> None:
         cache = cmsd.Memo(max_entries=3)
         for i in range(10):
-            text = cmsd.write_hop("box", {"etp": i})
+            text = cmsd.write_hop("server", {"etp": i})
             assert cache.read(None, text) == cmsd.read(None, text)
             assert cache.read(None, text) is cache.read(None, text)
         assert len(cache.entries) == 3
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 codec: framing, bounds, and each way to smuggle one request inside another."""
+"""The HTTP/1.1 codec: framing, limits, and each known form of request smuggling."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
         self.assert_rejected(chunked + b"1\r\nabc\r\n", 400)
 
     def test_too_many_trailers_are_rejected_without_recursion(self) -> None:
-        # Each trailer line used to cost a stack frame: a few thousand ended the thread.
+        # A recursive reader used one stack frame for each trailer; a few thousand trailers ended the thread.
         self.assert_rejected(post(b"Transfer-Encoding: chunked\r\n", b"0\r\n" + b"a:\r\n" * 5000), 431)
 
     def test_a_reader_raises_again_after_a_protocol_error(self) -> None:
@@ -188,7 +188,7 @@
                     if reader.next() is None:
                         break
                 else:
-                    self.fail("events without end")
+                    self.fail("the reader returned 1000 events without an end")
             except ProtocolError:
                 pass
 
--- a/tests/test_websocket_codec.py
+++ b/tests/test_websocket_codec.py
@@ -1,4 +1,4 @@
-"""The WebSocket codec: each case class that a conformance suite tries, a peer that is not ours, and noise."""
+"""The WebSocket codec: the case classes of a conformance suite, an independent peer, and fuzzing."""
 
 from __future__ import annotations
 
@@ -56,14 +56,14 @@
 
 
 NON_ASCII = "☃ κόσμε 😀".encode()
-# What a client sends, frame after frame, and what comes of it: messages, or the code it is closed with.
+# The frames that a client sends, and the expected result: messages, or the code with which the server closes.
 CASES: dict[str, tuple[list[bytes], object]] = {
     # Framing.
     "empty text": ([client(TEXT)], [""]),
     "text of 125": ([client(TEXT, b"*" * 125)], ["*" * 125]),
     "text of 126": ([client(TEXT, b"*" * 126)], ["*" * 126]),
     "binary of 1000": ([client(BINARY, b"\xfe" * 1000)], [b"\xfe" * 1000]),
-    "frame over its bound": ([client(TEXT, b"*" * 1001)], 1009),
+    "frame over its limit": ([client(TEXT, b"*" * 1001)], 1009),
     "reserved bit 2": ([raw_frame(0x81 | 0x20, 0x80, MASK)], 1002),
     "reserved bit 3": ([raw_frame(0x81 | 0x10, 0x80, MASK)], 1002),
     "compressed without agreement": ([raw_frame(0x81 | 0x40, 0x80, MASK)], 1002),
@@ -72,16 +72,19 @@
         for n in (3, 4, 5, 6, 7, 11, 12, 13, 14, 15)
     },
     "not masked": ([raw_frame(0x81, 0x01, b"x")], 1002),
-    "16 bits for a short length": ([raw_frame(0x81, 0x80 | 126, b"\x00\x05" + MASK + b"hello")], 1002),
-    "64 bits for a short length": ([raw_frame(0x81, 0x80 | 127, (300).to_bytes(8, "big") + MASK)], 1002),
-    "64 bits with the top one set": ([raw_frame(0x81, 0x80 | 127, (1 << 63).to_bytes(8, "big"))], 1002),
+    "16-bit field for a short length": ([raw_frame(0x81, 0x80 | 126, b"\x00\x05" + MASK + b"hello")], 1002),
+    "64-bit field for a short length": ([raw_frame(0x81, 0x80 | 127, (300).to_bytes(8, "big") + MASK)], 1002),
+    "64-bit length with the highest bit set": (
+        [raw_frame(0x81, 0x80 | 127, (1 << 63).to_bytes(8, "big"))],
+        1002,
+    ),
     "4 GiB announced": ([raw_frame(0x81, 0x80 | 127, (1 << 32).to_bytes(8, "big"))], 1009),
     # Pings and pongs.
     "ping of 125": ([client(PING, b"\x00\xff" * 62 + b"x")], [Pinged]),
     "ping of 126": ([client(PING, b"*" * 126)], 1002),
     "ping in fragments": ([client(PING, b"x", False)], 1002),
     "compressed ping": ([raw_frame(0x80 | 0x40 | 9, 0x80, MASK)], 1002),
-    "pong nobody asked for": ([client(PONG, b"x")], [Ponged]),
+    "unsolicited pong": ([client(PONG, b"x")], [Ponged]),
     "pong in fragments": ([client(PONG, b"x", False)], 1002),
     "close in fragments": ([client(CLOSE, b"", False)], 1002),
     # Fragments.
@@ -99,8 +102,8 @@
         [Ponged, b"ab"],
     ),
     "close between fragments": ([client(TEXT, b"a", False), client_close(1000)], 1000),
-    "continuation of nothing": ([client(CONTINUATION, b"a")], 1002),
-    "last continuation twice": (
+    "continuation without a message": ([client(CONTINUATION, b"a")], 1002),
+    "second final continuation": (
         [client(TEXT, b"a", False), client(CONTINUATION, b"b"), client(CONTINUATION, b"c")],
         1002,
     ),
@@ -108,7 +111,7 @@
     "binary within a text": ([client(TEXT, b"a", False), client(BINARY, b"b")], 1002),
     "text within a binary": ([client(BINARY, b"a", False), client(TEXT, b"b")], 1002),
     "too many fragments": ([client(TEXT, b"", False), *[client(CONTINUATION, b"", False)] * 8], 1009),
-    "message over its bound": (
+    "message over its limit": (
         [
             client(BINARY, b"*" * 900, False),
             client(CONTINUATION, b"*" * 900, False),
@@ -118,7 +121,7 @@
     ),
     # UTF-8.
     "utf-8": ([client(TEXT, NON_ASCII)], [NON_ASCII.decode()]),
-    "utf-8 cut in a character": (
+    "utf-8 character split between fragments": (
         [client(TEXT, NON_ASCII[:2], False), client(CONTINUATION, NON_ASCII[2:])],
         [NON_ASCII.decode()],
     ),
@@ -130,12 +133,12 @@
         ],
         ["😀"],
     ),
-    "utf-8 tail missing": ([client(TEXT, b"\xce\xba\xe1\xbd")], 1007),
-    "utf-8 wrong in the first fragment": ([client(TEXT, b"\xed\xa0\x80", False)], 1007),
+    "utf-8 truncated": ([client(TEXT, b"\xce\xba\xe1\xbd")], 1007),
+    "invalid utf-8 in the first fragment": ([client(TEXT, b"\xed\xa0\x80", False)], 1007),
     "utf-8 surrogate": ([client(TEXT, b"\xed\xbf\xbf")], 1007),
     "utf-8 overlong": ([client(TEXT, b"\xc0\xaf")], 1007),
     "utf-8 over U+10FFFF": ([client(TEXT, b"\xf4\x90\x80\x80")], 1007),
-    "utf-8 not asked of bytes": ([client(BINARY, b"\xc0\xaf")], [b"\xc0\xaf"]),
+    "utf-8 not required in binary": ([client(BINARY, b"\xc0\xaf")], [b"\xc0\xaf"]),
     # Closing.
     "close without code": ([client(CLOSE)], 1005),
     "close of one byte": ([client(CLOSE, b"\x03")], 1002),
@@ -157,19 +160,22 @@
         [client(TEXT, deflate(b"a" * 300)[:3], False, True), client(CONTINUATION, deflate(b"a" * 300)[3:])],
         ["a" * 300],
     ),
-    "plain beside it": ([client(TEXT, b"a"), client(TEXT, deflate(b"b"), True, True)], ["a", "b"]),
+    "uncompressed message before it": (
+        [client(TEXT, b"a"), client(TEXT, deflate(b"b"), True, True)],
+        ["a", "b"],
+    ),
     "empty": ([client(TEXT, deflate(b""), True, True)], [""]),
-    "a bomb": ([client(BINARY, deflate(bytes(5_000_000))[:990], True, True)], 1009),
-    "a bomb in fragments": (
+    "decompression bomb": ([client(BINARY, deflate(bytes(5_000_000))[:990], True, True)], 1009),
+    "decompression bomb in fragments": (
         [
             client(BINARY, deflate(bytes(9_000))[:10], False, True),
             client(CONTINUATION, deflate(bytes(9_000))[10:]),
         ],
         1009,
     ),
-    "no deflated data": ([client(TEXT, b"\xff\xff\xff\xff", True, True)], 1007),
-    "bit on a continuation": ([client(TEXT, b"", False), raw_frame(0xC0, 0x80, MASK)], 1002),
-    "utf-8 wrong inside": ([client(TEXT, deflate(b"\xc0\xaf"), True, True)], 1007),
+    "invalid deflate data": ([client(TEXT, b"\xff\xff\xff\xff", True, True)], 1007),
+    "compressed bit on a continuation": ([client(TEXT, b"", False), raw_frame(0xC0, 0x80, MASK)], 1002),
+    "invalid utf-8 in compressed text": ([client(TEXT, deflate(b"\xc0\xaf"), True, True)], 1007),
 }
 
 
@@ -198,7 +204,7 @@
                         assert sum(isinstance(event, Closed) for event in events) == 1
                         assert server.state is State.CLOSED
                         answer = server.take()
-                        assert answer[0] == 128 | CLOSE, "each way out is told with a close"
+                        assert answer[0] == 128 | CLOSE, "the server did not answer with a close frame"
                     else:
                         assert results == expected
                         assert server.state is State.OPEN
@@ -242,7 +248,7 @@
         server = Conversation(BOUNDS)
         server.receive(client(TEXT, b"half", False))
         (event,) = server.receive(b"")
-        assert event == Closed(CloseCode.ABNORMAL, "the peer hung up without a close", False)
+        assert event == Closed(CloseCode.ABNORMAL, "the peer disconnected without a close frame", False)
 
     def test_a_long_reason_is_cut_at_a_character_boundary(self) -> None:
         server = Conversation(BOUNDS)
@@ -364,7 +370,7 @@
 
 
 class IndependentPeerTest(unittest.TestCase):
-    """A whole exchange with a client's protocol that we did not write."""
+    """A complete exchange with the client protocol of the library websockets."""
 
     def exchange(self, compress: bool) -> None:
         extensions = [ClientPerMessageDeflateFactory()] if compress else None
