--- a/packages/cli/src/fennelcove/cli/api.py
+++ b/packages/cli/src/fennelcove/cli/api.py
@@ -1,4 +1,4 @@
-"""`fennelcove api`: the descriptions of both doors, and what changed between two of them."""
+"""`fennelcove api`: generates the API descriptions, and compares two versions of one."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 import click
 from fennelcove.api import asyncapi, openapi
 from fennelcove.api.diff import Comparison, stepped
-from fennelcove.cli.telling import FileUnusable, fail
+from fennelcove.cli.telling import FileUnusableError, exit_with_error
 from fennelcove.ingress.routes import LINES
 
-BREAKS = 1
+EXIT_BREAKING_CHANGE = 1
 
 
 @click.group()
 def api() -> None:
-    """The descriptions of both doors."""
+    """Generate and compare the descriptions of the HTTP and WebSocket APIs."""
 
 
 def _write(text: str, file: str | None) -> None:
@@ -29,16 +29,16 @@
 
 
 @api.command("openapi")
-@click.option("--out", type=click.Path(), help="Write to this file.")
+@click.option("--out", type=click.Path(), help="Write to this file instead of standard output.")
 def openapi_(out: str | None) -> None:
-    """The HTTP door as OpenAPI 3.1."""
+    """Write the description of the HTTP API (OpenAPI 3.1)."""
     _write(openapi.text(LINES), out)
 
 
 @api.command("asyncapi")
-@click.option("--out", type=click.Path(), help="Write to this file.")
+@click.option("--out", type=click.Path(), help="Write to this file instead of standard output.")
 def asyncapi_(out: str | None) -> None:
-    """The WebSocket door as AsyncAPI 3.0."""
+    """Write the description of the WebSocket API (AsyncAPI 3.0)."""
     _write(asyncapi.text(), out)
 
 
@@ -46,9 +46,13 @@
     try:
         found = json.loads(Path(file).read_text("utf-8"))
     except (OSError, ValueError) as error:
-        fail(FileUnusable(f"found no description ({error})", file))
+        exit_with_error(FileUnusableError(f"found no readable API description ({error})", file))
     if not isinstance(found, dict) or not {"openapi", "asyncapi"} & found.keys():
-        fail(FileUnusable("found no description", file, "fennelcove api openapi writes one"))
+        exit_with_error(
+            FileUnusableError(
+                "found neither an OpenAPI nor an AsyncAPI document", file, "fennelcove api openapi writes one"
+            )
+        )
     return found
 
 
@@ -56,10 +60,17 @@
 @click.argument("old", type=click.Path())
 @click.argument("new", type=click.Path())
 def diff(old: str, new: str) -> None:
-    """What changed from OLD to NEW. Exit status 1 on a breaking change without a version step."""
+    """List the changes from OLD to NEW.
+
+    The exit status is 1 if there is a breaking change and the version was not raised accordingly.
+    """
     before, after = _load(old), _load(new)
     if ("openapi" in before) != ("openapi" in after):
-        fail(FileUnusable("found one OpenAPI and one AsyncAPI document", suggestion="give two of a kind"))
+        exit_with_error(
+            FileUnusableError(
+                "found one OpenAPI and one AsyncAPI document", suggestion="give two of the same type"
+            )
+        )
     found = Comparison(before, after).run()
     for item in found:
         click.echo(f"{'breaking' if item.breaks else 'compatible'}: {item.place}: {item.what}")
@@ -69,5 +80,5 @@
         f"{breaking} breaking, {len(found) - breaking} compatible; version {versions[0]} -> {versions[1]}"
     )
     if breaking and not stepped(*versions):
-        click.echo("a breaking change needs a version step")
-        sys.exit(BREAKS)
+        click.echo("a breaking change requires a new major version, or before 1.0 a new minor version")
+        sys.exit(EXIT_BREAKING_CHANGE)
--- a/packages/cli/src/fennelcove/cli/client.py
+++ b/packages/cli/src/fennelcove/cli/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for the command line: one request, one answer, within a time."""
+"""A small HTTP client for the command line: one request and its response, with a timeout."""
 
 from __future__ import annotations
 
@@ -11,39 +11,42 @@
 from fennelcove.upstream.connection_pool import DialLimits, dial
 
 TIMEOUT_S = 5.0
-BODY_BYTES = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
-class Failed(OperatorError):
-    """A front gave the command no whole answer."""
+class FrontCallError(OperatorError):
+    """A front did not answer a command with a complete response."""
 
     code = "front-unanswered"
-    advice = "See that the front runs there; it may have done what was asked, so look before asking again"
+    advice = "Check that the front runs at this address, and whether it executed the request before a retry"
 
 
 def call(address: str, method: str, path: str, key: str, body: bytes = b"") -> tuple[int, Any]:
-    """The status, and the body read as JSON.
+    """Send a request to a front.
+
+    Returns:
+        The status, and the body decoded from JSON; None for an empty body.
 
     Raises:
-        Failed: refused, silent, cut short, or no HTTP.
+        FrontCallError: connection refused, timeout, incomplete response, or not HTTP or JSON.
     """
-    fields = [("Authorization", f"Bearer {key}")] if key else []
+    headers = [("Authorization", f"Bearer {key}")] if key else []
     if body:
-        fields.append(("Content-Type", "application/json"))
+        headers.append(("Content-Type", "application/json"))
     try:
-        link = dial(address, round(TIMEOUT_S * 1e6), DialLimits(body_bytes=BODY_BYTES))
-        with link.sock as sock:
+        connection = dial(address, round(TIMEOUT_S * 1e6), DialLimits(body_bytes=MAX_BODY_BYTES))
+        with connection.sock as sock:
             sock.settimeout(TIMEOUT_S)
-            sock.sendall(writer.request(method, path, address, fields, body))
-            whole = link.answer()
+            sock.sendall(writer.request(method, path, address, headers, body))
+            message = connection.answer()
     except TimeoutError:
-        raise Failed(f"no answer in {TIMEOUT_S:g} s", address) from None
+        raise FrontCallError(f"got no response within {TIMEOUT_S:g} s", address) from None
     except (OSError, ValueError) as error:
-        raise Failed(str(error), address) from None
+        raise FrontCallError(str(error), address) from None
     except ProtocolError as error:
-        raise Failed(f"an answer that is no HTTP ({error})", address) from None
-    assert isinstance(whole.head, ResponseHead)
+        raise FrontCallError(f"found a response that is not valid HTTP ({error})", address) from None
+    assert isinstance(message.head, ResponseHead)
     try:
-        return whole.head.status, msgspec.json.decode(whole.body) if whole.body else None
+        return message.head.status, msgspec.json.decode(message.body) if message.body else None
     except msgspec.DecodeError:
-        raise Failed("an answer that is no JSON", address) from None
+        raise FrontCallError("found a response that is not JSON", address) from None
--- a/packages/cli/src/fennelcove/cli/days.py
+++ b/packages/cli/src/fennelcove/cli/days.py
@@ -1,10 +1,10 @@
-"""Plays and judges days, and shows verdicts."""
+"""Runs scenarios, checks recordings of runs, and prints verdicts."""
 
 from __future__ import annotations
 
 import click
 import msgspec
-from fennelcove.cli.telling import FileUnusable, ToolsMissing, tell
+from fennelcove.cli.telling import FileUnusableError, ToolsMissingError, print_error
 from fennelcove.emulators.recorder import load, save
 from fennelcove.scenarios import outages, slots
 from fennelcove.scenarios.checker import Verdict, judge
@@ -14,78 +14,81 @@
 from fennelcove.scenarios.script import read
 from fennelcove.settings.reader import SettingsError
 
-PASSED, BROKEN, USAGE = 0, 1, 2
+EXIT_PASSED, EXIT_FAILED, EXIT_USAGE = 0, 1, 2
 
 
-def play(name: str, seed: int, record: str | None, as_json: bool, plot: str | None = None) -> int:
-    """Play a day; the exit status."""
+def play_scenario(name: str, seed: int, record: str | None, as_json: bool, plot: str | None = None) -> int:
+    """Run a scenario, check it and print the verdict; returns the exit status."""
     try:
-        day = read(name)
+        scenario = read(name)
     except SettingsError as error:
-        tell(error)
-        return USAGE
-    fronts = f"{day.fronts} fronts" if day.fronts > 1 else "one front"
-    click.echo(f"playing {name}, seed {seed}: {len(day.boxes)} stand-in boxes, {fronts}, {day.seconds:g} s")
+        print_error(error)
+        return EXIT_USAGE
+    fronts = f"{scenario.fronts} fronts" if scenario.fronts > 1 else "one front"
+    click.echo(
+        f"playing {name}, seed {seed}: {len(scenario.boxes)} emulated servers, {fronts}, "
+        f"{scenario.seconds:g} s"
+    )
     try:
-        records = DayPlayer(day, seed).play()
+        records = DayPlayer(scenario, seed).play()
     except DayFailed as error:
-        tell(error)
-        return BROKEN
+        print_error(error)
+        return EXIT_FAILED
     if record is not None:
         try:
             save(records, record)
         except OSError as error:
-            tell(FileUnusable(f"found no writable file ({error.strerror})", record))
-            return USAGE
+            print_error(FileUnusableError(f"found no writable file ({error.strerror})", record))
+            return EXIT_USAGE
     if plot is not None:
         try:
             draw_seconds(records, plot)
         except ImportError:
-            tell(ToolsMissing("found no matplotlib to draw with"))
-            return USAGE
+            print_error(ToolsMissingError("found no matplotlib, which draws the plots"))
+            return EXIT_USAGE
         except OSError as error:
-            tell(FileUnusable(f"found no writable file ({error.strerror})", plot))
-            return USAGE
-    return show(judge(records), as_json)
+            print_error(FileUnusableError(f"found no writable file ({error.strerror})", plot))
+            return EXIT_USAGE
+    return print_verdict(judge(records), as_json)
 
 
-def judge_file(file: str, as_json: bool) -> int:
-    """Judge a recording; the exit status."""
+def check_recording(file: str, as_json: bool) -> int:
+    """Check a recording and print the verdict; returns the exit status."""
     try:
-        return show(judge(load(file)), as_json)
+        return print_verdict(judge(load(file)), as_json)
     except OSError as error:
-        tell(FileUnusable(f"found no readable file ({error.strerror})", file))
+        print_error(FileUnusableError(f"found no readable file ({error.strerror})", file))
     except (ValueError, KeyError) as error:
-        tell(FileUnusable(f"found no recording of a day ({error})", file))
-    return USAGE
+        print_error(FileUnusableError(f"found no recording of a scenario ({error})", file))
+    return EXIT_USAGE
 
 
-def show(verdict: Verdict, as_json: bool) -> int:
-    """Print a verdict; the exit status."""
+def print_verdict(verdict: Verdict, as_json: bool) -> int:
+    """Print a verdict; returns the exit status."""
     click.echo(
-        f"{verdict.day}: {verdict.requests} requests, {verdict.answers} answers: {verdict.played} played, "
+        f"{verdict.day}: {verdict.requests} requests, {verdict.answers} responses: {verdict.played} played, "
         f"{verdict.throttled} throttled, {verdict.terminated} terminated; {verdict.hung_up} hung up, "
-        f"{verdict.not_taken} found no front, {verdict.lost} lost while playing"
+        f"{verdict.not_taken} not accepted by any front, {verdict.lost} lost while playing"
     )
     if verdict.seams or verdict.stalls:
         click.echo(
-            f"{verdict.seams} seams crossed, {verdict.moves} changes of box, {verdict.stalls} stalls, "
-            f"the longest {verdict.longest_stall_ms:.0f} ms"
+            f"{verdict.seams} splice points played, {verdict.moves} moves to another server, "
+            f"{verdict.stalls} stalls, the longest {verdict.longest_stall_ms:.0f} ms"
         )
     if verdict.settled_s is not None:
-        click.echo(f"refusals over a twentieth ended {verdict.settled_s:g} s after the last crowd")
+        click.echo(f"rejections above 5 % of requests ended {verdict.settled_s:g} s after the last crowd")
     if verdict.rig_late_s:
         click.echo(
-            f"the rig itself was late for {verdict.rig_late_s:g} s, by up to {verdict.rig_late_ms:.0f} ms: "
-            "what broke meanwhile may be this machine's; play it again with nothing beside it"
+            f"the test rig was late for {verdict.rig_late_s:g} s, by up to {verdict.rig_late_ms:.0f} ms: "
+            "violations in that time may come from load on this machine; run it again on an idle machine"
         )
     if verdict.tenants is not None:
-        seen = verdict.tenants
-        click.echo(f"joins out at one box at a time: {seen.most_out} at most, of {seen.slots} slots")
-        for row in seen.tenants:
+        tenants = verdict.tenants
+        click.echo(f"most concurrent attempts at one server: {tenants.most_out} of {tenants.slots} slots")
+        for row in tenants.tenants:
             click.echo(
-                f"tenant {row.name}: asked {row.asked}, {row.served:.3f} of its viewers served, wait "
-                f"{row.wait_p50_ms:.0f} ms (p99 {row.wait_p99_ms:.0f}), slot-time {row.slot_s:.1f} s"
+                f"tenant {row.name}: {row.asked} requests, {row.served:.3f} of its clients served, wait "
+                f"{row.wait_p50_ms:.0f} ms (p99 {row.wait_p99_ms:.0f}), slot time {row.slot_s:.1f} s"
             )
     if verdict.outs is not None:
         click.echo(outages.told(verdict.outs))
@@ -97,15 +100,15 @@
     click.echo(f"service {verdict.service:.3f}, floor {verdict.service_floor:.3f}")
     for broken in verdict.broken[:50]:
         click.echo(
-            f"rule {broken.rule} broken at {broken.time:.3f} s by {broken.subscription}: {broken.reason}"
+            f"rule {broken.rule} violated at {broken.time:.3f} s by {broken.subscription}: {broken.reason}"
         )
     for late in verdict.inconclusive[:50]:
         click.echo(
             f"rule {late.rule} inconclusive at {late.time:.3f} s by {late.subscription}: {late.reason}; "
-            "the machine itself stood still then"
+            "the machine itself stalled at that time"
         )
     failed = "INCONCLUSIVE" if verdict.inconclusive and not verdict.broken else "FAILED"
     click.echo("passed" if verdict.passed else failed)
     if as_json:
         click.echo(msgspec.json.encode(verdict).decode())
-    return PASSED if verdict.passed else BROKEN
+    return EXIT_PASSED if verdict.passed else EXIT_FAILED
--- a/packages/cli/src/fennelcove/cli/fleet.py
+++ b/packages/cli/src/fennelcove/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`fennelcove fleet`: many fronts asked and told at once."""
+"""`fennelcove fleet`: queries and controls many fronts concurrently."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import click
 import msgspec
 from fennelcove.cli.main import LazyGroup
-from fennelcove.cli.telling import fail
+from fennelcove.cli.telling import exit_with_error
 from fennelcove.clock import SystemClock
 from fennelcove.core.retry_storm_guard import keyed_mac
 from fennelcove.daemon.key_file import KeyFileError, load
@@ -26,37 +26,48 @@
 from rich.console import Console
 from rich.table import Table
 
-Show = Callable[[CallOutcome], list[str]]
+ColumnFormatter = Callable[[CallOutcome], list[str]]
 
 
-class Fleet:
-    """What every command of the group needs."""
+class FleetContext:
+    """The options of the group that all of its commands share.
 
-    def __init__(self, source: str, times: Times, at_once: int, as_json: bool) -> None:
+    Args:
+        source: the path of the inventory file.
+        timeouts: the time limits of the calls.
+        at_once: the largest number of concurrent calls.
+        as_json: whether output is JSON lines instead of a table.
+    """
+
+    def __init__(self, source: str, timeouts: Times, at_once: int, as_json: bool) -> None:
         self.source = source
-        self.times = times
+        self.timeouts = timeouts
         self.at_once = at_once
         self.as_json = as_json
         self.clock = SystemClock()
 
-    def chosen(self, selectors: tuple[str, ...]) -> list[FrontLine]:
-        """The fronts meant, or one line and exit status 2."""
+    def select_fronts(self, selectors: tuple[str, ...]) -> list[FrontLine]:
+        """The fronts that the selectors name; on an error, prints it and exits with status 2."""
         try:
             return inventory.selected(inventory.read(self.source), list(selectors), self.source)
         except SettingsError as error:
-            fail(error)
-
-    def run(
-        self, lines: list[FrontLine], call: Call, show: Callable[[CallOutcome], list[str]], heads: list[str]
+            exit_with_error(error)
+
+    def call_and_print(
+        self,
+        lines: list[FrontLine],
+        call: Call,
+        format_columns: Callable[[CallOutcome], list[str]],
+        column_names: list[str],
     ) -> None:
-        """Ask all, show all, and end with the status that belongs to it."""
+        """Call all fronts, print all outcomes, and exit with the status that they imply."""
         outcomes: dict[str, CallOutcome] = {}
-        for outcome in ask_all(lines, call, self.times, self.clock, self.at_once):
+        for outcome in ask_all(lines, call, self.timeouts, self.clock, self.at_once):
             outcomes[outcome.front] = outcome
             if not self.as_json and sys.stderr.isatty():
                 click.echo(f"\r{len(outcomes)} of {len(lines)}", nl=False, err=True)
         ordered = [outcomes[line.name] for line in lines]
-        commands = call.method != "GET"
+        changes_state = call.method != "GET"
         if self.as_json:
             for outcome in ordered:
                 row: dict[str, object] = {
@@ -67,29 +78,31 @@
                 row |= {"took_ms": outcome.took_us / 1000, "said": outcome.body}
                 click.echo(msgspec.json.encode(row).decode())
         else:
-            self._table(ordered, show, heads)
+            self._table(ordered, format_columns, column_names)
             failed = [outcome for outcome in ordered if outcome.status is not CallStatus.DONE]
-            unknown = [outcome for outcome in failed if commands and outcome.is_indeterminate]
+            unknown = [outcome for outcome in failed if changes_state and outcome.is_indeterminate]
             click.echo(
                 f"{len(ordered) - len(failed)} of {len(ordered)} done, {len(failed) - len(unknown)} failed"
-                + (f", {len(unknown)} unknown: they may have done it" if unknown else "")
+                + (f", {len(unknown)} unknown: they may have executed the command" if unknown else "")
             )
-        sys.exit(reachability.exit_code(ordered, commands).value)
+        sys.exit(reachability.exit_code(ordered, changes_state).value)
 
-    def _table(self, ordered: list[CallOutcome], show: Show, heads: list[str]) -> None:
+    def _table(
+        self, ordered: list[CallOutcome], format_columns: ColumnFormatter, column_names: list[str]
+    ) -> None:
         table = Table(box=None, pad_edge=False)
-        for head in ["front", "outcome", *heads, "detail"]:
-            table.add_column(head, overflow="fold")
+        for column_name in ["front", "outcome", *column_names, "detail"]:
+            table.add_column(column_name, overflow="fold")
         for outcome in ordered:
-            told = show(outcome) if outcome.status is CallStatus.DONE else [""] * len(heads)
-            table.add_row(outcome.front, outcome.status.value, *told, outcome.detail)
+            cells = format_columns(outcome) if outcome.status is CallStatus.DONE else [""] * len(column_names)
+            table.add_row(outcome.front, outcome.status.value, *cells, outcome.detail)
         Console(width=None if sys.stdout.isatty() else 140).print(table)
 
 
 class FleetGroup(LazyGroup):
-    """Releases stand in a file of their own."""
+    """The commands about releases are in a module of their own, which is imported only when needed."""
 
-    LAZY: ClassVar[dict[str, tuple[str, str]]] = {
+    LAZY_COMMANDS: ClassVar[dict[str, tuple[str, str]]] = {
         "release": ("fennelcove.cli.releases", "release"),
         "out": ("fennelcove.cli.releases", "out"),
         "box-out": ("fennelcove.cli.releases", "box_out"),
@@ -114,27 +127,33 @@
     whole_s: float,
     as_json: bool,
 ) -> None:
-    """Many fronts at once. Exit status: 0 all done, 1 some failed, 3 some may have done it and did not
-    say.
+    """Query and control many fronts concurrently.
+
+    The exit status is 0 if all calls were successful, 1 if some failed, and 3 if some fronts may have
+    executed the command but did not confirm it.
     """
-    times = Times(*(round(seconds * 1e6) for seconds in (connect_s, answer_s, whole_s)))
-    ctx.obj = Fleet(source, times, at_once, as_json)
+    timeouts = Times(*(round(seconds * 1e6) for seconds in (connect_s, answer_s, whole_s)))
+    ctx.obj = FleetContext(source, timeouts, at_once, as_json)
 
 
-def _status(outcome: CallOutcome) -> list[str]:
-    said = outcome.body
-    storm = said.get("storm")
-    weather = str(storm.get("phase", "")) if isinstance(storm, dict) else ""
-    return [str(said.get(name, "")) for name in ("phase", "held", "waiting", "list_version")] + [weather]
+def _status_columns(outcome: CallOutcome) -> list[str]:
+    response_body = outcome.body
+    storm = response_body.get("storm")
+    storm_phase = str(storm.get("phase", "")) if isinstance(storm, dict) else ""
+    return [str(response_body.get(name, "")) for name in ("phase", "held", "waiting", "list_version")] + [
+        storm_phase
+    ]
 
 
 @fleet.command()
 @click.argument("selectors", nargs=-1)
 @click.pass_obj
-def status(tool: Fleet, selectors: tuple[str, ...]) -> None:
-    """How the fronts are. SELECTORS: names, hall=NAME, group=NAME; none is all."""
-    heads = ["phase", "held", "waiting", "list", "weather"]
-    tool.run(tool.chosen(selectors), Call("GET", "/v1/status"), _status, heads)
+def status(context: FleetContext, selectors: tuple[str, ...]) -> None:
+    """Show the state of fronts. SELECTORS: names, hall=NAME, group=NAME; by default all fronts."""
+    column_names = ["phase", "held", "waiting", "list", "storm"]
+    context.call_and_print(
+        context.select_fronts(selectors), Call("GET", "/v1/status"), _status_columns, column_names
+    )
 
 
 @fleet.command()
@@ -144,75 +163,90 @@
 @click.option("--for-s", type=click.FloatRange(0.1, 86_400), default=600.0, show_default=True)
 @click.pass_obj
 def wait(
-    tool: Fleet, selectors: tuple[str, ...], phase: str | None, held_most: int | None, for_s: float
+    context: FleetContext, selectors: tuple[str, ...], phase: str | None, held_most: int | None, for_s: float
 ) -> None:
-    """Ask until every front is in a phase, or holds so few subscriptions. Exit status 1: not in time."""
-    lines, call = tool.chosen(selectors), Call("GET", "/v1/status")
-    waiting = ConvergenceWait(DesiredState(phase, held_most), tool.clock.now_us() + round(for_s * 1e6))
+    """Poll until every front is in a phase or has at most a number of sessions; exit status 1 on timeout."""
+    lines, call = context.select_fronts(selectors), Call("GET", "/v1/status")
+    convergence_wait = ConvergenceWait(
+        DesiredState(phase, held_most), context.clock.now_us() + round(for_s * 1e6)
+    )
     while True:
-        waiting.observe(ask_all(lines, call, tool.times, tool.clock, tool.at_once))
-        pause_us = waiting.poll_delay_us(tool.clock.now_us())
+        convergence_wait.observe(ask_all(lines, call, context.timeouts, context.clock, context.at_once))
+        pause_us = convergence_wait.poll_delay_us(context.clock.now_us())
         if pause_us is None:
             break
         threading.Event().wait(pause_us / 1e6)
     for line in lines:
-        click.echo(f"{line.name}: {waiting.states[line.name].name.lower().replace('_', ' ')}")
-    sys.exit(0 if waiting.has_converged else 1)
+        click.echo(f"{line.name}: {convergence_wait.states[line.name].name.lower().replace('_', ' ')}")
+    sys.exit(0 if convergence_wait.has_converged else 1)
 
 
-def _turned(outcome: CallOutcome) -> list[str]:
+def _admission_columns(outcome: CallOutcome) -> list[str]:
     return [str(outcome.body.get(name, "")) for name in ("phase", "held")]
 
 
-def sealed(tool: Fleet, what: str, key: str, file: str, body: bytes = b"{}") -> Call:
-    """A command with a seal for each front, or one line and exit status 2."""
+def signed_call(context: FleetContext, command_name: str, key: str, file: str, body: bytes = b"{}") -> Call:
+    """A command that is signed for each front; on an error, prints it and exits with status 2."""
     try:
-        seal = keyed_mac(load(file, tool.clock.wall_us() // 1000)[0])
+        mac = keyed_mac(load(file, context.clock.wall_us() // 1000)[0])
     except KeyFileError as error:
-        fail(error)
-    path = f"/v1/control/{what}"
+        exit_with_error(error)
+    path = f"/v1/control/{command_name}"
 
     def fields(line: FrontLine) -> Fields:
-        command = SignedCommand(line.name, "POST", path, body, tool.clock.wall_us(), secrets.token_hex(12))
-        return [(command_authorization.HEADER_NAME, command_authorization.sign_command(command, key, seal))]
+        command = SignedCommand(line.name, "POST", path, body, context.clock.wall_us(), secrets.token_hex(12))
+        return [(command_authorization.HEADER_NAME, command_authorization.sign_command(command, key, mac))]
 
     return Call("POST", path, body, fields)
 
 
-def _told(tool: Fleet, selectors: tuple[str, ...], what: str, key: str, file: str) -> None:
-    tool.run(tool.chosen(selectors), sealed(tool, what, key, file), _turned, ["phase", "held"])
+def _send_command(
+    context: FleetContext, selectors: tuple[str, ...], command_name: str, key: str, file: str
+) -> None:
+    context.call_and_print(
+        context.select_fronts(selectors),
+        signed_call(context, command_name, key, file),
+        _admission_columns,
+        ["phase", "held"],
+    )
 
 
-KEY = click.option("--key", default="ops", show_default=True, help="The key's name in the fronts' settings.")
-FILE = click.option("--key-file", "file", type=click.Path(), required=True, envvar="FENNELCOVE_OPERATOR_KEY")
+KEY_OPTION = click.option(
+    "--key", default="ops", show_default=True, help="The name of the key in the settings of the fronts."
+)
+KEY_FILE_OPTION = click.option(
+    "--key-file", "file", type=click.Path(), required=True, envvar="FENNELCOVE_OPERATOR_KEY"
+)
 
 
 @fleet.command()
 @click.argument("selectors", nargs=-1, required=True)
-@KEY
-@FILE
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def drain(tool: Fleet, selectors: tuple[str, ...], key: str, file: str) -> None:
-    """Take no new subscriptions from now on; what plays goes on."""
-    _told(tool, selectors, "drain", key, file)
+def drain(context: FleetContext, selectors: tuple[str, ...], key: str, file: str) -> None:
+    """Stop accepting new sessions; sessions that play continue."""
+    _send_command(context, selectors, "drain", key, file)
 
 
 @fleet.command()
 @click.argument("selectors", nargs=-1, required=True)
-@KEY
-@FILE
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def undrain(tool: Fleet, selectors: tuple[str, ...], key: str, file: str) -> None:
-    """Take new subscriptions again."""
-    _told(tool, selectors, "undrain", key, file)
+def undrain(context: FleetContext, selectors: tuple[str, ...], key: str, file: str) -> None:
+    """Accept new sessions again."""
+    _send_command(context, selectors, "undrain", key, file)
 
 
 @fleet.command("audit")
 @click.argument("file", type=click.Path(exists=True))
 def audit(file: str) -> None:
-    """Whether an audit file of a front is what was written. Exit status 1 where it is not."""
+    """Verify that an audit file of a front was not modified; exit status 1 if it was."""
     from fennelcove.daemon.audit_file import check
 
-    bad = check(file)
-    click.echo("sound" if bad is None else f"{file}:{bad}: not what was written")
-    sys.exit(0 if bad is None else 1)
+    first_invalid_line = check(file)
+    click.echo(
+        "valid" if first_invalid_line is None else f"{file}:{first_invalid_line}: the line was modified"
+    )
+    sys.exit(0 if first_invalid_line is None else 1)
--- a/packages/cli/src/fennelcove/cli/keys.py
+++ b/packages/cli/src/fennelcove/cli/keys.py
@@ -1,4 +1,4 @@
-"""`fennelcove keys`: certificates for TLS, and passes of viewers."""
+"""`fennelcove keys`: TLS certificates, and access tokens (passes) of clients."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import click
-from fennelcove.cli.telling import FileUnusable, fail
+from fennelcove.cli.telling import FileUnusableError, exit_with_error
 from fennelcove.clock import SystemClock
 from fennelcove.core.retry_storm_guard import keyed_mac
 from fennelcove.daemon.key_file import KeyFileError, load, rotate
@@ -16,7 +16,7 @@
 
 @click.group()
 def keys() -> None:
-    """Certificates for TLS, and passes of viewers."""
+    """Manage TLS certificates and access tokens (passes) of clients."""
 
 
 @keys.command()
@@ -24,9 +24,11 @@
 @click.option("--name", "names", multiple=True, default=("localhost",), show_default=True)
 @click.option("--days", type=click.IntRange(1, 825), default=90, show_default=True)
 def new(folder: str, names: tuple[str, ...], days: int) -> None:
-    """Make a certificate of its own signature and its key in FOLDER."""
+    """Create a self-signed certificate and its key in FOLDER."""
     if (Path(folder) / "certificate.pem").exists():
-        fail(FileUnusable("found a certificate", folder, "fennelcove keys rotate replaces it"))
+        exit_with_error(
+            FileUnusableError("found a certificate", folder, "fennelcove keys rotate replaces it")
+        )
     _write(folder, names, days)
 
 
@@ -34,14 +36,14 @@
 @click.argument("folder", type=click.Path())
 @click.option("--days", type=click.IntRange(1, 825), default=90, show_default=True)
 def rotate_(folder: str, days: int) -> None:
-    """Replace the certificate in FOLDER, for the same names. A running front takes the new one by itself."""
+    """Replace the certificate in FOLDER, with the same names; a running front loads the new one itself."""
     from fennelcove.daemon import certificates
 
     try:
-        held = certificates.read(folder)
+        certificate = certificates.read(folder)
     except certificates.CertificateError as error:
-        fail(error)
-    _write(folder, held.names, days)
+        exit_with_error(error)
+    _write(folder, certificate.names, days)
 
 
 def _write(folder: str, names: tuple[str, ...], days: int) -> None:
@@ -50,53 +52,56 @@
     try:
         certificates.make(folder, names, datetime.now(UTC), timedelta(days=days))
     except certificates.CertificateError as error:
-        fail(error)
-    click.echo(f"{folder}: a certificate for {', '.join(names)}, good for {days} days")
+        exit_with_error(error)
+    click.echo(f"{folder}: a certificate for {', '.join(names)}, valid for {days} days")
 
 
 @keys.command("list")
 @click.argument("folder", type=click.Path())
 def list_(folder: str) -> None:
-    """Show what the certificate in FOLDER is for. Exit status 1 where it is over, or its key does not fit."""
+    """Show the certificate in FOLDER; exit status 1 if it has expired or its key does not match."""
     from fennelcove.daemon import certificates
 
     try:
-        held = certificates.read(folder)
+        certificate = certificates.read(folder)
     except certificates.CertificateError as error:
-        fail(error)
-    left = held.until - datetime.now(UTC)
-    click.echo(f"names: {', '.join(held.names)}")
-    click.echo(f"from {held.since:%Y-%m-%d %H:%M} to {held.until:%Y-%m-%d %H:%M} UTC, {left.days} days left")
-    click.echo(f"sha256: {held.fingerprint}")
-    click.echo(f"key: {'fits' if held.fits else 'does not fit'}")
-    sys.exit(0 if held.fits and left > timedelta() else 1)
+        exit_with_error(error)
+    remaining = certificate.until - datetime.now(UTC)
+    click.echo(f"names: {', '.join(certificate.names)}")
+    click.echo(
+        f"from {certificate.since:%Y-%m-%d %H:%M} to {certificate.until:%Y-%m-%d %H:%M} UTC, "
+        f"{remaining.days} days left"
+    )
+    click.echo(f"sha256: {certificate.fingerprint}")
+    click.echo(f"key: {'matches' if certificate.fits else 'does not match'}")
+    sys.exit(0 if certificate.fits and remaining > timedelta() else 1)
 
 
 @keys.command("pass-key")
 @click.argument("file", type=click.Path())
 def pass_key(file: str) -> None:
-    """Make a key of passes in FILE, or a further one; older ones are known for an hour more."""
+    """Add a new signing key for access tokens to FILE; older keys stay valid for another hour."""
     try:
         count = rotate(file, SystemClock().wall_us() // 1000)
     except KeyFileError as error:
-        fail(error)
+        exit_with_error(error)
     click.echo(f"{file}: a new key; {count} in use")
 
 
 @keys.command("pass")
 @click.argument("file", type=click.Path())
-@click.option("--client", required=True, help="Whom the pass is for.")
+@click.option("--client", required=True, help="The client that the token is for.")
 @click.option("--minutes", type=click.FloatRange(0.01, 100_000), default=60.0, show_default=True)
-@click.option(
-    "--most", type=click.IntRange(1, 64), default=8, show_default=True, help="Subscriptions at once."
-)
-@click.option("--title", "titles", multiple=True, help="Only these titles; none named is any.")
+@click.option("--most", type=click.IntRange(1, 64), default=8, show_default=True, help="Concurrent sessions.")
+@click.option("--title", "titles", multiple=True, help="Only these titles; by default all.")
 def pass_(file: str, client: str, minutes: float, most: int, titles: tuple[str, ...]) -> None:
-    """Make a pass under the newest key in FILE."""
+    """Create an access token, signed with the newest key in FILE."""
     now_us = SystemClock().wall_us()
     try:
         newest = load(file, now_us // 1000)[0]
     except KeyFileError as error:
-        fail(error)
-    held = access_tokens.AccessToken(client, now_us - 5_000_000, now_us + round(minutes * 60e6), most, titles)
-    click.echo(access_tokens.sign_access_token(held, keyed_mac(newest)))
+        exit_with_error(error)
+    token = access_tokens.AccessToken(
+        client, now_us - 5_000_000, now_us + round(minutes * 60e6), most, titles
+    )
+    click.echo(access_tokens.sign_access_token(token, keyed_mac(newest)))
--- a/packages/cli/src/fennelcove/cli/main.py
+++ b/packages/cli/src/fennelcove/cli/main.py
@@ -1,4 +1,4 @@
-"""`fennelcove`: one command, its parts loaded only when they are called."""
+"""The command `fennelcove`; the modules of its subcommands are imported only when they are called."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class LazyGroup(click.Group):
-    """Loads some commands only when they are called, so that a front starts without tables and colours."""
+    """Imports some commands only when they are called, so that a front starts without loading `rich`."""
 
-    LAZY: ClassVar[dict[str, tuple[str, str]]] = {
+    LAZY_COMMANDS: ClassVar[dict[str, tuple[str, str]]] = {
         "api": ("fennelcove.cli.api", "api"),
         "fleet": ("fennelcove.cli.fleet", "fleet"),
         "keys": ("fennelcove.cli.keys", "keys"),
@@ -31,11 +31,13 @@
     }
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *self.LAZY])
+        """The names of all commands, without importing their modules."""
+        return sorted([*super().list_commands(ctx), *self.LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name in self.LAZY:
-            module, name = self.LAZY[cmd_name]
+        """The command of a name, whose module is imported if necessary."""
+        if cmd_name in self.LAZY_COMMANDS:
+            module, name = self.LAZY_COMMANDS[cmd_name]
             command = getattr(import_module(module), name)
             assert isinstance(command, click.Command)
             return command
@@ -45,17 +47,17 @@
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(_version(), prog_name="fennelcove")
 def main() -> None:
-    """A session front: places and shapes video subscriptions on streaming servers."""
+    """A session front: places video sessions on streaming servers and selects their bitrate."""
 
 
 @main.command()
 @click.argument("config", type=click.Path())
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 @click.option(
-    "--wall-offset-s", type=float, default=0.0, hidden=True, help="Set its wall clock off, for days."
+    "--wall-offset-s", type=float, default=0.0, hidden=True, help="Offset of the wall clock, for scenarios."
 )
 def front(config: str, log_level: str, wall_offset_s: float) -> None:
-    """Run a front by the settings in CONFIG until SIGTERM or SIGINT; a second one shortens its end."""
+    """Run a front with the settings in CONFIG until SIGTERM or SIGINT; a second one shortens the shutdown."""
     from fennelcove.cli.serve import run_front
 
     sys.exit(run_front(config, log_level, wall_offset_s))
@@ -64,7 +66,7 @@
 @main.command()
 @click.argument("config", type=click.Path())
 def box(config: str) -> None:
-    """Run a stand-in box by the settings in CONFIG until SIGTERM or SIGINT."""
+    """Run an emulated server with the settings in CONFIG until SIGTERM or SIGINT."""
     from fennelcove.cli.serve import run_box
 
     sys.exit(run_box(config))
@@ -72,33 +74,33 @@
 
 @main.group()
 def config() -> None:
-    """Look at settings files."""
+    """Check settings files."""
 
 
 @config.command("check")
 @click.argument("file", type=click.Path())
 def config_check(file: str) -> None:
-    """Read FILE as a front would and say what is amiss."""
-    from fennelcove.cli.telling import fail
+    """Read FILE as a front would, and report the first error."""
+    from fennelcove.cli.telling import exit_with_error
     from fennelcove.settings.checks import load_front
     from fennelcove.settings.reader import SettingsError
 
     try:
         settings = load_front(file)
     except SettingsError as error:
-        fail(error)
+        exit_with_error(error)
     rooms, titles = len(settings.room_types), len(settings.titles)
     click.echo(f"{file}: a front named {settings.name!r} with {rooms} room types and {titles} titles")
 
 
 @main.group()
 def day() -> None:
-    """Play scripted days of trouble against a live front, and judge recordings."""
+    """Run scripted failure scenarios against real fronts, and check recordings of them."""
 
 
 @day.command("list")
 def day_list() -> None:
-    """The days that come with the program."""
+    """List the scenarios that come with the program."""
     from fennelcove.scenarios.script import names
 
     for name in names():
@@ -108,23 +110,24 @@
 @day.command("play")
 @click.argument("name")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--record", type=click.Path(), help="Keep the recording in this file.")
-@click.option("--plot", type=click.Path(), help="Draw asked, played and refused a second into this PNG file.")
-@click.option("--json", "as_json", is_flag=True, help="End with one JSON object on the last line.")
+@click.option("--record", type=click.Path(), help="Write the recording to this file.")
+@click.option("--plot", type=click.Path(), help="Plot requests, plays and rejections per second (PNG file).")
+@click.option("--json", "as_json", is_flag=True, help="Print the verdict as a JSON object on the last line.")
 def day_play(name: str, seed: int, record: str | None, plot: str | None, as_json: bool) -> None:
-    """Play the day NAME, or one of your own from a file that ends in `.sexp`; exit status 0 only where no
-    rule broke and service reached its floor.
+    """Run the scenario NAME, or a scenario of your own from a `.sexp` file.
+
+    The exit status is 0 only if no rule was violated and the service score reached its minimum.
     """
-    from fennelcove.cli.days import play
+    from fennelcove.cli.days import play_scenario
 
-    sys.exit(play(name, seed, record, as_json, plot))
+    sys.exit(play_scenario(name, seed, record, as_json, plot))
 
 
 @day.command("judge")
 @click.argument("file", type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="End with one JSON object on the last line.")
+@click.option("--json", "as_json", is_flag=True, help="Print the verdict as a JSON object on the last line.")
 def day_judge(file: str, as_json: bool) -> None:
-    """Judge the recording in FILE again."""
-    from fennelcove.cli.days import judge_file
+    """Check the recording in FILE again."""
+    from fennelcove.cli.days import check_recording
 
-    sys.exit(judge_file(file, as_json))
+    sys.exit(check_recording(file, as_json))
--- a/packages/cli/src/fennelcove/cli/releases.py
+++ b/packages/cli/src/fennelcove/cli/releases.py
@@ -1,4 +1,4 @@
-"""Releases over many fronts: their state, and operators' orders, each told to one front that answers."""
+"""`fennelcove fleet release`: shows rollouts, and sends each command to one front that can execute it."""
 
 from __future__ import annotations
 
@@ -8,105 +8,127 @@
 
 import click
 import msgspec
-from fennelcove.cli.fleet import FILE, KEY, Fleet, sealed
-from fennelcove.cli.telling import FleetSilent, fail
+from fennelcove.cli.fleet import KEY_FILE_OPTION, KEY_OPTION, FleetContext, signed_call
+from fennelcove.cli.telling import FleetUnresponsiveError, exit_with_error
 from fennelcove.decisions.operators import reachability
 from fennelcove.decisions.operators.reachability import CallOutcome, CallStatus
 from fennelcove.fleet.asker import Call, ask, ask_all
 from fennelcove.fleet.inventory import FrontLine
 from fennelcove.wire.orders import PlanOrder
 
-HEADS = ["version", "phase", "plan", "wanted", "reason", "fence", "leads", "fronts out", "boxes out"]
-STATUS = Call("GET", "/v1/status")
-FENCE = click.option("--fence", type=click.IntRange(0), help="What `state` told; without it that of now.")
+COLUMN_NAMES = ["version", "phase", "plan", "wanted", "reason", "fence", "leads", "fronts out", "servers out"]
+STATUS_CALL = Call("GET", "/v1/status")
+FENCE_OPTION = click.option(
+    "--fence", type=click.IntRange(0), help="The fence that `state` shows; by default the current one."
+)
 
 
-def _told(outcome: CallOutcome) -> dict[str, Any]:
-    said = outcome.body.get("releases", outcome.body)
-    return said if isinstance(said, dict) else {}
+def _release_status(outcome: CallOutcome) -> dict[str, Any]:
+    release_fields = outcome.body.get("releases", outcome.body)
+    return release_fields if isinstance(release_fields, dict) else {}
 
 
-def _row(outcome: CallOutcome) -> list[str]:
-    said = _told(outcome)
-    out = said.get("out", {})
+def _status_columns(outcome: CallOutcome) -> list[str]:
+    release_fields = _release_status(outcome)
+    out = release_fields.get("out", {})
 
-    def places(kind: str) -> str:
-        one = out.get(kind, {})
-        seen = sorted({*one.get("dark", []), *one.get("held", [])})
-        off = [f"{place} off" for place in one.get("off", [])]
-        return " ".join([*map(str, seen), *off])
+    def format_places(kind: str) -> str:
+        entry = out.get(kind, {})
+        out_of_service = sorted({*entry.get("dark", []), *entry.get("held", [])})
+        disabled = [f"{place} off" for place in entry.get("off", [])]
+        return " ".join([*map(str, out_of_service), *disabled])
 
-    phase = str(said.get("phase", "none of it in its settings"))
-    if said.get("back"):
-        phase += ", back"
-    if not said.get("sure", True):
-        phase += ", unsure"
-    cells = [str(said.get(name, "")) for name in ("version",)]
-    cells += [phase, *(str(said.get(name, "")) for name in ("plan", "wanted", "reason", "fence"))]
-    return [*cells, "leads" if said.get("leads") else "", places("front"), places("box")]
+    phase_text = str(release_fields.get("phase", "not configured"))
+    if release_fields.get("back"):
+        phase_text += ", back"
+    if not release_fields.get("sure", True):
+        phase_text += ", unsure"
+    cells = [str(release_fields.get(name, "")) for name in ("version",)]
+    cells += [
+        phase_text,
+        *(str(release_fields.get(name, "")) for name in ("plan", "wanted", "reason", "fence")),
+    ]
+    return [
+        *cells,
+        "leads" if release_fields.get("leads") else "",
+        format_places("front"),
+        format_places("box"),
+    ]
 
 
 @click.group()
 def release() -> None:
-    """A version over the fleet, in waves: start, halt, on, back, and how it stands."""
+    """Roll a version out over the fleet in waves: start, change, halt, resume, roll back, show."""
 
 
 @release.command()
 @click.argument("selectors", nargs=-1)
 @click.pass_obj
-def state(tool: Fleet, selectors: tuple[str, ...]) -> None:
-    """How a release stands, as each front knows it; `reason` is why it is halted."""
-    tool.run(tool.chosen(selectors), STATUS, _row, HEADS)
-
-
-def _order(tool: Fleet, what: str, key: str, file: str, fence: int | None, fields: dict[str, Any]) -> None:
-    """Tell one front: who leads first, then whoever answers, as long as none may have taken it."""
-    lines = tool.chosen(())
-    seen = {one.front: one for one in ask_all(lines, STATUS, tool.times, tool.clock, tool.at_once)}
-    up = [line for line in lines if seen[line.name].status is CallStatus.DONE and _told(seen[line.name])]
-    if not up:
-        fail(
-            FleetSilent("found no front that answers and has releases"),
+def state(context: FleetContext, selectors: tuple[str, ...]) -> None:
+    """Show the state of a rollout as each front knows it; `reason` is why it is halted."""
+    context.call_and_print(context.select_fronts(selectors), STATUS_CALL, _status_columns, COLUMN_NAMES)
+
+
+def _submit_order(
+    context: FleetContext, command_name: str, key: str, file: str, fence: int | None, fields: dict[str, Any]
+) -> None:
+    """Send a command to the leader, then to others while no front can have executed it."""
+    lines = context.select_fronts(())
+    outcome_by_front = {
+        entry.front: entry
+        for entry in ask_all(lines, STATUS_CALL, context.timeouts, context.clock, context.at_once)
+    }
+    responding = [
+        line
+        for line in lines
+        if outcome_by_front[line.name].status is CallStatus.DONE
+        and _release_status(outcome_by_front[line.name])
+    ]
+    if not responding:
+        exit_with_error(
+            FleetUnresponsiveError("found no front that responds and has releases in its settings"),
             reachability.ExitCode.SOME_FAILED.value,
         )
     if fence is None:
-        fence = max(int(_told(seen[line.name]).get("fence", 0)) for line in up)
-    up.sort(key=lambda line: not _told(seen[line.name]).get("leads"))
+        fence = max(int(_release_status(outcome_by_front[line.name]).get("fence", 0)) for line in responding)
+    responding.sort(key=lambda line: not _release_status(outcome_by_front[line.name]).get("leads"))
     body = msgspec.json.encode({"fence": fence, **fields})
-    _first(tool, up, sealed(tool, what, key, file, body))
+    _call_until_executed(context, responding, signed_call(context, command_name, key, file, body))
 
 
-def _first(tool: Fleet, lines: Sequence[FrontLine], call: Call) -> None:
+def _call_until_executed(context: FleetContext, lines: Sequence[FrontLine], call: Call) -> None:
     outcomes: list[CallOutcome] = []
-    until_us = tool.clock.now_us() + tool.times.whole_us
+    until_us = context.clock.now_us() + context.timeouts.whole_us
     for line in lines:
-        outcome = ask(line, call, tool.times, tool.clock, until_us)
+        outcome = ask(line, call, context.timeouts, context.clock, until_us)
         outcomes.append(outcome)
-        if not _untaken(outcome):
+        if not _certainly_not_executed(outcome):
             break
     for outcome in outcomes:
-        said = f"{outcome.front}: {outcome.status.value} {outcome.detail}".rstrip()
+        message = f"{outcome.front}: {outcome.status.value} {outcome.detail}".rstrip()
         if outcome.status is CallStatus.DONE:
-            told = _told(outcome)
-            said += f"; plan {told.get('plan')} is {told.get('phase')}, fence {told.get('fence')}"
-        click.echo(said)
+            release = _release_status(outcome)
+            message += f"; plan {release.get('plan')} is {release.get('phase')}, fence {release.get('fence')}"
+        click.echo(message)
     last = outcomes[-1]
     sys.exit(reachability.exit_code([last], True).value)
 
 
-def _untaken(outcome: CallOutcome) -> bool:
-    """Whether it surely has not taken the order, and another may: it is busy, or could not be reached."""
+def _certainly_not_executed(outcome: CallOutcome) -> bool:
+    """Whether the front certainly did not execute the command, being busy or unreachable, and another may."""
     if outcome.status is CallStatus.DECLINED:
         return "busy" in outcome.detail
     return outcome.status in (CallStatus.REFUSED, CallStatus.UNREACHABLE, CallStatus.UNRESOLVED)
 
 
-PLAN = (
-    click.option("--wanted", type=click.IntRange(1), required=True, help="The version to come to."),
-    click.option("--before", type=click.IntRange(1), required=True, help="The version to go back to."),
-    click.option("--canary", type=click.IntRange(1), default=1, show_default=True, help="Who goes first."),
+PLAN_OPTIONS = (
+    click.option("--wanted", type=click.IntRange(1), required=True, help="The version to roll out."),
+    click.option("--before", type=click.IntRange(1), required=True, help="The version to roll back to."),
+    click.option(
+        "--canary", type=click.IntRange(1), default=1, show_default=True, help="Fronts in the first wave."
+    ),
     click.option(
-        "--wave", type=click.IntRange(1), default=1, show_default=True, help="Of each further wave."
+        "--wave", type=click.IntRange(1), default=1, show_default=True, help="Fronts in each further wave."
     ),
     click.option("--soak-s", type=click.FloatRange(0, 86_400), default=30.0, show_default=True),
     click.option("--out-s", type=click.FloatRange(0.1, 86_400), default=60.0, show_default=True),
@@ -119,117 +141,140 @@
 )
 
 
-def _planned(command: Any) -> Any:
-    for option in reversed(PLAN):
+def _with_plan_options(command: Any) -> Any:
+    for option in reversed(PLAN_OPTIONS):
         command = option(command)
     return command
 
 
-def _fields(told: dict[str, Any]) -> dict[str, Any]:
-    shares = {name: round(told[name] * 1000) for name in ("floor", "refused", "failed", "worse")}
-    times = {f"{name}_ms": round(told[f"{name}_s"] * 1000) for name in ("soak", "out")}
-    plain = {name: told[name] for name in ("wanted", "before", "canary", "wave", "level", "storm")}
+def _plan_fields(options: dict[str, Any]) -> dict[str, Any]:
+    shares = {name: round(options[name] * 1000) for name in ("floor", "refused", "failed", "worse")}
+    times = {f"{name}_ms": round(options[f"{name}_s"] * 1000) for name in ("soak", "out")}
+    plain = {name: options[name] for name in ("wanted", "before", "canary", "wave", "level", "storm")}
     fields = {**plain, **times, **shares}
     msgspec.convert({"fence": 0, **fields}, PlanOrder)
     return fields
 
 
 @release.command()
-@_planned
-@FENCE
-@KEY
-@FILE
+@_with_plan_options
+@FENCE_OPTION
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def start(tool: Fleet, /, fence: int | None, key: str, file: str, **told: Any) -> None:
-    """Begin a plan: some fronts first, then waves, each watched for a while."""
-    _order(tool, "release-start", key, file, fence, _fields(told))
+def start(context: FleetContext, /, fence: int | None, key: str, file: str, **options: Any) -> None:
+    """Start a plan: first the canary fronts, then waves, each observed for the soak time."""
+    _submit_order(context, "release-start", key, file, fence, _plan_fields(options))
 
 
 @release.command()
-@_planned
-@FENCE
-@KEY
-@FILE
+@_with_plan_options
+@FENCE_OPTION
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def change(tool: Fleet, /, fence: int | None, key: str, file: str, **told: Any) -> None:
-    """Another plan in place of the one under way; it is halted until `on`."""
-    _order(tool, "release-change", key, file, fence, _fields(told))
+def change(context: FleetContext, /, fence: int | None, key: str, file: str, **options: Any) -> None:
+    """Replace the plan in progress; the new plan is halted until `on`."""
+    _submit_order(context, "release-change", key, file, fence, _plan_fields(options))
 
 
 @release.command()
-@FENCE
-@KEY
-@FILE
+@FENCE_OPTION
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def halt(tool: Fleet, fence: int | None, key: str, file: str) -> None:
-    """Nothing more goes out; who is on the way out comes back."""
-    _order(tool, "release-halt", key, file, fence, {})
+def halt(context: FleetContext, fence: int | None, key: str, file: str) -> None:
+    """Halt the plan: no more fronts are taken out, and those being taken out return to service."""
+    _submit_order(context, "release-halt", key, file, fence, {})
 
 
 @release.command()
-@FENCE
-@KEY
-@FILE
+@FENCE_OPTION
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def on(tool: Fleet, fence: int | None, key: str, file: str) -> None:
-    """A halted plan goes on where it was."""
-    _order(tool, "release-on", key, file, fence, {})
+def on(context: FleetContext, fence: int | None, key: str, file: str) -> None:
+    """Resume a halted plan where it was."""
+    _submit_order(context, "release-on", key, file, fence, {})
 
 
 @release.command()
-@FENCE
-@KEY
-@FILE
+@FENCE_OPTION
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def back(tool: Fleet, fence: int | None, key: str, file: str) -> None:
-    """All go back to the version before, the newest first, under the same limits."""
-    _order(tool, "release-back", key, file, fence, {})
+def back(context: FleetContext, fence: int | None, key: str, file: str) -> None:
+    """Roll all fronts back to the previous version, the latest first, within the same limits."""
+    _submit_order(context, "release-back", key, file, fence, {})
 
 
 @release.command()
 @click.argument("selectors", nargs=-1, required=True)
-@KEY
-@FILE
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def anew(tool: Fleet, selectors: tuple[str, ...], key: str, file: str) -> None:
-    """What these fronts know of a plan is all there is: for a fleet whose folders were lost."""
-    tool.run(tool.chosen(selectors), sealed(tool, "release-anew", key, file), _row, HEADS)
+def anew(context: FleetContext, selectors: tuple[str, ...], key: str, file: str) -> None:
+    """Recover from lost stores: the fronts take what they know of a plan as the complete state."""
+    context.call_and_print(
+        context.select_fronts(selectors),
+        signed_call(context, "release-anew", key, file),
+        _status_columns,
+        COLUMN_NAMES,
+    )
 
 
 @click.command()
 @click.argument("front")
-@click.option("--version", type=click.IntRange(1), required=True, help="What it is to come back with.")
-@KEY
-@FILE
+@click.option("--version", type=click.IntRange(1), required=True, help="The version to restart with.")
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def out(tool: Fleet, front: str, version: int, key: str, file: str) -> None:
-    """Take FRONT out once the others permit it, without a plan; its supervisor starts it again."""
+def out(context: FleetContext, front: str, version: int, key: str, file: str) -> None:
+    """Take FRONT out of service without a plan, once the others permit it; its supervisor restarts it."""
     body = msgspec.json.encode({"kind": "front", "version": version})
-    tool.run(tool.chosen((front,)), sealed(tool, "out", key, file, body), _row, HEADS)
+    context.call_and_print(
+        context.select_fronts((front,)),
+        signed_call(context, "out", key, file, body),
+        _status_columns,
+        COLUMN_NAMES,
+    )
 
 
 @click.command()
 @click.argument("cell", type=click.IntRange(0, 0x7FFF))
-@click.option("--by", required=True, help="The front that asks for it and tells the list's keeper.")
-@KEY
-@FILE
+@click.option("--by", required=True, help="The front that requests it and notifies discovery.")
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def box_out(tool: Fleet, cell: int, by: str, key: str, file: str) -> None:
-    """Take the box of CELL out once the fronts permit it."""
+def box_out(context: FleetContext, cell: int, by: str, key: str, file: str) -> None:
+    """Take the server of CELL out of service, once the fronts permit it."""
     body = msgspec.json.encode({"kind": "box", "place": cell})
-    tool.run(tool.chosen((by,)), sealed(tool, "box-out", key, file, body), _row, HEADS)
+    context.call_and_print(
+        context.select_fronts((by,)),
+        signed_call(context, "box-out", key, file, body),
+        _status_columns,
+        COLUMN_NAMES,
+    )
 
 
 @click.command()
 @click.argument("kind", type=click.Choice(["front", "box"]))
 @click.argument("place", type=click.IntRange(0, 0x7FFF))
 @click.argument("selectors", nargs=-1)
-@KEY
-@FILE
+@KEY_OPTION
+@KEY_FILE_OPTION
 @click.pass_obj
-def write_off(tool: Fleet, kind: str, place: int, selectors: tuple[str, ...], key: str, file: str) -> None:
-    """A front by its index, or a box by its cell, does not come back: it counts no more until it is seen to
-    serve. Tell all fronts: those that don't hear it go on counting it.
+def write_off(
+    context: FleetContext, kind: str, place: int, selectors: tuple[str, ...], key: str, file: str
+) -> None:
+    """Declare a front (by index) or a server (by cell) lost: it is not counted until it serves again.
+
+    Send this to all fronts: those that do not receive it continue to count it.
     """
     body = msgspec.json.encode({"kind": kind, "place": place})
-    tool.run(tool.chosen(selectors), sealed(tool, "write-off", key, file, body), _row, HEADS)
+    context.call_and_print(
+        context.select_fronts(selectors),
+        signed_call(context, "write-off", key, file, body),
+        _status_columns,
+        COLUMN_NAMES,
+    )
--- a/packages/cli/src/fennelcove/cli/serve.py
+++ b/packages/cli/src/fennelcove/cli/serve.py
@@ -1,4 +1,4 @@
-"""Runs a front or a stand-in box until a signal."""
+"""Runs a front or an emulated server until a signal."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import click
 from fennelcove import log
-from fennelcove.cli.telling import ListenFailed, tell
+from fennelcove.cli.telling import ListenError, print_error
 from fennelcove.clock import SystemClock
 from fennelcove.daemon.front_daemon import FrontDaemon
 from fennelcove.daemon.key_file import KeyFileError
@@ -23,11 +23,11 @@
 from fennelcove.store.directory import StoreError
 from msgspec import Meta
 
-USAGE, FAILED = 2, 1
+EXIT_USAGE, EXIT_FAILED = 2, 1
 
 
-class BoxSettings(Strict, frozen=True, kw_only=True):
-    """A stand-in box."""
+class EmulatedServerSettings(Strict, frozen=True, kw_only=True):
+    """The settings of an emulated server."""
 
     HEAD: ClassVar[str] = "box"
 
@@ -40,57 +40,61 @@
     start_capacity: Annotated[float, Meta(gt=0, le=1)] = 1.0
 
 
-def _until_signal(second: threading.Event | None = None) -> threading.Event:
-    """Set by SIGTERM or SIGINT; the second signal sets the other event."""
-    first = threading.Event()
+def _stop_event_on_signals(second_signal: threading.Event | None = None) -> threading.Event:
+    """An event that SIGTERM or SIGINT sets; a second signal sets `second_signal`."""
+    first_signal = threading.Event()
 
-    def heard(_number: int, _frame: object) -> None:
-        if first.is_set() and second is not None:
-            second.set()
-        first.set()
+    def handle_signal(_number: int, _frame: object) -> None:
+        if first_signal.is_set() and second_signal is not None:
+            second_signal.set()
+        first_signal.set()
 
-    signal.signal(signal.SIGTERM, heard)
-    signal.signal(signal.SIGINT, heard)
-    return first
+    signal.signal(signal.SIGTERM, handle_signal)
+    signal.signal(signal.SIGINT, handle_signal)
+    return first_signal
 
 
-def run_front(config: str, level: str, wall_off_s: float = 0.0) -> int:
-    """The front's process; its exit status."""
+def run_front(config: str, level: str, wall_offset_s: float = 0.0) -> int:
+    """Run a front in this process; returns the exit status."""
     try:
         settings = load_front(config)
     except SettingsError as error:
-        tell(error)
-        return USAGE
-    notice = log.configure(settings.name, level)
-    hurry = threading.Event()
-    asked = _until_signal(hurry)
+        print_error(error)
+        return EXIT_USAGE
+    log_event = log.configure(settings.name, level)
+    shutdown_shortened = threading.Event()
+    stop_requested = _stop_event_on_signals(shutdown_shortened)
     try:
-        program = FrontDaemon(settings, notice, SystemClock(round(wall_off_s * 1e6)), end=asked.set)
+        front_process = FrontDaemon(
+            settings, log_event, SystemClock(round(wall_offset_s * 1e6)), end=stop_requested.set
+        )
     except (KeyFileError, StoreError, TlsError) as error:
-        tell(error)
-        return USAGE
+        print_error(error)
+        return EXIT_USAGE
     except OSError as error:
-        tell(ListenFailed(f"found {settings.listen} in use or barred ({error})", f"{config}: listen"))
-        return USAGE
-    program.start()
-    while not asked.wait(1.0):
-        pass  # a bounded wait, so that a signal is handled even where the lock would hold it back
-    ending = threading.Thread(target=program.stop, name="ending")
-    ending.start()
-    while ending.is_alive():
-        ending.join(0.1)
-        if hurry.is_set():
-            program.hurry()
+        print_error(
+            ListenError(f"found {settings.listen} in use or not permitted ({error})", f"{config}: listen")
+        )
+        return EXIT_USAGE
+    front_process.start()
+    while not stop_requested.wait(1.0):
+        pass  # the wait has a timeout, since a signal may not interrupt an unlimited wait for the lock
+    stop_thread = threading.Thread(target=front_process.stop, name="ending")
+    stop_thread.start()
+    while stop_thread.is_alive():
+        stop_thread.join(0.1)
+        if shutdown_shortened.is_set():
+            front_process.hurry()
     return 0
 
 
 def run_box(config: str) -> int:
-    """The stand-in box's process; its exit status."""
+    """Run an emulated server in this process; returns the exit status."""
     try:
-        settings = load(config, BoxSettings)
+        settings = load(config, EmulatedServerSettings)
     except SettingsError as error:
-        tell(error)
-        return USAGE
+        print_error(error)
+        return EXIT_USAGE
     clock = SystemClock()
     rack = RackModel(settings.uplink_kb)
     model = BoxModel(
@@ -106,11 +110,11 @@
     box = StandInBox(
         settings.name, model, clock, Recorder(clock, keep=False), settings.reports_every_ms / 1000
     )
-    asked = _until_signal()
+    stop_requested = _stop_event_on_signals()
     box.start()
     click.echo(box.address)
     sys.stdout.flush()
-    while not asked.wait(1.0):
+    while not stop_requested.wait(1.0):
         pass
     box.stop()
     return 0
--- a/packages/cli/src/fennelcove/cli/store.py
+++ b/packages/cli/src/fennelcove/cli/store.py
@@ -1,4 +1,4 @@
-"""`fennelcove store`: what a front's folder holds, whether it is sound, and copies of it."""
+"""`fennelcove store`: inspects, verifies, compacts and exports the store of a front."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 import click
 import msgspec
-from fennelcove.cli.telling import fail
+from fennelcove.cli.telling import exit_with_error
 from fennelcove.core.snapshot_records import FRONT_KEY, SERVER_KEY_PREFIX
 from fennelcove.decisions.recovery import snapshot
 from fennelcove.store.base import BASE_FILE_NAME, BaseFileError
 from fennelcove.store.directory import Store, StoreError, verify_folder
 
-BAD = 1
+EXIT_CORRUPT = 1
 
 
 def _open(folder: str) -> Store:
     if not (Path(folder) / BASE_FILE_NAME).exists():
-        fail(StoreError("found no store there", folder))
+        exit_with_error(StoreError("found no store in this folder", folder))
     try:
         return Store(folder, _size_mb(folder), "fennelcove store")
     except StoreError as error:
-        fail(error)
+        exit_with_error(error)
 
 
 def _size_mb(folder: str) -> int:
@@ -47,87 +47,88 @@
     return rows
 
 
-def _at(wall_us: int) -> str:
+def _format_time(wall_us: int) -> str:
     return datetime.fromtimestamp(wall_us / 1e6, UTC).strftime("%Y-%m-%d %H:%M:%S") if wall_us else "never"
 
 
 @click.group()
 def store() -> None:
-    """What a front keeps across its lives. Its front must not run, but for `verify` on a copy."""
+    """Inspect the state that a front persists; its front must not run, except for `verify` on a copy."""
 
 
 @store.command()
 @click.argument("folder", type=click.Path())
 def inspect(folder: str) -> None:
-    """Show what FOLDER holds."""
-    held = _open(folder)
+    """Print the records in FOLDER."""
+    opened_store = _open(folder)
     try:
-        for row in _rows(held):
+        for row in _rows(opened_store):
             if row["kind"] == "box" and "started_us" in row:
                 click.echo(
-                    f"box {row['name']}: started {_at(row['started_us'])}, {row['strikes']} strikes, "
-                    f"last given work {_at(row['joined_us'])}, last known {_at(row['heard_us'])}"
+                    f"box {row['name']}: started {_format_time(row['started_us'])}, "
+                    f"{row['strikes']} strikes, last attempt {_format_time(row['joined_us'])}, "
+                    f"last report {_format_time(row['heard_us'])}"
                 )
             elif "usual" in row:
                 click.echo(
-                    f"front: written {_at(row['written_us'])}, usual arrivals {row['usual']:.1f} in half a "
-                    "second, "
-                    f"{len(row['further_us'])} further joins in the budget's span"
+                    f"front: written {_format_time(row['written_us'])}, usual arrivals {row['usual']:.1f} "
+                    f"per half second, {len(row['further_us'])} retries in the window of the budget"
                 )
             else:
                 click.echo(f"{row['kind']} {row['name']}: {row['bytes']} bytes")
         click.echo(
-            f"{len(held.values)} records up to batch {held.journal.sequence}, {held.base.byte_count()} bytes"
+            f"{len(opened_store.values)} records up to batch {opened_store.journal.sequence}, "
+            f"{opened_store.base.byte_count()} bytes"
         )
     finally:
-        held.close()
+        opened_store.close()
 
 
 @store.command("verify")
 @click.argument("folder", type=click.Path())
 def verify_(folder: str) -> None:
-    """Name each bad record of FOLDER. Exit status 1 where there is one."""
+    """List the corrupt records in FOLDER; exit status 1 if there are any."""
     try:
-        told = verify_folder(folder)
+        corrupt_records = verify_folder(folder)
     except StoreError as error:
-        fail(error)
-    for line in told:
+        exit_with_error(error)
+    for line in corrupt_records:
         click.echo(line)
-    click.echo("sound" if not told else f"{len(told)} bad")
-    sys.exit(BAD if told else 0)
+    click.echo("valid" if not corrupt_records else f"{len(corrupt_records)} bad")
+    sys.exit(EXIT_CORRUPT if corrupt_records else 0)
 
 
 @store.command()
 @click.argument("folder", type=click.Path())
 def compact(folder: str) -> None:
-    """Write the base of FOLDER anew without what is free in it."""
-    held = _open(folder)
+    """Rewrite the base file in FOLDER without its free pages."""
+    opened_store = _open(folder)
     fresh = Path(folder) / f"{BASE_FILE_NAME}.compact"
     try:
-        held.checkpoint()
+        opened_store.checkpoint()
         before = (Path(folder) / BASE_FILE_NAME).stat().st_size
         fresh.unlink(missing_ok=True)
-        held.base.copy_to(str(fresh))
+        opened_store.base.copy_to(str(fresh))
     except BaseFileError as error:
-        fail(error)
+        exit_with_error(error)
     except OSError as error:
-        fail(StoreError(f"found no way to write there ({error})", folder))
+        exit_with_error(StoreError(f"found no writable folder ({error})", folder))
     finally:
-        held.close()
+        opened_store.close()
     fresh.replace(Path(folder) / BASE_FILE_NAME)
     click.echo(f"{before} bytes before, {(Path(folder) / BASE_FILE_NAME).stat().st_size} now")
 
 
 @store.command()
 @click.argument("folder", type=click.Path())
-@click.option("--out", type=click.Path(), help="Write to this file.")
+@click.option("--out", type=click.Path(), help="Write to this file instead of standard output.")
 def export(folder: str, out: str | None) -> None:
-    """Every record of FOLDER as a JSON line."""
-    held = _open(folder)
+    """Write each record in FOLDER as a JSON line."""
+    opened_store = _open(folder)
     try:
-        lines = b"\n".join(msgspec.json.encode(row) for row in _rows(held)) + b"\n"
+        lines = b"\n".join(msgspec.json.encode(row) for row in _rows(opened_store)) + b"\n"
     finally:
-        held.close()
+        opened_store.close()
     if out is None:
         click.echo(lines.decode(), nl=False)
     else:
--- a/packages/cli/src/fennelcove/cli/telling.py
+++ b/packages/cli/src/fennelcove/cli/telling.py
@@ -1,4 +1,4 @@
-"""How the command line tells of a trouble: what happened, and on the next line what can be done."""
+"""Errors of the command line, printed as what happened and, on the next line, what can be done."""
 
 from __future__ import annotations
 
@@ -8,43 +8,45 @@
 import click
 from fennelcove.errors import OperatorError
 
-USAGE = 2
+EXIT_USAGE = 2
 
 
-class FileUnusable(OperatorError):
-    """A file that a command was given can't be read or written, or is of another kind."""
+class FileUnusableError(OperatorError):
+    """A file that was given to a command can't be read or written, or has the wrong format."""
 
     code = "file-unusable"
-    advice = "Check the path, the rights and what is in the file; nothing was done"
+    advice = "Check the path, the permissions and the content of the file; the command had no effect"
 
 
-class ListenFailed(OperatorError):
-    """A front can't listen at the address of its settings."""
+class ListenError(OperatorError):
+    """A front can't listen on the address in its settings."""
 
     code = "listen-failed"
-    advice = "See what listens there, or name another address under `listen`; port 0 is any free one"
+    advice = (
+        "Check which process uses the address, or set another `listen` address; port 0 takes any free port"
+    )
 
 
-class FleetSilent(OperatorError):
-    """No front of the inventory answers to an order that any of them could take."""
+class FleetUnresponsiveError(OperatorError):
+    """No front of the inventory responds to a command that any of them could execute."""
 
     code = "fleet-silent"
-    advice = "`fennelcove fleet status` tells how each is; the order has reached none"
+    advice = "Check each front with `fennelcove fleet status`; the command was sent to none of them"
 
 
-class ToolsMissing(OperatorError):
-    """A library that only some commands need is not installed."""
+class ToolsMissingError(OperatorError):
+    """A library that only some commands require is not installed."""
 
     code = "tools-missing"
     advice = "Install the development tools: `make env` in a clone"
 
 
-def tell(trouble: OperatorError) -> None:
-    """On standard error."""
-    click.echo(f"fennelcove: {trouble.lines()}", err=True)
+def print_error(error: OperatorError) -> None:
+    """Print an error and its remedy to standard error."""
+    click.echo(f"fennelcove: {error.lines()}", err=True)
 
 
-def fail(trouble: OperatorError, status: int = USAGE) -> NoReturn:
-    """Tell and end."""
-    tell(trouble)
+def exit_with_error(error: OperatorError, status: int = EXIT_USAGE) -> NoReturn:
+    """Print an error and exit with a status."""
+    print_error(error)
     sys.exit(status)
--- a/packages/cli/src/fennelcove/log.py
+++ b/packages/cli/src/fennelcove/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: human lines on a terminal, JSON lines elsewhere; one event name each."""
+"""Structured logging: human-readable lines on a terminal, JSON lines otherwise."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import structlog
 from fennelcove.core.requests import EventLogger
 
-LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-# What an operator should look at; everything else tells the ordinary course.
+LOG_LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
+# Events that an operator should look at; all others are part of normal operation.
 WARNINGS = frozenset(
     {
         "accept_failed",
@@ -32,20 +32,20 @@
 
 
 def configure(front: str, level: str = "info", stream: TextIO | None = None) -> EventLogger:
-    """A function that logs one event; everything goes to standard error unless a stream is given."""
-    sink = stream or sys.stderr
-    human = sink.isatty()
+    """A function that logs one event, to standard error unless another stream is given."""
+    stream_in_use = stream or sys.stderr
+    human = stream_in_use.isatty()
     renderer: Any = structlog.dev.ConsoleRenderer() if human else structlog.processors.JSONRenderer(_json)
-    stamp = structlog.processors.TimeStamper(fmt="iso", utc=True)
+    timestamper = structlog.processors.TimeStamper(fmt="iso", utc=True)
     logger = structlog.wrap_logger(
-        structlog.PrintLogger(sink),
-        processors=[structlog.processors.add_log_level, stamp, renderer],
-        wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
+        structlog.PrintLogger(stream_in_use),
+        processors=[structlog.processors.add_log_level, timestamper, renderer],
+        wrapper_class=structlog.make_filtering_bound_logger(LOG_LEVELS[level]),
         cache_logger_on_first_use=True,
     )
     bound = logger.bind(front=front)
 
-    def notice(event: str, **fields: object) -> None:
+    def log_event(event: str, **fields: object) -> None:
         if event in ERRORS:
             bound.error(event, **fields)
         elif event in WARNINGS:
@@ -55,8 +55,8 @@
         else:
             bound.info(event, **fields)
 
-    return notice
+    return log_event
 
 
 def silent(event: str, **fields: object) -> None:
-    """Logs nothing."""
+    """Discards an event; for callers that need no log."""
