--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -28,7 +28,7 @@
 from fennelcove.wire import socket as wire
 from openapi_spec_validator import validate
 
-from tests.generated import GeneratedHttp, GeneratedSocket, UndescribedError
+from tests.generated_clients import GeneratedHttp, GeneratedSocket, UndescribedError
 from tests.rig import FrontTestCase
 from tests.test_lessons import hashed
 
