--- a/packages/cli/src/fennelcove/cli/releases.py
+++ b/packages/cli/src/fennelcove/cli/releases.py
@@ -12,7 +12,7 @@
 from fennelcove.cli.telling import FleetUnresponsiveError, exit_with_error
 from fennelcove.decisions.operators import reachability
 from fennelcove.decisions.operators.reachability import CallOutcome, CallStatus
-from fennelcove.fleet.asker import Call, ask, ask_all
+from fennelcove.fleet.asker import Call, ask_all, call_front
 from fennelcove.fleet.inventory import FrontLine
 from fennelcove.wire.orders import PlanOrder
 
@@ -98,9 +98,9 @@
 
 def _call_until_executed(context: FleetContext, lines: Sequence[FrontLine], call: Call) -> None:
     outcomes: list[CallOutcome] = []
-    until_us = context.clock.now_us() + context.timeouts.whole_us
+    until_us = context.clock.now_us() + context.timeouts.total_us
     for line in lines:
-        outcome = ask(line, call, context.timeouts, context.clock, until_us)
+        outcome = call_front(line, call, context.timeouts, context.clock, until_us)
         outcomes.append(outcome)
         if not _certainly_not_executed(outcome):
             break
--- a/packages/errors/src/fennelcove/errors/__main__.py
+++ b/packages/errors/src/fennelcove/errors/__main__.py
@@ -22,7 +22,7 @@
 CALLER_HANDLED = {
     "fennelcove.core.requests.SessionStateError": "a program error, which is logged",
     "fennelcove.ingress.connection.TooSlow": "the connection gets a 408 response and is closed",
-    "fennelcove.fleet.asker._Ended": "ends the call to one front; shown in that front's row of the table",
+    "fennelcove.fleet.asker._CallFailedError": "ends the call to one front; shown in the row of that front",
     "fennelcove.hints.fields.FieldError": "the header field is ignored, as its specification requires",
     "fennelcove.http1.messages.ProtocolError": "a status code for the peer, or an error code of the caller",
     "fennelcove.isup.messages.ProtocolError": "the connection to the server is closed and opened again",
--- a/packages/fleet/src/fennelcove/fleet/__init__.py
+++ b/packages/fleet/src/fennelcove/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet tool: many fronts asked and told at once, each outcome in its own word."""
+"""Concurrent calls to many fronts, and the inventory file that lists them."""
--- a/packages/fleet/src/fennelcove/fleet/asker.py
+++ b/packages/fleet/src/fennelcove/fleet/asker.py
@@ -1,4 +1,4 @@
-"""Asks many fronts at once: a bounded number of threads, and a time for each step and for the whole."""
+"""Calls many fronts concurrently, with a bounded number of threads and with timeouts."""
 
 from __future__ import annotations
 
@@ -19,145 +19,175 @@
 from fennelcove.http1.reader import Gatherer, Reader
 
 READ_BYTES = 65_536
-LIMITS = CodecLimits(body_bytes=1_000_000)
+CODEC_LIMITS = CodecLimits(body_bytes=1_000_000)
 
 Fields = list[tuple[str, str]]
 
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """In microseconds; `answer` is for one whole exchange from its first byte sent."""
+    """The time limits of calls, in microseconds.
+
+    Attributes:
+        connect_us: for resolving the address, and again for connecting.
+        response_us: from the start of sending the request to the complete response.
+        total_us: for all calls together.
+    """
 
     connect_us: int = 2_000_000
-    answer_us: int = 5_000_000
-    whole_us: int = 60_000_000
+    response_us: int = 5_000_000
+    total_us: int = 60_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request; its header fields may differ from front to front."""
+    """A request to many fronts; `headers` makes the header fields for each of them."""
 
     method: str
     path: str
     body: bytes = b""
-    fields: Callable[[FrontLine], Fields] = lambda line: []
+    headers: Callable[[FrontLine], Fields] = lambda line: []
+
 
+class _CallFailedError(Exception):
+    """A call has failed: how far it got, and why."""
 
-class _Ended(Exception):
-    def __init__(self, seen: CallProgress, failure: CallFailure, detail: str) -> None:
+    def __init__(self, progress: CallProgress, failure: CallFailure, detail: str) -> None:
         super().__init__(detail)
-        self.seen = seen
+        self.progress = progress
         self.failure = failure
 
 
-def ask(line: FrontLine, call: Call, times: Times, clock: Clock, until_us: int) -> CallOutcome:
-    """One front; never raises, never takes longer than its times."""
+def call_front(line: FrontLine, call: Call, timeouts: Times, clock: Clock, until_us: int) -> CallOutcome:
+    """Call one front, within the timeouts; a failure is an outcome and not an exception."""
     began_us = clock.now_us()
     try:
-        status, body = _exchange(line, call, times, clock, min(until_us, began_us + times.whole_us))
-    except _Ended as error:
-        word = reachability.STATUS_BY_FAILURE[error.seen, error.failure]
-        return CallOutcome(line.name, word, str(error), {}, clock.now_us() - began_us)
+        status, body = _exchange(line, call, timeouts, clock, min(until_us, began_us + timeouts.total_us))
+    except _CallFailedError as error:
+        call_status = reachability.STATUS_BY_FAILURE[error.progress, error.failure]
+        return CallOutcome(line.name, call_status, str(error), {}, clock.now_us() - began_us)
     return reachability.outcome_of_response(line.name, status, body, clock.now_us() - began_us)
 
 
-def _resolved(address: str, limit_us: int) -> Any:
-    """Where an address is. The system's resolver takes no time limit: past ours it is left to its own."""
+def _resolve(address: str, timeout_us: int) -> Any:
+    """Resolve an address.
+
+    The system resolver has no timeout, so it runs in a thread, which is abandoned after the time limit.
+    """
     host, _, port = address.rpartition(":")
-    found: list[Any] = []
-    wrong: list[str] = []
+    addresses: list[Any] = []
+    resolver_errors: list[str] = []
 
     def resolve() -> None:
         try:
-            found.extend(socket.getaddrinfo(host, int(port), type=socket.SOCK_STREAM))
+            addresses.extend(socket.getaddrinfo(host, int(port), type=socket.SOCK_STREAM))
         except (OSError, UnicodeError) as error:
-            wrong.append(str(error))
+            resolver_errors.append(str(error))
 
     thread = threading.Thread(target=resolve, name="resolver", daemon=True)
     thread.start()
-    thread.join(max(0.001, limit_us / 1e6))
+    thread.join(max(0.001, timeout_us / 1e6))
     if thread.is_alive():
-        raise _Ended(CallProgress.RESOLVING, CallFailure.TIMED_OUT, "no address in its time")
-    if not found:
-        raise _Ended(CallProgress.RESOLVING, CallFailure.HOST_NOT_FOUND, wrong[0] if wrong else "no address")
-    return found[0]
+        raise _CallFailedError(
+            CallProgress.RESOLVING, CallFailure.TIMED_OUT, "no address within the time limit"
+        )
+    if not addresses:
+        raise _CallFailedError(
+            CallProgress.RESOLVING,
+            CallFailure.HOST_NOT_FOUND,
+            resolver_errors[0] if resolver_errors else "no address",
+        )
+    return addresses[0]
 
 
 def _exchange(
-    line: FrontLine, call: Call, times: Times, clock: Clock, until_us: int
+    line: FrontLine, call: Call, timeouts: Times, clock: Clock, until_us: int
 ) -> tuple[int, dict[str, object]]:
-    left_us = min(times.connect_us, until_us - clock.now_us())
-    family, kind, protocol, _, where = _resolved(line.address, left_us)
+    remaining_us = min(timeouts.connect_us, until_us - clock.now_us())
+    family, kind, protocol, _, socket_address = _resolve(line.address, remaining_us)
     sock = socket.socket(family, kind, protocol)
-    seen = CallProgress.CONNECTING
+    progress = CallProgress.CONNECTING
     try:
-        sock.settimeout(max(0.001, min(times.connect_us, until_us - clock.now_us()) / 1e6))
-        sock.connect(where)
-        seen = CallProgress.SENT
-        limit_us = min(until_us, clock.now_us() + times.answer_us)
-        fields = [*call.fields(line)]
+        sock.settimeout(max(0.001, min(timeouts.connect_us, until_us - clock.now_us()) / 1e6))
+        sock.connect(socket_address)
+        progress = CallProgress.SENT
+        deadline_us = min(until_us, clock.now_us() + timeouts.response_us)
+        headers = [*call.headers(line)]
         if call.body:
-            fields.append(("Content-Type", "application/json"))
-        sock.settimeout(max(0.001, (limit_us - clock.now_us()) / 1e6))
-        sock.sendall(writer.request(call.method, call.path, line.address, fields, call.body))
-        gatherer = Gatherer(Reader(False, LIMITS))
-        while (whole := gatherer.next()) is None:
-            left_us = limit_us - clock.now_us()
-            if left_us <= 0:
+            headers.append(("Content-Type", "application/json"))
+        sock.settimeout(max(0.001, (deadline_us - clock.now_us()) / 1e6))
+        sock.sendall(writer.request(call.method, call.path, line.address, headers, call.body))
+        gatherer = Gatherer(Reader(False, CODEC_LIMITS))
+        while (message := gatherer.next()) is None:
+            remaining_us = deadline_us - clock.now_us()
+            if remaining_us <= 0:
                 raise TimeoutError
-            sock.settimeout(left_us / 1e6)
+            sock.settimeout(remaining_us / 1e6)
             data = sock.recv(READ_BYTES)
             if not data:
-                raise _Ended(seen, CallFailure.CONNECTION_CLOSED, "it hung up")
-            seen = CallProgress.RESPONSE_STARTED
+                raise _CallFailedError(
+                    progress, CallFailure.CONNECTION_CLOSED, "the front closed the connection"
+                )
+            progress = CallProgress.RESPONSE_STARTED
             gatherer.reader.feed(data)
     except TimeoutError:
-        raise _Ended(seen, CallFailure.TIMED_OUT, "in its time") from None
+        raise _CallFailedError(
+            progress, CallFailure.TIMED_OUT, "not complete within the time limit"
+        ) from None
     except ConnectionRefusedError:
-        raise _Ended(seen, CallFailure.CONNECTION_REFUSED, "nobody listens") from None
+        raise _CallFailedError(
+            progress, CallFailure.CONNECTION_REFUSED, "no process listens on the address"
+        ) from None
     except ProtocolError as error:
-        raise _Ended(CallProgress.RESPONSE_STARTED, CallFailure.MALFORMED_RESPONSE, str(error)) from None
+        raise _CallFailedError(
+            CallProgress.RESPONSE_STARTED, CallFailure.MALFORMED_RESPONSE, str(error)
+        ) from None
     except OSError as error:
-        raise _Ended(seen, CallFailure.CONNECTION_CLOSED, str(error)) from None
+        raise _CallFailedError(progress, CallFailure.CONNECTION_CLOSED, str(error)) from None
     finally:
         sock.close()
-    assert isinstance(whole.head, ResponseHead)
+    assert isinstance(message.head, ResponseHead)
     try:
-        body = msgspec.json.decode(whole.body) if whole.body else {}
+        body = msgspec.json.decode(message.body) if message.body else {}
     except msgspec.DecodeError:
-        raise _Ended(
-            CallProgress.RESPONSE_STARTED, CallFailure.MALFORMED_RESPONSE, "an answer that is no JSON"
+        raise _CallFailedError(
+            CallProgress.RESPONSE_STARTED, CallFailure.MALFORMED_RESPONSE, "the response is not JSON"
         ) from None
-    return whole.head.status, body if isinstance(body, dict) else {}
+    return message.head.status, body if isinstance(body, dict) else {}
 
 
 def ask_all(
-    lines: Sequence[FrontLine], call: Call, times: Times, clock: Clock, at_once: int
+    lines: Sequence[FrontLine], call: Call, timeouts: Times, clock: Clock, at_once: int
 ) -> Iterator[CallOutcome]:
-    """Every front, so many at once; each outcome as it comes, exactly one for each front."""
-    until_us = clock.now_us() + times.whole_us
-    todo: queue.SimpleQueue[FrontLine] = queue.SimpleQueue()
-    done: queue.SimpleQueue[CallOutcome] = queue.SimpleQueue()
+    """Call all fronts, at most `at_once` concurrently; yields one outcome per front as it completes."""
+    until_us = clock.now_us() + timeouts.total_us
+    pending: queue.SimpleQueue[FrontLine] = queue.SimpleQueue()
+    outcomes: queue.SimpleQueue[CallOutcome] = queue.SimpleQueue()
     for line in lines:
-        todo.put(line)
+        pending.put(line)
 
-    def work() -> None:
+    def call_remaining_fronts() -> None:
         while True:
             try:
-                line = todo.get_nowait()
+                line = pending.get_nowait()
             except queue.Empty:
                 return
             if clock.now_us() >= until_us:
-                done.put(
-                    CallOutcome(line.name, CallStatus.NOT_ASKED, "the whole time was over before its turn")
+                outcomes.put(
+                    CallOutcome(
+                        line.name, CallStatus.NOT_ASKED, "the total time limit passed before the call"
+                    )
                 )
             else:
-                done.put(ask(line, call, times, clock, until_us))
+                outcomes.put(call_front(line, call, timeouts, clock, until_us))
 
-    threads = [threading.Thread(target=work, name=f"ask-{i}") for i in range(min(at_once, len(lines)))]
+    threads = [
+        threading.Thread(target=call_remaining_fronts, name=f"ask-{i}")
+        for i in range(min(at_once, len(lines)))
+    ]
     for thread in threads:
         thread.start()
     for _ in lines:
-        yield done.get()
+        yield outcomes.get()
     for thread in threads:
         thread.join()
--- a/packages/fleet/src/fennelcove/fleet/inventory.py
+++ b/packages/fleet/src/fennelcove/fleet/inventory.py
@@ -1,4 +1,4 @@
-"""The fronts of a fleet, as a file of S-expressions names them."""
+"""The inventory: an S-expression file that lists the fronts of a fleet."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from fennelcove.settings.schema import Name, Strict
 from msgspec import Meta, field
 
-Host = Annotated[str, Meta(max_length=255, pattern=r"^[0-9A-Za-z._-]+:[0-9]{1,5}$")]
+HostAddress = Annotated[str, Meta(max_length=255, pattern=r"^[0-9A-Za-z._-]+:[0-9]{1,5}$")]
 
 
 class FrontLine(Strict, frozen=True, kw_only=True):
-    """One front: the name in its settings, where its door is, and what it belongs to."""
+    """One front: the name in its settings, its address, its zone (`hall`) and its groups."""
 
     name: Name
-    address: Host
+    address: HostAddress
     hall: Name = "hall"
     groups: list[Name] = field(default_factory=list)
 
 
 class Inventory(Strict, frozen=True, kw_only=True):
-    """All fronts."""
+    """The fronts of a fleet."""
 
     HEAD: ClassVar[str] = "fleet"
 
@@ -29,29 +29,31 @@
 
 
 def read(path: str) -> Inventory:
-    """An inventory from a file.
+    """Read an inventory from a file.
 
     Raises:
-        SettingsError: unreadable, or a front or an address is named twice.
+        SettingsError: the file is unreadable, or a name or an address occurs twice.
     """
     found = load(path, Inventory)
-    for what in ("name", "address"):
+    for field_name in ("name", "address"):
         seen: set[str] = set()
         for i, line in enumerate(found.fronts):
-            value = getattr(line, what)
+            value = getattr(line, field_name)
             if value in seen:
                 raise SettingsError(
-                    f"found {value} a second time", f"{path}: fronts[{i}].{what}", "name each front once"
+                    f"found {value} a second time",
+                    f"{path}: fronts[{i}].{field_name}",
+                    "list each front once",
                 )
             seen.add(value)
     return found
 
 
 def selected(inventory: Inventory, selectors: list[str], source: str) -> list[FrontLine]:
-    """The fronts that any selector names: a front, `hall=NAME` or `group=NAME`; without one, all.
+    """The fronts that match any selector: a name, `hall=NAME` or `group=NAME`; without selectors, all.
 
     Raises:
-        SettingsError: a selector that names nobody: a command meant for somebody must not go to nobody.
+        SettingsError: a selector matches no front, so that a mistyped command is not taken as successful.
     """
     if not selectors:
         return list(inventory.fronts)
@@ -65,8 +67,10 @@
         elif kind == "group":
             found = [line for line in inventory.fronts if value in line.groups]
         else:
-            raise SettingsError("found no such kind", selector, "use a front's name, hall=NAME or group=NAME")
+            raise SettingsError(
+                "found an unknown kind of selector", selector, "use a front's name, hall=NAME or group=NAME"
+            )
         if not found:
-            raise SettingsError(f"found no front in {source} by it", selector)
+            raise SettingsError(f"found no front in {source} that matches", selector)
         chosen |= {line.name: line for line in found}
     return list(chosen.values())
