--- a/packages/cli/src/fennelcove/cli/serve.py
+++ b/packages/cli/src/fennelcove/cli/serve.py
@@ -19,7 +19,7 @@
 from fennelcove.ingress.tls import TlsError
 from fennelcove.settings.checks import load_front
 from fennelcove.settings.reader import SettingsError, load
-from fennelcove.settings.schema import Name, SomeCount, SomeFigure, SomeMillis, Strict
+from fennelcove.settings.schema import Name, PositiveMilliseconds, SomeCount, SomeFigure, Strict
 from fennelcove.store.directory import StoreError
 from msgspec import Meta
 
@@ -35,7 +35,7 @@
     streams: SomeCount
     link_kb: SomeFigure
     uplink_kb: SomeFigure
-    reports_every_ms: SomeMillis = 1000.0
+    reports_every_ms: PositiveMilliseconds = 1000.0
     ramp_ms: Annotated[float, Meta(ge=0)] = 0.0
     start_capacity: Annotated[float, Meta(gt=0, le=1)] = 1.0
 
--- a/packages/settings/src/fennelcove/settings/__init__.py
+++ b/packages/settings/src/fennelcove/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings as S-expressions, read into typed structs."""
+"""Settings files in S-expressions: parsing into typed structs, validation, and serialization."""
--- a/packages/settings/src/fennelcove/settings/checks.py
+++ b/packages/settings/src/fennelcove/settings/checks.py
@@ -1,4 +1,4 @@
-"""What no single type can refuse, and the step from settings to what the decisions take."""
+"""Validation of constraints between several settings, and the conversion to the settings of the policy."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def amiss(front: FrontSettings) -> Iterator[str]:
-    """Each contradiction between figures that are well formed alone: path, what was found, what would do."""
+    """The violated constraints between fields, each as `PATH: WHAT WAS FOUND; REMEDY`."""
     port = int(front.listen.rpartition(":")[2])
     if port > 65_535:
-        yield f"listen: found port {port}; use one up to 65535, 0 for any free one"
+        yield f"listen: found port {port}; use one up to 65535, or 0 for any free port"
     if front.instance.index >= front.instance.fronts:
         yield (
             f"instance.index: found {front.instance.index} of {front.instance.fronts} fronts; "
@@ -24,8 +24,8 @@
     for i, (low, high) in enumerate(zip(front.ladder, front.ladder[1:], strict=False)):
         if high.kb <= low.kb or high.worth < low.worth:
             yield (
-                f"ladder[{i + 1}]: found a rung not above the one before; "
-                "sort rungs by kb, worth never falling"
+                f"ladder[{i + 1}]: found a rung not above the previous one; "
+                "sort the rungs by kb, with a worth that does not decrease"
             )
     for group, names in (
         ("room-types", [room.name for room in front.room_types]),
@@ -38,154 +38,163 @@
                 yield f"{group}[{i}].name: found {name!r} a second time; give each its own name"
             seen.add(name)
     for i, room in enumerate(front.room_types):
-        at = f"room-types[{i}]"
+        prefix = f"room-types[{i}]"
         if room.floor >= rungs:
-            yield f"{at}.floor: found {room.floor} on a ladder of {rungs}; use a rung from 0 to {rungs - 1}"
+            yield f"{prefix}.floor: found {room.floor} on a ladder of {rungs}; use a rung of 0 to {rungs - 1}"
         if room.objective_ms > room.client_timeout_ms:
             yield (
-                f"{at}.objective-ms: found {room.objective_ms:g}, past the client timeout; "
+                f"{prefix}.objective-ms: found {room.objective_ms:g}, past the client timeout; "
                 f"use at most {room.client_timeout_ms:g}"
             )
         if room.effect == "guarded" and not room.key_ttl_ms:
-            yield f"{at}.key-ttl-ms: found 0 for a guarded room type; state how long a repeat is recognised"
+            yield f"{prefix}.key-ttl-ms: found 0 for a guarded room type; state how long retries are detected"
     for i, title in enumerate(front.titles):
         if title.cells > front.fleet.cells or title.first_cell >= front.fleet.cells:
             yield (
                 f"titles[{i}]: found cells {title.first_cell}+{title.cells} of {front.fleet.cells}; "
-                "keep within fleet.cells"
+                "use cells below fleet.cells"
             )
-    named = {title.name: title for title in front.titles}
+    title_by_name = {title.name: title for title in front.titles}
     slate = front.stitch.slate
-    if slate is not None and (slate not in named or named[slate].media is None):
-        yield f"stitch.slate: found {slate!r}, which is no title with media; name one"
+    if slate is not None and (slate not in title_by_name or title_by_name[slate].media is None):
+        yield f"stitch.slate: found {slate!r}, which is not a title with media; name one"
     for i, title in enumerate(front.titles):
         if title.media is not None and any(rung >= rungs for rung in title.media.rungs):
-            yield f"titles[{i}].media.rungs: found a rung off the ladder; use 0 to {rungs - 1}"
+            yield f"titles[{i}].media.rungs: found a rung outside of the ladder; use 0 to {rungs - 1}"
     if front.rules.budget_free is not None and not front.rules.budget_span_ms:
-        yield "rules.budget-span-ms: found 0 beside a join budget; state the window"
-    yield from amiss_in_shape("shape", front.shape, front)
+        yield "rules.budget-span-ms: found 0 with a retry budget; state the window"
+    yield from shape_violations("shape", front.shape, front)
     if front.watch is not None:
-        yield from amiss_in_shape("watch", front.watch, front)
-    yield from amiss_in_company(front)
-    yield from amiss_in_releases(front)
-    yield from amiss_in_slots(front)
-    yield from amiss_in_fair(front)
+        yield from shape_violations("watch", front.watch, front)
+    yield from membership_violations(front)
+    yield from rollout_violations(front)
+    yield from concurrency_limit_violations(front)
+    yield from fair_queueing_violations(front)
     limits = front.limits
     if limits.waiting > limits.connections:
         yield (
             f"limits.waiting: found {limits.waiting} over {limits.connections} connections; "
-            "one connection waits for one request at most"
+            "each connection waits for at most one request"
         )
     if limits.body_bytes + limits.head_bytes > limits.buffered_bytes:
-        yield "limits.buffered-bytes: found less than one head and one body; raise it above both together"
+        yield "limits.buffered-bytes: found less than one head and one body; use at least their sum"
 
 
-def amiss_in_company(front: FrontSettings) -> Iterator[str]:
-    """What fronts are told of each other, against the rest."""
+def membership_violations(front: FrontSettings) -> Iterator[str]:
+    """The violated constraints of `company`, the heartbeats between fronts."""
     company, peers = front.company, front.shape.peers
     if company is None:
         return
     if len(company.addresses) != front.instance.fronts:
         yield (
             f"company.addresses: found {len(company.addresses)} for {front.instance.fronts} fronts; "
-            "state one for each, by its index"
+            "state one for each front, in the order of their indices"
         )
     if peers is not None and list(peers.addresses) != list(company.addresses):
-        yield "company.addresses: found others than shape.peers.addresses; a front listens at one address"
+        yield "company.addresses: found others than in shape.peers.addresses; use the same addresses in both"
     if company.lease_ms < 4 * company.beat_ms:
         yield (
             f"company.lease-ms: found {company.lease_ms:g} with a beat of {company.beat_ms:g}; "
-            "use four beats or more, or one lost message ends it"
+            "use four beats or more, since the lease must survive lost messages"
         )
 
 
-def amiss_in_fair(front: FrontSettings) -> Iterator[str]:
-    """What slots and tenants must be like beside the rest."""
-    told, fronts = front.fair, front.instance.fronts
-    if told is None:
+def fair_queueing_violations(front: FrontSettings) -> Iterator[str]:
+    """The violated constraints of `fair`, the fair sharing of slots among tenants."""
+    section, fronts = front.fair, front.instance.fronts
+    if section is None:
         return
-    if told.slots < 2 * fronts:
-        # Of one slot none could be kept from long holds.
-        yield f"fair.slots: found {told.slots} for {fronts} fronts; state two for each, {2 * fronts} or more"
-    names = [tenant.name for tenant in told.weights]
+    if section.slots < 2 * fronts:
+        # A front with a single slot could not reserve one against long attempts.
+        yield (
+            f"fair.slots: found {section.slots} for {fronts} fronts; "
+            f"use two for each front, {2 * fronts} or more"
+        )
+    names = [tenant.name for tenant in section.weights]
     for i, name in enumerate(names):
         if name in names[:i]:
             yield f"fair.weights[{i}].name: found {name!r} a second time; give each its own name"
     if front.shape.probes is not None or front.shape.peers is not None:
-        yield "fair: found shape.probes or shape.peers; a set-up waits for news or for slots, leave one out"
+        yield (
+            "fair: found shape.probes or shape.peers; a set-up can't wait for both reports and slots, "
+            "so remove one"
+        )
 
 
-def amiss_in_releases(front: FrontSettings) -> Iterator[str]:
-    """What is agreed about who is out, against the rest."""
-    told, fronts = front.releases, front.instance.fronts
-    if told is None:
+def rollout_violations(front: FrontSettings) -> Iterator[str]:
+    """The violated constraints of `releases`, the agreement on which fronts are out of service."""
+    section, fronts = front.releases, front.instance.fronts
+    if section is None:
         return
     if front.company is None:
-        yield "releases: found no company beside it; state company.addresses, by which fronts hear each other"
-    if told.halls and len(told.halls) != fronts:
-        yield f"releases.halls: found {len(told.halls)} for {fronts} fronts; state one for each, or none"
-    if told.fronts_out > (fronts - 1) // 2:
+        yield "releases: found no company; state company.addresses, by which fronts exchange messages"
+    if section.halls and len(section.halls) != fronts:
+        yield f"releases.halls: found {len(section.halls)} for {fronts} fronts; state one for each, or none"
+    if section.fronts_out > (fronts - 1) // 2:
         yield (
-            f"releases.fronts-out: found {told.fronts_out} of {fronts} fronts; a majority has to stay to "
+            f"releases.fronts-out: found {section.fronts_out} of {fronts} fronts; a majority must remain to "
             f"grant the next permit, so use at most {(fronts - 1) // 2}"
         )
-    for name, value in (("window-ms", told.window_ms), ("silent-ms", told.silent_ms)):
-        if value < 4 * told.beat_ms:
+    for name, value in (("window-ms", section.window_ms), ("silent-ms", section.silent_ms)):
+        if value < 4 * section.beat_ms:
             yield (
-                f"releases.{name}: found {value:g} with a beat of {told.beat_ms:g}; "
-                "use four beats or more, or one lost message ends it"
+                f"releases.{name}: found {value:g} with a beat of {section.beat_ms:g}; "
+                "use four beats or more, since the interval must survive lost messages"
             )
 
 
-def amiss_in_slots(front: FrontSettings) -> Iterator[str]:
-    """What is told of slots, against the rest."""
-    told = front.slots
-    if told is None:
+def concurrency_limit_violations(front: FrontSettings) -> Iterator[str]:
+    """The violated constraints of `slots`, the learned concurrency limits."""
+    section = front.slots
+    if section is None:
         return
-    if not told.least <= told.start <= told.most:
-        yield f"slots.start: found {told.start}; use a number from slots.least to slots.most"
+    if not section.least <= section.start <= section.most:
+        yield f"slots.start: found {section.start}; use a number from slots.least to slots.most"
     longest = max(room.client_timeout_ms for room in front.room_types)
-    if told.loan_ms <= longest:
+    if section.loan_ms <= longest:
         yield (
-            f"slots.loan-ms: found {told.loan_ms:g}, not above the longest client timeout; a loan that ends "
-            f"before the join carries none, so use more than {longest:g}"
+            f"slots.loan-ms: found {section.loan_ms:g}, not above the longest client timeout; a loan must "
+            f"outlast every attempt, so use more than {longest:g}"
         )
 
 
-def amiss_in_shape(at: str, shape: ShapeSettings, front: FrontSettings) -> Iterator[str]:
-    """The contradictions of a shape, under the name that it has in the file."""
+def shape_violations(prefix: str, shape: ShapeSettings, front: FrontSettings) -> Iterator[str]:
+    """The violated constraints of a `ShapeSettings`; `prefix` is its name in the file."""
     names = [tenant.name for tenant in shape.tenants]
     for i, name in enumerate(names):
         if name in names[:i]:
-            yield f"{at}.tenants[{i}].name: found {name!r} a second time; give each its own name"
+            yield f"{prefix}.tenants[{i}].name: found {name!r} a second time; give each its own name"
     if not shape.reports_unasked and shape.probes is None:
-        yield f"{at}.probes: found none where no report comes unasked; state them, or reports-unasked true"
+        yield f"{prefix}.probes: found none with reports-unasked false; state probes, or reports-unasked true"
     if shape.peers is not None and front.fleet.cells > MAX_CELLS:
         yield (
-            f"{at}.peers: found {front.fleet.cells} fleet.cells; messages name {MAX_CELLS} at most, "
-            "so leave peers out"
+            f"{prefix}.peers: found {front.fleet.cells} fleet.cells; messages can name at most {MAX_CELLS}, "
+            "so remove peers"
         )
     if shape.peers is not None and len(shape.peers.addresses) != front.instance.fronts:
         yield (
-            f"{at}.peers.addresses: found {len(shape.peers.addresses)} for {front.instance.fronts} fronts; "
-            "state one for each, by its index"
+            f"{prefix}.peers.addresses: found {len(shape.peers.addresses)} for {front.instance.fronts} "
+            "fronts; state one for each front, in the order of their indices"
         )
 
 
 def load_front(path: str) -> FrontSettings:
-    """A front's settings from a file, whole and checked.
+    """Read and validate the settings of a front.
 
     Raises:
-        SettingsError: the first thing amiss, in one line.
+        SettingsError: the first error.
     """
     front = load(path, FrontSettings)
-    for fault in amiss(front):
-        raise SettingsError.amiss(path, fault)
+    for violation in amiss(front):
+        raise SettingsError.amiss(path, violation)
     return front
 
 
 def module_settings(front: FrontSettings, shape: ShapeSettings | None = None) -> Settings:
-    """What the decision module is told, of the shape in force or of another; times in microseconds."""
+    """The settings of the placement policy, for the shape of the front or for another one.
+
+    Times are converted from milliseconds to microseconds.
+    """
     shape = shape or front.shape
     rooms = {
         room.name: ServiceClass(
--- a/packages/settings/src/fennelcove/settings/reader.py
+++ b/packages/settings/src/fennelcove/settings/reader.py
@@ -1,9 +1,9 @@
-"""Reads an S-expression file into a typed struct, naming file, line and path of whatever is amiss.
+"""Parses an S-expression file into a typed struct; errors state the file, the line and the path of the field.
 
-A struct is a list headed by its name, `(front (name "f1") (listen "127.0.0.1:8080"))`; each field is a list
-headed by the field's name with `-` for `_`. A field of plain values holds them bare, `(ladder-kb 200.0
-400.0)`; a list of structs holds one list each, `(room-types (room-type (name "live")) ...)`. Flags are `true`
-and `false`.
+A struct is a list that starts with its name: `(front (name "f1") (listen "127.0.0.1:8080"))`. Each field is a
+list that starts with the name of the field, with `-` for `_`, and contains its value. A field with several
+plain values contains all of them, `(rungs 0 1)`; a field with several structs contains a list for each,
+`(room-types (room-type (name "live")) ...)`. Booleans are `true` and `false`.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 import sexpdata
 from fennelcove.errors import OperatorError
 
-MOST_BYTES = 4 * 1024 * 1024
+MAX_FILE_BYTES = 4 * 1024 * 1024
 T = TypeVar("T", bound=msgspec.Struct)
 
 
 class SettingsError(OperatorError):
-    """Settings can't be used: the file, line and path of the first thing amiss are named."""
+    """Settings are invalid; the file, the line and the path of the first error are stated."""
 
     code = "settings-amiss"
     advice = (
-        "Mend it and let `fennelcove config check FILE` read it; a running front goes on by what it had read"
+        "Correct the file and run `fennelcove config check FILE`; a running front keeps its previous settings"
     )
 
     @classmethod
-    def amiss(cls, source: str, fault: str) -> SettingsError:
-        """From a line of the checks: path, what was found, what would do."""
-        path, _, rest = fault.partition(": ")
-        happened, _, suggestion = rest.partition("; ")
+    def amiss(cls, source: str, violation: str) -> SettingsError:
+        """The error for a violation as `checks` reports it, `PATH: WHAT WAS FOUND; REMEDY`."""
+        path, _, message = violation.partition(": ")
+        happened, _, suggestion = message.partition("; ")
         return cls(happened, f"{source}: {path}", suggestion)
 
 
-# sexpdata tells no line of anything, so brackets and heads are scanned apart to place a path.
+# sexpdata reports no line numbers, so a separate scan of brackets and names finds the line of each path.
 _LEXEME = re.compile(r';[^\n]*|"(?:[^"\\]|\\.)*"|[()]|[^\s()";]+|\n')
 
 
-def _fault(source: str, lines: dict[str, int], path: str, found: str, suggestion: str) -> SettingsError:
+def _error_at(source: str, lines: dict[str, int], path: str, found: str, suggestion: str) -> SettingsError:
     probe = path
     while probe and probe not in lines:
         probe = probe.rpartition(".")[0] if not probe.endswith("]") else probe.rpartition("[")[0]
@@ -50,67 +50,69 @@
     return SettingsError(f"found {found}", f"{place}: {path}", suggestion)
 
 
-def _lines(text: str) -> dict[str, int]:
-    """Where each path of the settings begins: `room-types[1].floor` -> line.
+def _line_numbers(text: str) -> dict[str, int]:
+    """The line of each path in the settings, such as `room-types[1].floor`.
 
-    The scan can't tell an element of a list from a field of a struct, so it notes both readings of each list.
+    The scan can't distinguish an element of a list from a field of a struct, so it records each list as both.
     """
     found: dict[str, int] = {}
-    line, head_due = 1, False
-    stack: list[tuple[list[str], int]] = []  # both readings of the path, lists met inside
+    line, expects_head = 1, False
+    stack: list[tuple[list[str], int]] = []  # both possible paths, and the number of lists inside
     for match in _LEXEME.finditer(text):
-        word = match.group()
-        if word == "(":
+        token = match.group()
+        if token == "(":
             if stack:
                 stack[-1] = (stack[-1][0], stack[-1][1] + 1)
             stack.append(([], 0))
-            head_due = True
-        elif word == ")":
+            expects_head = True
+        elif token == ")":
             if stack:
                 stack.pop()
-            head_due = False
-        elif word != "\n" and not word.startswith(";"):
-            if head_due and len(stack) == 1:
+            expects_head = False
+        elif token != "\n" and not token.startswith(";"):
+            if expects_head and len(stack) == 1:
                 stack[-1] = ([""], 0)
-            elif head_due:
+            elif expects_head:
                 above, count = stack[-2]
-                paths = [f"{path}.{word}" if path else word for path in above]
+                paths = [f"{path}.{token}" if path else token for path in above]
                 paths += [f"{path}[{count - 1}]" for path in above]
                 for path in paths:
                     found.setdefault(path, line)
                 stack[-1] = (paths, 0)
-            head_due = False
-        line += word.count("\n")
+            expects_head = False
+        line += token.count("\n")
     return found
 
 
-def _balance(source: str, text: str) -> None:
-    depth, line, opened = 0, 1, list[int]()
+def _check_brackets(source: str, text: str) -> None:
+    depth, line, open_lines = 0, 1, list[int]()
     for match in _LEXEME.finditer(text):
-        word = match.group()
-        if word == "(":
+        token = match.group()
+        if token == "(":
             depth += 1
-            opened.append(line)
-        elif word == ")":
+            open_lines.append(line)
+        elif token == ")":
             if depth == 0:
                 raise SettingsError("found a ')' that closes nothing", f"{source}:{line}", "remove it")
             depth -= 1
-            opened.pop()
-        line += word.count("\n")
+            open_lines.pop()
+        line += token.count("\n")
     if depth:
-        raise SettingsError("found a '(' that is never closed", f"{source}:{opened[-1]}", "add a ')'")
-    rest = _LEXEME.sub("", text).strip()
-    if rest:
-        raise SettingsError(f"found {rest[:20]!r} that is neither name, text nor number", source, "quote it")
+        raise SettingsError("found a '(' that is never closed", f"{source}:{open_lines[-1]}", "add a ')'")
+    remaining = _LEXEME.sub("", text).strip()
+    if remaining:
+        raise SettingsError(
+            f"found {remaining[:20]!r} that is neither name, text nor number", source, "put it in quotes"
+        )
 
 
-def _plain(type_: Any) -> Any:
-    """The type without Annotated and without `| None`."""
+def _unwrap(type_: Any) -> Any:
+    """The type without `Annotated` and without `| None`."""
     if get_origin(type_) is typing.Annotated:
         type_ = get_args(type_)[0]
     if get_origin(type_) in (typing.Union, types.UnionType):
         kinds = [kind for kind in get_args(type_) if kind is not type(None)]
-        return _plain(kinds[0])
+        return _unwrap(kinds[0])
     return type_
 
 
@@ -119,14 +121,14 @@
 
 
 class _Builder:
-    """Turns parsed lists into what msgspec converts, guided by the struct's own types."""
+    """Builds the dicts and lists that msgspec converts, according to the types of the struct."""
 
     def __init__(self, source: str, lines: dict[str, int]) -> None:
         self.source = source
         self.lines = lines
 
-    def fault(self, path: str, found: str, suggestion: str) -> SettingsError:
-        return _fault(self.source, self.lines, path, found, suggestion)
+    def error_at(self, path: str, found: str, suggestion: str) -> SettingsError:
+        return _error_at(self.source, self.lines, path, found, suggestion)
 
     def struct(self, items: list[Any], type_: Any, path: str) -> dict[str, Any]:
         fields = typing.get_type_hints(type_, include_extras=True)
@@ -134,117 +136,121 @@
         built: dict[str, Any] = {}
         for item in items:
             if not isinstance(item, list) or not item or not isinstance(item[0], sexpdata.Symbol):
-                raise self.fault(path or "the file", _show(item), "write each field as (name value)")
-            word = item[0].value()
-            where = f"{path}.{word}" if path else word
-            if word not in names:
-                raise self.fault(where, f"unknown field {word!r}", f"known are: {', '.join(sorted(names))}")
-            if names[word] in built:
-                raise self.fault(where, f"field {word!r} a second time", "keep one of them")
-            built[names[word]] = self.value(item[1:], fields[names[word]], where)
+                raise self.error_at(path or "the file", _shorten(item), "write each field as (name value)")
+            key = item[0].value()
+            field_path = f"{path}.{key}" if path else key
+            if key not in names:
+                raise self.error_at(
+                    field_path, f"unknown field {key!r}", f"known are: {', '.join(sorted(names))}"
+                )
+            if names[key] in built:
+                raise self.error_at(field_path, f"field {key!r} a second time", "remove one of them")
+            built[names[key]] = self.value(item[1:], fields[names[key]], field_path)
         return built
 
-    def value(self, rest: list[Any], type_: Any, path: str) -> Any:
-        plain = _plain(type_)
-        if _is_struct(plain):
-            return self.struct(rest, plain, path)
-        if get_origin(plain) in (list, tuple):
-            element = _plain(get_args(plain)[0])
+    def value(self, values: list[Any], type_: Any, path: str) -> Any:
+        unwrapped = _unwrap(type_)
+        if _is_struct(unwrapped):
+            return self.struct(values, unwrapped, path)
+        if get_origin(unwrapped) in (list, tuple):
+            element = _unwrap(get_args(unwrapped)[0])
             if not _is_struct(element):
-                return [self.atom(item, path) for item in rest]
+                return [self.atom(item, path) for item in values]
             built = []
-            for i, item in enumerate(rest):
+            for i, item in enumerate(values):
                 if not isinstance(item, list) or not item or not isinstance(item[0], sexpdata.Symbol):
                     suggestion = "write each element as (name (field value) ...)"
-                    raise self.fault(f"{path}[{i}]", _show(item), suggestion)
+                    raise self.error_at(f"{path}[{i}]", _shorten(item), suggestion)
                 built.append(self.struct(item[1:], element, f"{path}[{i}]"))
             return built
-        if len(rest) != 1:
-            raise self.fault(path, f"{len(rest)} values", "give exactly one")
-        return self.atom(rest[0], path)
+        if len(values) != 1:
+            raise self.error_at(path, f"{len(values)} values", "give exactly one")
+        return self.atom(values[0], path)
 
     def atom(self, item: Any, path: str) -> Any:
         if isinstance(item, list):
-            raise self.fault(path, _show(item), "give a plain value, not a list")
+            raise self.error_at(path, _shorten(item), "give a plain value, not a list")
         if isinstance(item, sexpdata.Symbol):
-            word = item.value()
-            return {"true": True, "false": False}.get(word, word)
+            token = item.value()
+            return {"true": True, "false": False}.get(token, token)
         if isinstance(item, sexpdata.Quoted):
-            raise self.fault(path, "a quote mark", "give a plain value")
+            raise self.error_at(path, "a quote mark", "give a plain value")
         return item
 
 
-def _show(item: Any) -> str:
+def _shorten(item: Any) -> str:
     text = str(sexpdata.dumps(item))
     return text if len(text) <= 40 else text[:37] + "..."
 
 
-_AT = re.compile(r"^(?P<what>.*?)(?: - at `\$(?P<path>[^`]*)`)?$", re.DOTALL)
+_VALIDATION_MESSAGE = re.compile(r"^(?P<what>.*?)(?: - at `\$(?P<path>[^`]*)`)?$", re.DOTALL)
 
 
-def parse(text: str, type_: type[T], source: str, under: dict[str, Any] | None = None) -> T:
-    """Read settings from text; what it leaves out is as in `under`, field by field.
+def parse(text: str, type_: type[T], source: str, defaults: dict[str, Any] | None = None) -> T:
+    """Parse settings; fields that the text omits, at any depth, are taken from `defaults`.
 
     Raises:
-        SettingsError: syntax, an unknown or repeated field, a wrong type, a figure out of its range.
+        SettingsError: a syntax error, an unknown or duplicate field, a wrong type, or a value out of range.
     """
-    _balance(source, text)
+    _check_brackets(source, text)
     try:
         tree = sexpdata.parse(text, true=None, false=None, nil=None)
-    except Exception as error:  # sexpdata raises several kinds of its own and assertions
-        found = f"text that is no S-expression ({error})"
+    except Exception as error:  # sexpdata raises several types of its own, and AssertionError
+        found = f"text that is not an S-expression ({error})"
         raise SettingsError(f"found {found}", source, "see docs/operate/front.md") from None
     head = getattr(type_, "HEAD", "")
     if len(tree) != 1 or not isinstance(tree[0], list) or not tree[0] or str(tree[0][0]) != head:
-        raise SettingsError(f"found {len(tree)} expressions or another head", source, f"write ({head} ...)")
-    lines = _lines(text)
+        raise SettingsError(
+            f"found {len(tree)} expressions, or another name than {head!r}", source, f"write ({head} ...)"
+        )
+    lines = _line_numbers(text)
     built = _Builder(source, lines).struct(tree[0][1:], type_, "")
-    if under is not None:
-        built = _laid_over(under, built)
+    if defaults is not None:
+        built = _merge(defaults, built)
     try:
         return msgspec.convert(built, type_)
     except msgspec.ValidationError as error:
-        match = _AT.match(str(error))
+        match = _VALIDATION_MESSAGE.match(str(error))
         assert match is not None
         path = (match["path"] or "").lstrip(".").replace("_", "-")
         what = match["what"].replace("_", "-")
-        raise _fault(source, lines, path or "the file", _found(built, path), what) from None
+        raise _error_at(source, lines, path or "the file", _describe_value(built, path), what) from None
 
 
-def _laid_over(under: Any, over: Any) -> Any:
-    if not isinstance(under, dict) or not isinstance(over, dict):
-        return over
-    return under | {name: _laid_over(under.get(name), value) for name, value in over.items()}
+def _merge(defaults: Any, overrides: Any) -> Any:
+    if not isinstance(defaults, dict) or not isinstance(overrides, dict):
+        return overrides
+    return defaults | {name: _merge(defaults.get(name), value) for name, value in overrides.items()}
 
 
-def _found(built: Any, path: str) -> str:
-    here = built
+def _describe_value(built: Any, path: str) -> str:
+    value_at_path = built
     for part in re.findall(r"[^.\[\]]+", path):
-        if isinstance(here, list) and part.isdigit() and int(part) < len(here):
-            here = here[int(part)]
-        elif isinstance(here, dict):
-            here = here.get(part.replace("-", "_"))
+        if isinstance(value_at_path, list) and part.isdigit() and int(part) < len(value_at_path):
+            value_at_path = value_at_path[int(part)]
+        elif isinstance(value_at_path, dict):
+            value_at_path = value_at_path.get(part.replace("-", "_"))
         else:
             return "nothing"
-    if isinstance(here, dict | list):
-        return "a group with a field missing or amiss"
-    return repr(here)
+    if isinstance(value_at_path, dict | list):
+        return "a group with a missing or invalid field"
+    return repr(value_at_path)
 
 
 def load(path: str, type_: type[T]) -> T:
     """Read settings from a file.
 
     Raises:
-        SettingsError: what `parse` raises, and a file that can't be read, is too long or is no UTF-8.
+        SettingsError: the errors of `parse`; or the file can't be read, is too long or is not UTF-8.
     """
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
         raise SettingsError(f"found no readable file ({error.strerror})", path, "check the path") from None
-    if len(raw) > MOST_BYTES:
-        raise SettingsError(f"found {len(raw)} bytes", path, f"at most {MOST_BYTES} will do")
+    if len(raw) > MAX_FILE_BYTES:
+        raise SettingsError(f"found {len(raw)} bytes", path, f"use at most {MAX_FILE_BYTES} bytes")
     try:
         return parse(raw.decode("utf-8"), type_, path)
     except UnicodeDecodeError as error:
-        found = f"a byte that is no UTF-8 at {error.start}"
+        found = f"a byte that is not UTF-8 at offset {error.start}"
         raise SettingsError(f"found {found}", path, "save the file as UTF-8") from None
--- a/packages/settings/src/fennelcove/settings/schema.py
+++ b/packages/settings/src/fennelcove/settings/schema.py
@@ -1,6 +1,7 @@
-"""The settings of a front, as typed structs; figures out of their range are refused by type.
+"""The settings of a front as typed structs, whose types also define the range of each value.
 
-What belongs together is checked in `checks.py`. Times end in `_ms`, rates are kB a second.
+Field names are the keys of settings files. Constraints between fields are in `checks.py`. Times end in `_ms`;
+rates are in kB per second.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")]
 Address = Annotated[str, Meta(max_length=64, pattern=r"^[0-9A-Za-z._-]+:[0-9]{1,5}$")]
-Millis = Annotated[float, Meta(ge=0, le=86_400_000)]
-SomeMillis = Annotated[float, Meta(gt=0, le=86_400_000)]
+Milliseconds = Annotated[float, Meta(ge=0, le=86_400_000)]
+PositiveMilliseconds = Annotated[float, Meta(gt=0, le=86_400_000)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 SomeCount = Annotated[int, Meta(ge=1, le=1_000_000)]
 Figure = Annotated[float, Meta(ge=0, le=1e12)]
@@ -21,11 +22,11 @@
 
 
 class Strict(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Unknown fields are refused by name."""
+    """A struct that rejects unknown fields."""
 
 
 class Instance(Strict, frozen=True, kw_only=True):
-    """Which of how many fronts this is."""
+    """The index of this front among all fronts, and its zone."""
 
     index: Count = 0
     fronts: SomeCount = 1
@@ -33,37 +34,39 @@
 
 
 class RoomTypeSettings(Strict, frozen=True, kw_only=True):
-    """The terms of one room type."""
+    """The requirements of one room type, which is a service class of sessions."""
 
     name: Name
-    objective_ms: SomeMillis
-    client_timeout_ms: SomeMillis
+    objective_ms: PositiveMilliseconds
+    client_timeout_ms: PositiveMilliseconds
     benefit: Figure = 1.0
     effect: Literal["free", "guarded", "single_shot"] = "free"
     scope: Literal["all", "zone", "cell"] = "all"
-    key_ttl_ms: Millis = 0.0
+    key_ttl_ms: Milliseconds = 0.0
     scale: SomeFigure = 1.0
     floor: Count = 0
     seats: Count = 0
-    seat_ms: Millis = 0.0  # a seat not renewed for so long is given back; 0: it lasts as long as it plays
+    seat_ms: Milliseconds = (
+        0.0  # a seat that is not renewed for this time is released; 0: the seat lasts as long as the session
+    )
 
 
 class Rung(Strict, frozen=True, kw_only=True):
-    """One step of the ladder of rates."""
+    """One rung of the bitrate ladder; `worth` is its utility."""
 
     kb: SomeFigure
     worth: Share
 
 
-class Kind(Strict, frozen=True, kw_only=True):
-    """A kind of box."""
+class ServerKind(Strict, frozen=True, kw_only=True):
+    """A kind of server, and how many streams such a server can serve."""
 
     name: Name
     streams: SomeCount
 
 
 class MediaSettings(Strict, frozen=True, kw_only=True):
-    """How a title is cut into segments; without `segments` it is live, from a wall time on."""
+    """The segments of a title; without `segments` the title is live, since the wall time `live_from_ms`."""
 
     timescale: Annotated[int, Meta(ge=1, le=1_000_000_000)] = 1000
     segment_ticks: Annotated[int, Meta(ge=1, le=10_000_000_000)] = 2000
@@ -74,7 +77,7 @@
 
 
 class Title(Strict, frozen=True, kw_only=True):
-    """A title and the cells whose boxes hold it."""
+    """A title, and the range of cells whose servers store it."""
 
     name: Name
     first_cell: Count = 0
@@ -83,8 +86,10 @@
 
 
 class Author(Strict, frozen=True, kw_only=True):
-    """Who may change lessons: the blake3 hash of a key, in hexadecimal (`fennelcove author-key` makes
-    both).
+    """An author who may change titles while they play.
+
+    The `key_hash` is the BLAKE3 hash of the author's key, in hexadecimal; `fennelcove author-key` creates
+    both.
     """
 
     name: Name
@@ -93,7 +98,13 @@
 
 
 class StitchSettings(Strict, frozen=True, kw_only=True):
-    """Changes to running lessons."""
+    """Changes of titles while they play.
+
+    Attributes:
+        slate: the title that plays in place of a clip without a usable replica.
+        ledger: the file that records the changes.
+        moves_at_once: the largest number of concurrent moves to another server.
+    """
 
     authors: list[Author] = field(default_factory=list)
     slate: Name | None = None
@@ -101,37 +112,43 @@
     moves_at_once: Annotated[int, Meta(ge=0, le=64)] = 8
 
 
-class Tenant(Strict, frozen=True, kw_only=True):
-    """A customer, and the requests a second, over all fronts, that count in full."""
+class TenantQuota(Strict, frozen=True, kw_only=True):
+    """A tenant, and its quota: the requests per second at all fronts that have their full utility."""
 
     name: Name
     quota_per_s: Figure
 
 
-class Goal(Strict, frozen=True, kw_only=True):
-    """How the parts of what is served are weighed against each other."""
+class UtilityWeights(Strict, frozen=True, kw_only=True):
+    """The weights of the total utility, and of the utility of the worst service class."""
 
     whole: SomeFigure = 1.0
     worst_room_type: Figure = 0.0
 
 
 class ProbeSettings(Strict, frozen=True, kw_only=True):
-    """Boxes may be asked for their load, each time at this part of a subscription's benefit."""
+    """Load probes to servers; the price of each is a fraction of the benefit of a session."""
 
     price: Figure = 0.0
-    timeout_ms: SomeMillis = 250.0
+    timeout_ms: PositiveMilliseconds = 250.0
 
 
 class PeerSettings(Strict, frozen=True, kw_only=True):
-    """Fronts may tell each other what they know, over UDP: every front's address, by its index."""
+    """Exchange of load reports between fronts over UDP; `addresses` are ordered by the index of the front."""
 
     addresses: Annotated[list[Address], Meta(min_length=1, max_length=10_000)]
     price: Figure = 0.0
 
 
 class CompanySettings(Strict, frozen=True, kw_only=True):
-    """Fronts may tell each other that they live, over UDP: every front's address, by its index. `kept` is the
-    part of its equal share that a front may take whoever hears it; the rest hangs on a lease.
+    """Heartbeats between fronts over UDP.
+
+    Attributes:
+        addresses: the address of each front, ordered by the index of the front.
+        beat_ms: the heartbeat interval.
+        lease_ms: the duration of a lease, which heartbeats renew.
+        kept: the fraction of its equal share of a limit that a front may use without contact to the others;
+            the rest requires a lease.
     """
 
     addresses: Annotated[list[Address], Meta(min_length=1, max_length=64)]
@@ -140,17 +157,22 @@
     kept: Annotated[float, Meta(gt=0, le=1)] = 0.75
 
 
-class WatcherSettings(Strict, frozen=True, kw_only=True):
-    """A few fronts probe each box, the others hear of it by `company`: one that two of its watchers find ill
-    gets no joins of anybody. A probe is over after this time.
+class HealthCheckSettings(Strict, frozen=True, kw_only=True):
+    """Health checks of servers.
+
+    A few fronts probe each server, and send the results to the others over `company`. A server that two of
+    its checkers find unhealthy gets no attempts from any front. The timeout is that of a probe.
     """
 
     timeout_ms: Annotated[float, Meta(ge=50, le=10_000)] = 500.0
 
 
 class OverloadSettings(Strict, frozen=True, kw_only=True):
-    """Fronts tell each other what they are asked and shed load by one ladder; with no `company` each takes
-    the others for its own likes. What all fronts together may spend a second: 0 sets no limit.
+    """Load shedding: fronts exchange their request rates, and all shed load by the same levels.
+
+    Without `company`, each front assumes that the others have the same load as itself. The rates limit the
+    retries (`further_joins_s`), probes and calls to the list service of all fronts together, per second; 0
+    sets no limit.
     """
 
     enabled: bool = True
@@ -160,9 +182,15 @@
 
 
 class SlotSettings(Strict, frozen=True, kw_only=True):
-    """The fleet learns how many joins each box takes at a time. `start` is the number of all fronts together
-    where nothing is known; no more than one set-up in a hundred should wait for a slot longer than
-    `wait_share` of the shortest client timeout; a loan has to outlast every join.
+    """Learned concurrency limits: how many concurrent attempts of all fronts each server supports.
+
+    Attributes:
+        start: the limit of a server about which nothing is known.
+        least: the smallest limit.
+        most: the largest limit.
+        wait_share: no more than 1 % of set-ups should wait for a slot longer than this fraction of the
+            shortest client timeout.
+        loan_ms: the duration of a loan of slots between fronts, which must outlast every attempt.
     """
 
     start: Annotated[int, Meta(ge=1, le=4096)] = 16
@@ -173,8 +201,11 @@
 
 
 class RecoverySettings(Strict, frozen=True, kw_only=True):
-    """Service returns in order: the door opens at once, boxes are asked, a list kept in the store stands in
-    for one that does not come, and while most boxes are cold the greater benefit goes first.
+    """Recovery of a front after a restart: it accepts requests at once, and probes the servers.
+
+    Attributes:
+        by_benefit: while most servers are in slow start, sessions of greater benefit are admitted first.
+        kept_list: a stored endpoint list is used while none arrives from the list service.
     """
 
     by_benefit: bool = True
@@ -182,45 +213,64 @@
 
 
 class ReleaseSettings(Strict, frozen=True, kw_only=True):
-    """Who may be out is agreed among all fronts, and plans of operators move by it; a supervisor starts a
-    front that has ended with the version that the file `wanted` names. Limits are the same at all fronts.
+    """Rollouts: the fronts agree on which fronts and servers may be out of service at a time.
+
+    Plans of operators obey these limits, which must be equal at all fronts. After a front has ended, a
+    supervisor starts it again with the version that the file `wanted` contains.
     """
 
-    version: Annotated[int, Meta(ge=1, le=0xFFFF_FFFF)]  # of this process, as the supervisor counts
+    version: Annotated[int, Meta(ge=1, le=0xFFFF_FFFF)]  # of this process, as numbered by the supervisor
     wanted: Annotated[str, Meta(min_length=1, max_length=1000)]
     halls: Annotated[list[Name], Meta(max_length=1000)] = field(
         default_factory=list
-    )  # of the fronts, by index
+    )  # the zones of the fronts, by index
     fronts_out: SomeCount = 1
     fronts_out_hall: SomeCount = 1
     boxes_out: SomeCount = 1
     boxes_out_hall: SomeCount = 1
-    boxes_out_title: SomeCount = 1  # of the holders of one title
-    margin: Share = 0.1  # of the room that stays, what the load of now has to leave
-    front_load: Share = 0.0  # of a front's room, what an evening's peak uses
-    beat_ms: SomeMillis = 250.0
-    window_ms: SomeMillis = 2000.0
-    silent_ms: SomeMillis = 2000.0
-    show_ms: SomeMillis = 5000.0
-    drain_ms: Millis = 1000.0  # in which who comes is sent to other fronts before this one ends
+    boxes_out_title: SomeCount = 1  # of the replicas of one title
+    margin: Share = 0.1  # the fraction of the remaining capacity that must stay free of load
+    front_load: Share = 0.0  # the fraction of a front's capacity that is in use at peak load
+    beat_ms: PositiveMilliseconds = 250.0
+    window_ms: PositiveMilliseconds = 2000.0
+    silent_ms: PositiveMilliseconds = 2000.0
+    show_ms: PositiveMilliseconds = 5000.0
+    drain_ms: Milliseconds = (
+        1000.0  # how long new clients are redirected to other fronts before this one ends
+    )
 
 
 class ShapeSettings(Strict, frozen=True, kw_only=True):
-    """What a fleet of another shape states; each default is as if it were not there."""
+    """Optional features of the fleet; each default turns its feature off.
+
+    Attributes:
+        switch_cost_ms: the cost of a rung change, as playing time.
+        over_quota_worth: the utility of a request over its tenant's quota, as a fraction.
+        reports_unasked: whether servers send load reports without probes.
+    """
 
-    switch_cost_ms: Millis = 0.0
-    goal: Goal = Goal()
-    tenants: Annotated[list[Tenant], Meta(max_length=1000)] = field(default_factory=list)
+    switch_cost_ms: Milliseconds = 0.0
+    goal: UtilityWeights = UtilityWeights()
+    tenants: Annotated[list[TenantQuota], Meta(max_length=1000)] = field(default_factory=list)
     over_quota_worth: Share = 1.0
     reports_unasked: bool = True
     probes: ProbeSettings | None = None
     peers: PeerSettings | None = None
 
 
-class Fleet(Strict, frozen=True, kw_only=True):
-    """What is known of the boxes beforehand."""
+class FleetSettings(Strict, frozen=True, kw_only=True):
+    """What is known about the servers in advance.
 
-    kinds: Annotated[list[Kind], Meta(min_length=1, max_length=64)]
+    Attributes:
+        kb_per_weight: the link capacity per unit of a server's weight.
+        all_links_kb: the total link capacity of all servers.
+        uplinks_told: whether reports contain the load of uplinks.
+        sizes_listed: whether the server list contains weights.
+        seen_after_ms: the age of a report on arrival.
+        guard: the load from which servers reject set-ups; 0: they reject none.
+    """
+
+    kinds: Annotated[list[ServerKind], Meta(min_length=1, max_length=64)]
     cells: SomeCount = 1
     racks: SomeCount = 1
     kb_per_weight: Figure = 0.0
@@ -228,35 +278,50 @@
     uplink_kb: Figure = 0.0
     uplinks_told: bool = True
     sizes_listed: bool = True
-    seen_after_ms: Millis = 1000.0
-    reports_every_ms: Millis = 1000.0
+    seen_after_ms: Milliseconds = 1000.0
+    reports_every_ms: Milliseconds = 1000.0
     guard: Figure = 0.0
 
 
 class Rules(Strict, frozen=True, kw_only=True):
-    """The figures of the rules that this front must keep."""
+    """The limits that this front must observe.
+
+    Attributes:
+        start_capacity: the fraction of its capacity that a server has at the begin of its slow start.
+        ramp_ms: the duration of the slow start.
+        fall_multiple: a server in slow start fails if its load exceeds this multiple of its pace for
+            `tip_after_ms`.
+        join_cap: the largest number of attempts of a session.
+        budget_free: the retries that are always allowed in a window of `budget_span_ms`.
+        budget_ratio: the further retries allowed for each request in the window.
+    """
 
-    drain_grace_ms: Millis = 2000.0
+    drain_grace_ms: Milliseconds = 2000.0
     start_capacity: Annotated[float, Meta(gt=0, le=1)] = 1.0
-    ramp_ms: Millis = 0.0
-    fall_multiple: Annotated[float, Meta(ge=1, le=1000)] = 1.0  # of its pace; past it for `tip_after_ms`
-    tip_after_ms: Millis = 0.0  # a cold box falls over
+    ramp_ms: Milliseconds = 0.0
+    fall_multiple: Annotated[float, Meta(ge=1, le=1000)] = 1.0
+    tip_after_ms: Milliseconds = 0.0
     join_cap: SomeCount | None = None
     budget_free: Figure | None = None
     budget_ratio: Figure = 0.0
-    budget_span_ms: Millis = 0.0
+    budget_span_ms: Milliseconds = 0.0
 
 
-class Lists(Strict, frozen=True, kw_only=True):
-    """Where the server list comes from."""
+class DiscoverySettings(Strict, frozen=True, kw_only=True):
+    """The service from which the front gets the list of servers.
+
+    Attributes:
+        must_ask: whether the service sends the list only when the front requests it.
+        ask_within_ms: the highest age that a requested list may reach.
+    """
 
     address: Address
     must_ask: bool = False
-    ask_within_ms: SomeMillis | None = None
+    ask_within_ms: PositiveMilliseconds | None = None
 
 
 class Limits(Strict, frozen=True, kw_only=True):
-    """Bounds on what the front holds; past one the answer is an immediate 503."""
+    """Limits on the resources of the front; above any of them, the response is an immediate 503."""
 
     connections: SomeCount = 1024
     waiting: SomeCount = 512
@@ -265,18 +330,20 @@
     head_bytes: Annotated[int, Meta(ge=256, le=1_000_000)] = 16_384
     head_count: Annotated[int, Meta(ge=4, le=1000)] = 64
     body_bytes: Annotated[int, Meta(ge=64, le=1_000_000)] = 16_384
-    head_ms: SomeMillis = 5000.0
-    idle_ms: SomeMillis = 30_000.0
-    write_ms: SomeMillis = 5000.0
+    head_ms: PositiveMilliseconds = 5000.0
+    idle_ms: PositiveMilliseconds = 30_000.0
+    write_ms: PositiveMilliseconds = 5000.0
     box_connections: SomeCount = 16
-    stop_ms: SomeMillis = 5000.0
-    silent_ms: SomeMillis = 30_000.0
+    stop_ms: PositiveMilliseconds = 5000.0
+    silent_ms: PositiveMilliseconds = 30_000.0
     stack_kib: Annotated[int, Meta(ge=64, le=8192)] = 256
 
 
 class StormSettings(Strict, frozen=True, kw_only=True):
-    """Damping of retry storms; `key_file` makes places outlive this process (`fennelcove storm key` makes
-    it).
+    """Damping of retry storms.
+
+    With a `key_file`, which `fennelcove storm key` creates, queue tickets stay valid after a restart of the
+    front.
     """
 
     damping: bool = False
@@ -285,8 +352,9 @@
 
 
 class WebSocketSettings(Strict, frozen=True, kw_only=True):
-    """The second door. `origins` are the web pages that may open a connection, as `https://host`; none named
-    is any.
+    """The WebSocket API.
+
+    The web pages of `origins` may open a connection, each as `https://host`; without origins, all pages may.
     """
 
     subscriptions: Annotated[int, Meta(ge=1, le=64)] = 8
@@ -298,13 +366,16 @@
 
 
 class ViewerSettings(Strict, frozen=True, kw_only=True):
-    """With a key file, whoever asks needs a pass made under one of its keys (`fennelcove keys pass`)."""
+    """With a key file, clients need an access token that is signed with one of its keys.
+
+    `fennelcove keys pass` creates such tokens.
+    """
 
     key_file: Annotated[str, Meta(max_length=1000)] | None = None
 
 
 class OperatorKey(Strict, frozen=True, kw_only=True):
-    """A key of operators: a file as `fennelcove storm key` makes it."""
+    """A key of operators, in a file that `fennelcove storm key` creates."""
 
     name: Annotated[str, Meta(min_length=1, max_length=32, pattern=r"^[A-Za-z0-9._-]+$")]
     key_file: Annotated[str, Meta(max_length=1000)]
@@ -312,59 +383,68 @@
 
 
 class ControlSettings(Strict, frozen=True, kw_only=True):
-    """Commands of operators. Without a key none is taken; `audit` is a file that tells each."""
+    """Commands of operators; none is accepted without a key. The file `audit` records each command."""
 
     keys: list[OperatorKey] = field(default_factory=list)
     audit: Annotated[str, Meta(max_length=1000)] | None = None
 
 
 class StoreSettings(Strict, frozen=True, kw_only=True):
-    """A folder that lasts, of this front alone: what it learned outlives its process."""
+    """A persistent folder of this front alone, whose state survives restarts."""
 
     folder: Annotated[str, Meta(min_length=1, max_length=1000)]
     most_mb: Annotated[int, Meta(ge=1, le=100_000)] = 64
 
 
 class TlsSettings(Strict, frozen=True, kw_only=True):
-    """Certificate chain and key, as PEM files; read again when they change (`fennelcove keys new`)."""
+    """The certificate chain and the key as PEM files, which are reloaded when they change.
+
+    `fennelcove keys new` creates such files.
+    """
 
     certificate: Annotated[str, Meta(max_length=1000)]
     key: Annotated[str, Meta(max_length=1000)]
 
 
 class Weight(Strict, frozen=True, kw_only=True):
-    """A tenant, and how its part of slot-time compares with the others'."""
+    """A tenant, and its weight in the sharing of slot time."""
 
     name: Annotated[str, Meta(min_length=1, max_length=64)]
     weight: Annotated[float, Meta(gt=0, le=1000)] = 1.0
 
 
 class FairSettings(Strict, frozen=True, kw_only=True):
-    """Slot-time at boxes is shared out among tenants. `slots` is how many joins one box may have out of all
-    fronts; where `weights` names tenants all others together weigh `strangers`.
+    """Fair sharing of slot time at servers among tenants.
+
+    Attributes:
+        slots: the largest number of concurrent attempts at one server, from all fronts.
+        weights: the weights of tenants.
+        strangers: the weight of all other tenants together, if `weights` is not empty.
+        wait_ms: the longest time that a set-up waits for a slot.
+        waiting: the largest number of set-ups that wait.
     """
 
     slots: Annotated[int, Meta(ge=2, le=10_000)]
     weights: Annotated[list[Weight], Meta(max_length=1000)] = field(default_factory=list)
     strangers: Annotated[float, Meta(gt=0, le=1000)] = 1.0
-    wait_ms: Annotated[float, Meta(gt=0, le=60_000)] = 200.0  # at most, for a slot
-    waiting: Annotated[int, Meta(ge=1, le=10_000)] = 256  # set-ups at a time
+    wait_ms: Annotated[float, Meta(gt=0, le=60_000)] = 200.0
+    waiting: Annotated[int, Meta(ge=1, le=10_000)] = 256
 
 
 class FrontSettings(Strict, frozen=True, kw_only=True):
-    """All that a front is told at its start."""
+    """The settings file of a front."""
 
     HEAD: ClassVar[str] = "front"
 
     name: Name
     listen: Address
-    lists: Lists
+    lists: DiscoverySettings
     source: Annotated[str, Meta(max_length=64, pattern=r"^[0-9.]*$")] = (
-        ""  # of ours, from which peers are dialled
+        ""  # the local address of outgoing connections
     )
     room_types: Annotated[list[RoomTypeSettings], Meta(min_length=1, max_length=64)]
     ladder: Annotated[list[Rung], Meta(min_length=1, max_length=64)]
-    fleet: Fleet
+    fleet: FleetSettings
     titles: Annotated[list[Title], Meta(min_length=1, max_length=100_000)]
     instance: Instance = Instance()
     rules: Rules = Rules()
@@ -377,14 +457,14 @@
     control: ControlSettings = ControlSettings()
     limits: Limits = Limits()
     seed: Count = 1
-    max_retry_after_ms: Millis | None = 2000.0
+    max_retry_after_ms: Milliseconds | None = 2000.0
     cross_zone_price: Figure = 0.0
     shape: ShapeSettings = ShapeSettings()
     company: CompanySettings | None = None
     recovery: RecoverySettings | None = None
     overload: OverloadSettings | None = None
     releases: ReleaseSettings | None = None
-    watchers: WatcherSettings | None = None
+    watchers: HealthCheckSettings | None = None
     slots: SlotSettings | None = None
     fair: FairSettings | None = None
-    watch: ShapeSettings | None = None  # a shape to compare with: its decisions are counted, not carried out
+    watch: ShapeSettings | None = None  # a shape for comparison: its decisions are counted but not executed
--- a/packages/settings/src/fennelcove/settings/writer.py
+++ b/packages/settings/src/fennelcove/settings/writer.py
@@ -1,4 +1,4 @@
-"""Writes settings back as the S-expression that `reader` reads."""
+"""Serializes settings to the S-expression that `reader` parses."""
 
 from __future__ import annotations
 
@@ -35,6 +35,6 @@
 
 
 def write(settings: msgspec.Struct) -> str:
-    """The whole file."""
+    """The text of a settings file."""
     head = getattr(type(settings), "HEAD", "settings")
     return f"({head}\n{_fields(settings, '  ')})\n"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: each fault in one line that names file, line, path, what was found and what would do."""
+"""Settings files: parsing, round trips, and errors that state the file, the line, the path and the remedy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from fennelcove.settings.schema import FrontSettings
 from fennelcove.settings.writer import write
 
-GOOD = """
+VALID_SETTINGS = """
 ; a front
 (front
   (name "f1")
@@ -36,10 +36,10 @@
         self.addCleanup(folder.cleanup)
         self.file = Path(folder.name) / "front.sexp"
 
-    def amiss(self, old: str, new: str) -> str:
-        """The one line that a changed file earns."""
-        text = GOOD.replace(old, new, 1)
-        assert text != GOOD
+    def error_message(self, old: str, new: str) -> str:
+        """The error message for the valid file with a replaced part."""
+        text = VALID_SETTINGS.replace(old, new, 1)
+        assert text != VALID_SETTINGS
         self.file.write_text(text)
         with self.assertRaises(SettingsError) as caught:
             load_front(str(self.file))
@@ -47,20 +47,20 @@
         assert "\n" not in line
         return line
 
-    def test_a_good_file_and_back(self) -> None:
-        self.file.write_text(GOOD)
+    def test_a_valid_file_round_trips(self) -> None:
+        self.file.write_text(VALID_SETTINGS)
         front = load_front(str(self.file))
         assert (front.name, front.room_types[0].floor, front.limits.waiting) == ("f1", 1, 512)
         assert parse(write(front), FrontSettings, "again") == front
         assert module_settings(front).service_classes["live"].latency_objective_us == 500000
 
-    def test_every_day_that_ships_is_well_formed(self) -> None:
+    def test_every_included_scenario_is_valid(self) -> None:
         for name in names():
             assert read(name).name == name
         assert len(names()) >= 7
 
-    def test_each_fault_names_its_place_and_cure(self) -> None:
-        for old, new, said in (
+    def test_each_error_states_its_location_and_remedy(self) -> None:
+        for old, new, expected_parts in (
             ("(floor 1)", "(flor 1)", ("F:9: room-types[0].flor", "unknown field 'flor'", "floor")),
             ("(floor 1)", "(floor true)", ("F:9: room-types[0].floor: found True", "int")),
             ("(floor 1)", "(floor -1)", ("room-types[0].floor: found -1", ">= 0")),
@@ -80,30 +80,30 @@
             ("(worth 1)))", "(worth 1)", ("never closed",)),
             ("(cells 2))))", "(cells 2)))))", ("closes nothing",)),
         ):
-            line = self.amiss(old, new)
-            for part in said:
+            line = self.error_message(old, new)
+            for part in expected_parts:
                 assert part in line
 
-    def test_unreadable_files(self) -> None:
+    def test_unreadable_files_are_rejected(self) -> None:
         with self.assertRaisesRegex(SettingsError, "no readable file"):
             load_front(str(self.file))
         self.file.write_bytes(b"(front \xff)")
-        with self.assertRaisesRegex(SettingsError, "no UTF-8"):
+        with self.assertRaisesRegex(SettingsError, "not UTF-8"):
             load_front(str(self.file))
 
-    def test_the_command_says_it_and_what_can_be_done_with_status_2(self) -> None:
-        self.file.write_text(GOOD.replace("(floor 1)", "(flor 1)"))
+    def test_the_command_prints_the_error_and_the_remedy_with_status_2(self) -> None:
+        self.file.write_text(VALID_SETTINGS.replace("(floor 1)", "(flor 1)"))
         for command in (["config", "check", str(self.file)], ["front", str(self.file)]):
             result = CliRunner().invoke(main, command)
             assert result.exit_code == 2
             assert "flor" in result.output
-            said, cure = result.output.splitlines()
-            assert "known are" not in said
-            assert re.search("what can be done: known are: .+ \\[settings-amiss\\]$", cure)
-        self.file.write_text(GOOD)
+            happened, remedy = result.output.splitlines()
+            assert "known are" not in happened
+            assert re.search("what can be done: known are: .+ \\[settings-amiss\\]$", remedy)
+        self.file.write_text(VALID_SETTINGS)
         assert CliRunner().invoke(main, ["config", "check", str(self.file)]).exit_code == 0
 
-    def test_a_day_that_does_not_exist_or_is_no_recording(self) -> None:
+    def test_unknown_scenarios_and_invalid_recordings_are_rejected(self) -> None:
         result = CliRunner().invoke(main, ["day", "play", "nowhere"])
         assert result.exit_code == 2
         assert "evening" in result.output
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""A fleet of another shape: its settings, what the front does with them, and the watch before the switch."""
+"""Settings of fleets with optional features, the front's use of them, and the comparison of two shapes."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 from fennelcove.settings.reader import parse
 from fennelcove.settings.schema import (
     FrontSettings,
-    Goal,
     Instance,
     PeerSettings,
     ProbeSettings,
     ShapeSettings,
-    Tenant,
+    TenantQuota,
+    UtilityWeights,
 )
 from fennelcove.upstream.front_messaging import FrontMessaging
 
 from tests.helpers import SECOND, SETTINGS, Recorder, entry, request_session
-from tests.rig import SETTINGS as FILE
+from tests.rig import SETTINGS as SETTINGS_TEXT
 from tests.rig import FrontTestCase, wait_for
 
 
-def free_ports(count: int) -> list[str]:
-    """Addresses on loopback that nobody listens on."""
+def unused_addresses(count: int) -> list[str]:
+    """Addresses on loopback on which no process listens."""
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
@@ -50,148 +50,167 @@
 
 
 class ShapeSettingsTest(unittest.TestCase):
-    def test_every_default_is_as_if_no_shape_were_stated(self) -> None:
-        told = module_settings(parse(FILE, FrontSettings, "test"))
-        plain = {"probe_price": None, "peer_price": None, "has_unsolicited_reports": True, "quotas": {}}
-        plain |= {"over_quota_utility": 1.0, "worst_class_weight": 0.0, "rung_switch_cost_us": 0}
-        assert {name: getattr(told, name) for name in plain} == plain
+    def test_every_default_turns_its_feature_off(self) -> None:
+        policy_settings = module_settings(parse(SETTINGS_TEXT, FrontSettings, "test"))
+        defaults = {"probe_price": None, "peer_price": None, "has_unsolicited_reports": True, "quotas": {}}
+        defaults |= {"over_quota_utility": 1.0, "worst_class_weight": 0.0, "rung_switch_cost_us": 0}
+        assert {name: getattr(policy_settings, name) for name in defaults} == defaults
 
-    def test_what_the_file_states_reaches_the_module_in_microseconds(self) -> None:
+    def test_the_policy_gets_the_settings_in_microseconds(self) -> None:
         shape = """(shape (switch-cost-ms 650) (goal (whole 0.5) (worst-room-type 0.25))
           (over-quota-worth 0.1)
           (tenants (item (name "a") (quota-per-s 18))) (reports-unasked false) (probes (price 0.01))
           (peers (price 0.012) (addresses "127.0.0.1:9"))))"""
-        told = module_settings(parse(FILE.rstrip()[:-1] + shape, FrontSettings, "test"))
-        assert (told.rung_switch_cost_us, told.worst_class_weight, told.quotas) == (650000, 0.5, {"a": 18.0})
-        assert (told.probe_price, told.peer_price, told.has_unsolicited_reports) == (0.01, 0.012, False)
-
-    def test_each_contradiction_names_its_place(self) -> None:
-        front = parse(FILE, FrontSettings, "test")
-        twice = ShapeSettings(tenants=[Tenant(name="a", quota_per_s=1), Tenant(name="a", quota_per_s=2)])
-        for shape, named in (
-            (twice, "tenants[1].name"),
+        policy_settings = module_settings(parse(SETTINGS_TEXT.rstrip()[:-1] + shape, FrontSettings, "test"))
+        assert (
+            policy_settings.rung_switch_cost_us,
+            policy_settings.worst_class_weight,
+            policy_settings.quotas,
+        ) == (650000, 0.5, {"a": 18.0})
+        assert (
+            policy_settings.probe_price,
+            policy_settings.peer_price,
+            policy_settings.has_unsolicited_reports,
+        ) == (0.01, 0.012, False)
+
+    def test_each_violated_constraint_states_its_path(self) -> None:
+        front = parse(SETTINGS_TEXT, FrontSettings, "test")
+        duplicate_tenants = ShapeSettings(
+            tenants=[TenantQuota(name="a", quota_per_s=1), TenantQuota(name="a", quota_per_s=2)]
+        )
+        for shape, path in (
+            (duplicate_tenants, "tenants[1].name"),
             (ShapeSettings(reports_unasked=False), "probes"),
             (ShapeSettings(peers=PeerSettings(addresses=["127.0.0.1:1", "127.0.0.1:2"])), "peers.addresses"),
         ):
-            assert f"shape.{named}" in next(amiss(msgspec.structs.replace(front, shape=shape)))
-            assert f"watch.{named}" in next(amiss(msgspec.structs.replace(front, watch=shape)))
-        wide = msgspec.structs.replace(front.fleet, cells=70_000)  # a message names a cell in two bytes
+            assert f"shape.{path}" in next(amiss(msgspec.structs.replace(front, shape=shape)))
+            assert f"watch.{path}" in next(amiss(msgspec.structs.replace(front, watch=shape)))
+        many_cells = msgspec.structs.replace(
+            front.fleet, cells=70_000
+        )  # a message encodes a cell in two bytes
         peers = ShapeSettings(peers=PeerSettings(addresses=["127.0.0.1:1"]))
         assert "shape.peers: found 70000" in next(
-            amiss(msgspec.structs.replace(front, fleet=wide, shape=peers))
+            amiss(msgspec.structs.replace(front, fleet=many_cells, shape=peers))
         )
 
 
-class WatchTest(unittest.TestCase):
-    def watched(self, **alternative: Any) -> tuple[ShadowedPolicy, Recorder]:
+class ShadowPolicyTest(unittest.TestCase):
+    def shadowed_policy(self, **alternative: Any) -> tuple[ShadowedPolicy, Recorder]:
         effects = Recorder()
-        made = ShadowedPolicy(SETTINGS, replace(SETTINGS, **alternative), 7, effects, 0)
-        made.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(3))), 0)
-        made.now_us = 100 * SECOND
-        for front in (made, made.alternative):
+        policy = ShadowedPolicy(SETTINGS, replace(SETTINGS, **alternative), 7, effects, 0)
+        policy.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(3))), 0)
+        policy.now_us = 100 * SECOND
+        for front in (policy, policy.alternative):
             for server in front.servers.values():
-                server.link.observe(0.0, made.now_us - 1)
-        return made, effects
+                server.link.observe(0.0, policy.now_us - 1)
+        return policy, effects
 
-    def day(self, made: ShadowedPolicy) -> None:
+    def run_sessions(self, policy: ShadowedPolicy) -> None:
         for i in range(30):
-            request_session(made, str(i), at=made.now_us + SECOND, tenant="t")
-            if str(i) in made.sessions:
-                made.handle(SessionStarted(str(i), 0, 1000), made.now_us + 1000)
-            if i >= 10 and str(i - 10) in made.sessions:
-                made.handle(AttemptCompleted(str(i - 10), 0, Outcome.SERVED, True, None), made.now_us + 1000)
-
-    def test_the_same_settings_never_differ(self) -> None:
-        made, _ = self.watched()
-        self.day(made)
-        assert {kind for kind, count in made.counts.items() if count} == {DecisionKind.SAME}
-
-    def test_what_is_decided_is_what_a_front_alone_decides(self) -> None:
-        both = (
-            self.watched(rung_switch_cost_us=SECOND, quotas={"t": 0.1}, over_quota_utility=0.1),
-            self.watched(),
+            request_session(policy, str(i), at=policy.now_us + SECOND, tenant="t")
+            if str(i) in policy.sessions:
+                policy.handle(SessionStarted(str(i), 0, 1000), policy.now_us + 1000)
+            if i >= 10 and str(i - 10) in policy.sessions:
+                policy.handle(
+                    AttemptCompleted(str(i - 10), 0, Outcome.SERVED, True, None), policy.now_us + 1000
+                )
+
+    def test_equal_settings_make_the_same_decisions(self) -> None:
+        policy, _ = self.shadowed_policy()
+        self.run_sessions(policy)
+        assert {kind for kind, count in policy.counts.items() if count} == {DecisionKind.SAME}
+
+    def test_the_alternative_does_not_change_decisions(self) -> None:
+        cases = (
+            self.shadowed_policy(rung_switch_cost_us=SECOND, quotas={"t": 0.1}, over_quota_utility=0.1),
+            self.shadowed_policy(),
         )
-        for made, _ in both:
-            self.day(made)
-        assert both[0][1].calls == both[1][1].calls
-
-    def test_where_another_shape_would_decide_otherwise_is_counted_by_kind(self) -> None:
-        made, effects = self.watched(peer_price=0.01, front_count=9, front_index=5)
-        for server in made.servers.values():
-            server.link.report = 0.85  # it goes by what it knows; the other by its guess of nine fronts
-        for server in made.alternative.servers.values():
+        for policy, _ in cases:
+            self.run_sessions(policy)
+        assert cases[0][1].calls == cases[1][1].calls
+
+    def test_different_decisions_are_counted_by_kind(self) -> None:
+        policy, effects = self.shadowed_policy(peer_price=0.01, front_count=9, front_index=5)
+        for server in policy.servers.values():
+            server.link.report = 0.85  # known here; the alternative estimates it for nine fronts
+        for server in policy.alternative.servers.values():
             server.link.report = None
-        request_session(made)
-        assert (made.counts[DecisionKind.WOULD_QUERY], made.counts[DecisionKind.OTHER_RUNG]) == (1, 1)
-        assert effects.named("send_peer_message") == []  # counted, not carried out
-        sub, theirs = made.sessions["a"], made.alternative.sessions["a"]
-        assert (theirs.server.address, theirs.rung) == (sub.server.address, sub.rung)
-
-    def test_a_box_that_has_left_since_a_join_there_failed_breaks_nothing(self) -> None:
-        made, _ = self.watched()
-        request_session(made)
-        first = made.sessions["a"].server.address
-        made.handle(AttemptCompleted("a", 0, Outcome.SERVER_ERROR, False, None), made.now_us + 1000)
-        made.handle(SessionStarted("a", 1, 1000), made.now_us + 1000)
-        gone = tuple(entry(f"s{i}", i) for i in range(3) if f"s{i}" != first)
-        made.handle(ListUpdate(ListMode.FULL, gone), made.now_us + 60 * SECOND)
-        assert first not in made.alternative.servers
-        made.handle(TopRungChanged("a", 0), made.now_us + 1000)
-        assert made.alternative.sessions["a"].rung == made.sessions["a"].rung
-
-    def test_a_throttled_answer_that_another_shape_would_not_give(self) -> None:
-        made, effects = self.watched()
-        for server in made.servers.values():
+        request_session(policy)
+        assert (policy.counts[DecisionKind.WOULD_QUERY], policy.counts[DecisionKind.OTHER_RUNG]) == (1, 1)
+        assert effects.named("send_peer_message") == []  # counted, not executed
+        session, alternative_session = policy.sessions["a"], policy.alternative.sessions["a"]
+        assert (alternative_session.server.address, alternative_session.rung) == (
+            session.server.address,
+            session.rung,
+        )
+
+    def test_a_server_that_left_after_a_failed_attempt_is_tolerated(self) -> None:
+        policy, _ = self.shadowed_policy()
+        request_session(policy)
+        first = policy.sessions["a"].server.address
+        policy.handle(AttemptCompleted("a", 0, Outcome.SERVER_ERROR, False, None), policy.now_us + 1000)
+        policy.handle(SessionStarted("a", 1, 1000), policy.now_us + 1000)
+        remaining = tuple(entry(f"s{i}", i) for i in range(3) if f"s{i}" != first)
+        policy.handle(ListUpdate(ListMode.FULL, remaining), policy.now_us + 60 * SECOND)
+        assert first not in policy.alternative.servers
+        policy.handle(TopRungChanged("a", 0), policy.now_us + 1000)
+        assert policy.alternative.sessions["a"].rung == policy.sessions["a"].rung
+
+    def test_a_rejection_that_the_alternative_would_not_make_is_counted(self) -> None:
+        policy, effects = self.shadowed_policy()
+        for server in policy.servers.values():
             server.link.report = 2.0
-        request_session(made)
+        request_session(policy)
         assert effects.calls[-1][0] == "reject"
-        assert made.counts[DecisionKind.WOULD_ATTEMPT] == 1
-        assert (made.sessions, made.alternative.sessions) == ({}, {})
-
-
-class FrontSideTest(unittest.TestCase):
-    def test_fronts_hear_each_other_and_nobody_else(self) -> None:
-        addresses, heard = free_ports(2), list[PeerMessage]()
-        sides = [FrontMessaging(addresses, i, heard.append) for i in range(2)]
-        for side in sides:
-            side.start()
-            self.addCleanup(side.stop)
-        said = PeerMessage(0, loads=(CellLoad(3, 0.5, None, 0),))
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(encode(said)[0], sides[1].addresses[1])
-            wait_for(lambda: sides[1].lost == 1, "the stranger's message to be passed over")
-        sides[0].sock.sendto(b"\xff\xff", sides[1].addresses[1])
-        wait_for(lambda: sides[1].lost == 2, "the malformed message to be passed over")
-        sides[0].send_message(1, said)
-        wait_for(lambda: heard, "a message")
-        assert heard == [said]
-
-
-class WholeShapeTest(FrontTestCase):
+        assert policy.counts[DecisionKind.WOULD_ATTEMPT] == 1
+        assert (policy.sessions, policy.alternative.sessions) == ({}, {})
+
+
+class FrontMessagingTest(unittest.TestCase):
+    def test_fronts_receive_messages_of_other_fronts_only(self) -> None:
+        addresses, received = unused_addresses(2), list[PeerMessage]()
+        messaging = [FrontMessaging(addresses, i, received.append) for i in range(2)]
+        for endpoint in messaging:
+            endpoint.start()
+            self.addCleanup(endpoint.stop)
+        message = PeerMessage(0, loads=(CellLoad(3, 0.5, None, 0),))
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
+            unknown_sender.sendto(encode(message)[0], messaging[1].addresses[1])
+            wait_for(lambda: messaging[1].lost == 1, "the message of an unknown sender to be ignored")
+        messaging[0].sock.sendto(b"\xff\xff", messaging[1].addresses[1])
+        wait_for(lambda: messaging[1].lost == 2, "the malformed message to be ignored")
+        messaging[0].send_message(1, message)
+        wait_for(lambda: received, "a message")
+        assert received == [message]
+
+
+class FrontWithShapeTest(FrontTestCase):
     def test_a_request_waits_for_probes_and_then_plays(self) -> None:
-        fleet = msgspec.structs.replace(parse(FILE, FrontSettings, "test").fleet, reports_every_ms=0.0)
+        fleet = msgspec.structs.replace(
+            parse(SETTINGS_TEXT, FrontSettings, "test").fleet, reports_every_ms=0.0
+        )
         shape = ShapeSettings(reports_unasked=False, probes=ProbeSettings(price=0.01))
         self.start_system(fleet=fleet, shape=shape)
-        answer = self.ask("once")
-        assert answer.status == 201
+        response = self.ask("once")
+        assert response.status == 201
         counts = self.front.core.counts
         assert counts["probes"] == 2
         wait_for(lambda: counts.get("probes_served") == 2, "both probes")
 
-    def test_a_front_whose_keeper_never_answers_still_answers_in_time(self) -> None:
-        addresses = free_ports(2)
+    def test_a_front_responds_in_time_if_its_peer_is_silent(self) -> None:
+        addresses = unused_addresses(2)
         shape = ShapeSettings(peers=PeerSettings(addresses=addresses))
         self.start_system(instance=Instance(index=1, fronts=2), shape=shape)
-        answer = self.ask(tenant="a", watch_ms=5000)
-        assert answer.status == 201
-        assert self.front.core.counts["messages"] >= 2  # its question and its join
+        response = self.ask(tenant="a", watch_ms=5000)
+        assert response.status == 201
+        assert self.front.core.counts["messages"] >= 2  # the query and the attempt
 
-    def test_a_watched_front_answers_as_ever_and_tells_its_counts(self) -> None:
-        self.start_system(watch=ShapeSettings(switch_cost_ms=500, goal=Goal(worst_room_type=0.5)))
+    def test_a_front_with_an_alternative_shape_responds_and_reports_counts(self) -> None:
+        self.start_system(watch=ShapeSettings(switch_cost_ms=500, goal=UtilityWeights(worst_room_type=0.5)))
         assert self.ask().status == 201
-        told = self.front.core.status().to_json_fields()["watch"]
-        assert isinstance(told, dict)
-        assert told["same"] >= 1
+        counts = self.front.core.status().to_json_fields()["watch"]
+        assert isinstance(counts, dict)
+        assert counts["same"] >= 1
 
 
 if __name__ == "__main__":
