--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Certificates and passes: made, shown, replaced under a running front, and both doors over TLS."""
+"""TLS certificates and access tokens: their commands, TLS on both listeners, and replacement at run time."""
 
 from __future__ import annotations
 
@@ -49,28 +49,30 @@
         url = f"https://{self.front.door.address}/v1/subscriptions"
         return client.post(url, json=body, timeout=10).status_code
 
-    def test_both_doors_and_a_certificate_replaced_under_them(self) -> None:
+    def test_a_certificate_is_replaced_for_both_listeners(self) -> None:
         with httpx.Client(verify=self.context()) as before:
             assert self.set_up(before) == 201
             socket = self.connect()
             old = certificates.read(self.folder).fingerprint
             certificates.make(self.folder, NAMES, datetime.now(UTC), timedelta(days=2))
             wait_for(
-                lambda: self.front.tls is not None and not self.front.tls.check() and self.taken(),
-                "the new pair",
+                lambda: self.front.tls is not None
+                and not self.front.tls.check()
+                and self.is_replacement_loaded(),
+                "the new key pair",
             )
-            assert self.set_up(before) == 201, "a connection goes on under what it began with"
-            told = socket.ask("set-up", ask={"room_type": "free", "title": "t1"})
-            assert told["type"] == "playing"
+            assert self.set_up(before) == 201, "an open connection keeps its certificate"
+            reply = socket.ask("set-up", ask={"room_type": "free", "title": "t1"})
+            assert reply["type"] == "playing"
             with httpx.Client(verify=self.context()) as after:
                 assert self.set_up(after) == 201
             assert certificates.read(self.folder).fingerprint != old
 
-    def taken(self) -> bool:
+    def is_replacement_loaded(self) -> bool:
         tls = self.front.tls
         return tls is not None and tls.seen == tls._stamp()
 
-    def test_handshakes_while_certificates_change(self) -> None:
+    def test_handshakes_succeed_while_certificates_change(self) -> None:
         failed: list[str] = []
         done = threading.Event()
 
@@ -97,65 +99,68 @@
             thread.join()
         assert failed == []
 
-    def test_a_pair_that_does_not_fit_leaves_the_old_one(self) -> None:
-        told: list[str] = []
-        tls = TlsKeys(self.tls, lambda event, **fields: told.append(event))
-        held = tls.context
+    def test_an_invalid_key_pair_leaves_the_previous_one(self) -> None:
+        events: list[str] = []
+        tls = TlsKeys(self.tls, lambda event, **fields: events.append(event))
+        previous = tls.context
         Path(self.tls.key).write_text("no key")
         assert not tls.check()
-        assert (told, tls.context) == (["certificate_refused"], held)
+        assert (events, tls.context) == (["certificate_refused"], previous)
         with self.assertRaises(TlsError) as caught:
             TlsKeys(self.tls, lambda event, **fields: None)
         assert "fennelcove keys new" in str(caught.exception)
 
-    def test_one_that_shakes_no_hands_is_let_go(self) -> None:
+    def test_a_connection_without_a_handshake_is_closed(self) -> None:
         player = self.player()
         with self.assertRaises(Exception):  # noqa: B017 - plain HTTP on a TLS port: reset or garbage
             player.ask("GET", "/v1/status", [], b"", 5.0)
-        wait_for(lambda: self.front.core.admission_controller.connections == 0, "the connection's end")
+        wait_for(lambda: self.front.core.admission_controller.connections == 0, "the connection to close")
 
 
 class KeysCommandTest(FrontTestCase):
-    def run_(self, *words: str) -> tuple[int, str]:
-        result = CliRunner().invoke(main, ["keys", *words])
+    def run_command(self, *arguments: str) -> tuple[int, str]:
+        result = CliRunner().invoke(main, ["keys", *arguments])
         return result.exit_code, result.output
 
-    def test_from_new_to_rotate(self) -> None:
+    def test_certificates_and_tokens_by_command(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            where = str(Path(folder) / "tls")
-            assert self.run_("list", where)[0] == 2
-            assert self.run_("new", where, "--name", "front-1.example", "--name", "127.0.0.1")[0] == 0
-            assert self.run_("new", where)[0] == 2
-            status, text = self.run_("list", where)
+            folder_path = str(Path(folder) / "tls")
+            assert self.run_command("list", folder_path)[0] == 2
+            assert (
+                self.run_command("new", folder_path, "--name", "front-1.example", "--name", "127.0.0.1")[0]
+                == 0
+            )
+            assert self.run_command("new", folder_path)[0] == 2
+            status, text = self.run_command("list", folder_path)
             assert status == 0
             assert "names: front-1.example, 127.0.0.1" in text
-            assert self.run_("rotate", where)[0] == 0
-            assert self.run_("list", where)[1] != text
-            Path(where, "key.pem").write_bytes(Path(where, "key.pem").read_bytes()[:50])
-            assert self.run_("list", where)[0] == 2
+            assert self.run_command("rotate", folder_path)[0] == 0
+            assert self.run_command("list", folder_path)[1] != text
+            Path(folder_path, "key.pem").write_bytes(Path(folder_path, "key.pem").read_bytes()[:50])
+            assert self.run_command("list", folder_path)[0] == 2
             file = str(Path(folder) / "passes.keys")
-            assert self.run_("pass", file, "--client", "v")[0] == 2
-            assert self.run_("pass-key", file)[0] == 0
-            status, token = self.run_("pass", file, "--client", "v", "--minutes", "5", "--most", "3")
+            assert self.run_command("pass", file, "--client", "v")[0] == 2
+            assert self.run_command("pass-key", file)[0] == 0
+            status, token = self.run_command("pass", file, "--client", "v", "--minutes", "5", "--most", "3")
             key = keyed_mac(key_file.load(file, 10**13)[0])
-            shown = access_tokens.verify_access_token(token.strip(), [key], 0)
-            assert shown.token is not None
-            assert (status, shown.token.client, shown.token.most) == (0, "v", 3)
+            verification = access_tokens.verify_access_token(token.strip(), [key], 0)
+            assert verification.token is not None
+            assert (status, verification.token.client, verification.token.most) == (0, "v", 3)
 
-    def test_the_table_of_passes_is_total_and_lets_nobody_in_unknown(self) -> None:
+    def test_the_table_of_tokens_is_complete_and_denies_unknown_clients(self) -> None:
         assert set(access_tokens.ACCESS_RULES) == {(s, d) for s in TokenStatus for d in Permission}
         assert set(access_tokens.STATUS_DESCRIPTIONS) == set(TokenStatus)
-        for standing in (TokenStatus.MISSING, TokenStatus.FORGED, TokenStatus.NOT_YET):
-            assert not any(PresentedToken(standing).has_permission(demand) for demand in Permission)
-        held = AccessToken("v", 100, 1100)
-        for at, standing in (
+        for token_status in (TokenStatus.MISSING, TokenStatus.FORGED, TokenStatus.NOT_YET):
+            assert not any(PresentedToken(token_status).has_permission(demand) for demand in Permission)
+        access_token = AccessToken("v", 100, 1100)
+        for at, token_status in (
             (99, TokenStatus.NOT_YET),
             (100, TokenStatus.VALID),
             (849, TokenStatus.VALID),
             (850, TokenStatus.EXPIRING),
             (1100, TokenStatus.EXPIRED),
         ):
-            assert access_tokens.status_at(held, at) is standing
+            assert access_tokens.status_at(access_token, at) is token_status
 
 
 if __name__ == "__main__":
