--- a/packages/cli/src/fennelcove/cli/main.py
+++ b/packages/cli/src/fennelcove/cli/main.py
@@ -67,9 +67,9 @@
 @click.argument("config", type=click.Path())
 def box(config: str) -> None:
     """Run an emulated server with the settings in CONFIG until SIGTERM or SIGINT."""
-    from fennelcove.cli.serve import run_box
+    from fennelcove.cli.serve import run_emulated_server
 
-    sys.exit(run_box(config))
+    sys.exit(run_emulated_server(config))
 
 
 @main.group()
--- a/packages/cli/src/fennelcove/cli/serve.py
+++ b/packages/cli/src/fennelcove/cli/serve.py
@@ -88,7 +88,7 @@
     return 0
 
 
-def run_box(config: str) -> int:
+def run_emulated_server(config: str) -> int:
     """Run an emulated server in this process; returns the exit status."""
     try:
         settings = load(config, EmulatedServerSettings)
@@ -107,14 +107,14 @@
         3_000_000,
     )
     rack.boxes.append(model)
-    box = StandInBox(
+    server = StandInBox(
         settings.name, model, clock, Recorder(clock, keep=False), settings.reports_every_ms / 1000
     )
     stop_requested = _stop_event_on_signals()
-    box.start()
-    click.echo(box.address)
+    server.start()
+    click.echo(server.address)
     sys.stdout.flush()
     while not stop_requested.wait(1.0):
         pass
-    box.stop()
+    server.stop()
     return 0
--- a/packages/settings/src/fennelcove/settings/checks.py
+++ b/packages/settings/src/fennelcove/settings/checks.py
@@ -95,7 +95,7 @@
     if company.lease_ms < 4 * company.beat_ms:
         yield (
             f"company.lease-ms: found {company.lease_ms:g} with a beat of {company.beat_ms:g}; "
-            "use four beats or more, since the lease must survive lost messages"
+            "use four beats or more, or one lost message can end the lease"
         )
 
 
@@ -139,7 +139,7 @@
         if value < 4 * section.beat_ms:
             yield (
                 f"releases.{name}: found {value:g} with a beat of {section.beat_ms:g}; "
-                "use four beats or more, since the interval must survive lost messages"
+                "use four beats or more, or one lost message can exceed it"
             )
 
 
--- a/packages/settings/src/fennelcove/settings/schema.py
+++ b/packages/settings/src/fennelcove/settings/schema.py
@@ -46,9 +46,7 @@
     scale: SomeFigure = 1.0
     floor: Count = 0
     seats: Count = 0
-    seat_ms: Milliseconds = (
-        0.0  # a seat that is not renewed for this time is released; 0: the seat lasts as long as the session
-    )
+    seat_ms: Milliseconds = 0.0  # released if not renewed within this time; 0: lasts as long as the session
 
 
 class Rung(Strict, frozen=True, kw_only=True):
@@ -120,7 +118,7 @@
 
 
 class UtilityWeights(Strict, frozen=True, kw_only=True):
-    """The weights of the total utility, and of the utility of the worst service class."""
+    """The weights of the total utility and of the utility of the worst service class in the objective."""
 
     whole: SomeFigure = 1.0
     worst_room_type: Figure = 0.0
@@ -235,9 +233,7 @@
     window_ms: PositiveMilliseconds = 2000.0
     silent_ms: PositiveMilliseconds = 2000.0
     show_ms: PositiveMilliseconds = 5000.0
-    drain_ms: Milliseconds = (
-        1000.0  # how long new clients are redirected to other fronts before this one ends
-    )
+    drain_ms: Milliseconds = 1000.0  # for redirecting new clients to other fronts before this one ends
 
 
 class ShapeSettings(Strict, frozen=True, kw_only=True):
@@ -287,7 +283,7 @@
     """The limits that this front must observe.
 
     Attributes:
-        start_capacity: the fraction of its capacity that a server has at the begin of its slow start.
+        start_capacity: the fraction of its capacity that a server has at the start of its slow start.
         ramp_ms: the duration of the slow start.
         fall_multiple: a server in slow start fails if its load exceeds this multiple of its pace for
             `tip_after_ms`.
--- a/packages/settings/src/fennelcove/settings/writer.py
+++ b/packages/settings/src/fennelcove/settings/writer.py
@@ -35,6 +35,6 @@
 
 
 def write(settings: msgspec.Struct) -> str:
-    """The text of a settings file."""
+    """The settings as the text of a settings file."""
     head = getattr(type(settings), "HEAD", "settings")
     return f"({head}\n{_fields(settings, '  ')})\n"
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -70,8 +70,10 @@
             tag_field="type",
             kw_only=True,
         )
-        told = msgspec.to_builtins(renamed(subscription="x", number=1, rung_now=1, top_rung=1, rate_kb=1.0))
-        violations = Described(json.loads((PUBLISHED_FOLDER / "asyncapi.json").read_text())).message(told)
+        message = msgspec.to_builtins(
+            renamed(subscription="x", number=1, rung_now=1, top_rung=1, rate_kb=1.0)
+        )
+        violations = Described(json.loads((PUBLISHED_FOLDER / "asyncapi.json").read_text())).message(message)
         assert len(violations) == 2  # one field missing, one not described
         _, schemas = msgspec.json.schema_components([renamed])
         published = json.loads((PUBLISHED_FOLDER / "asyncapi.json").read_text())["components"]["schemas"][
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The command `fennelcove fleet`, with real fronts and with every way in which a front can fail to respond."""
+"""The command `fennelcove fleet`, with real fronts and with each way in which a front can fail to respond."""
 
 from __future__ import annotations
 
@@ -178,9 +178,9 @@
 
 
 class ConvergenceWaitTest(unittest.TestCase):
-    def outcome(self, name: str, held: int | None) -> CallOutcome:
-        call_status = CallStatus.SILENT if held is None else CallStatus.DONE
-        return CallOutcome(name, call_status, body={"phase": "draining", "held": held})
+    def outcome(self, name: str, session_count: int | None) -> CallOutcome:
+        call_status = CallStatus.SILENT if session_count is None else CallStatus.DONE
+        return CallOutcome(name, call_status, body={"phase": "draining", "held": session_count})
 
     @given(st.lists(st.tuples(st.sampled_from(["a", "b"]), st.sampled_from([None, 0, 1])), max_size=20))
     @settings(max_examples=150)
@@ -192,9 +192,9 @@
         )
         wait = convergence.ConvergenceWait(convergence.DesiredState("draining", 0), 10)
         observed: dict[str, list[int | None]] = {}
-        for name, held in script:
-            wait.observe([self.outcome(name, held)])
-            observed.setdefault(name, []).append(held)
+        for name, session_count in script:
+            wait.observe([self.outcome(name, session_count)])
+            observed.setdefault(name, []).append(session_count)
         should_converge = bool(observed) and all(responses[-2:] == [0, 0] for responses in observed.values())
         assert wait.has_converged == should_converge
         assert wait.poll_delay_us(10) is None
