--- a/packages/daemon/src/fennelcove/daemon/audit_file.py
+++ b/packages/daemon/src/fennelcove/daemon/audit_file.py
@@ -18,9 +18,9 @@
     def __init__(self, path: str | None) -> None:
         self.path = Path(path) if path is not None else None
         self.lock = threading.Lock()
-        self.last = self._tail()
+        self.last = self._read_last_hash()
 
-    def _tail(self) -> str:
+    def _read_last_hash(self) -> str:
         if self.path is None or not self.path.exists():
             return ""
         lines = self.path.read_bytes().splitlines()
@@ -36,22 +36,22 @@
             return
         with self.lock:
             body = msgspec.json.encode(fields)
-            mark = blake3.blake3(self.last.encode() + body).hexdigest()[:HASH_CHARS]
+            line_hash = blake3.blake3(self.last.encode() + body).hexdigest()[:HASH_CHARS]
             descriptor = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
             try:
-                os.write(descriptor, mark.encode() + b" " + body + b"\n")
+                os.write(descriptor, line_hash.encode() + b" " + body + b"\n")
                 os.fsync(descriptor)
             finally:
                 os.close(descriptor)
-            self.last = mark
+            self.last = line_hash
 
 
 def check(path: str) -> int | None:
     """The first line that is not what was written, counted from 1; None where all are."""
     last = ""
     for number, line in enumerate(Path(path).read_bytes().splitlines(), 1):
-        mark, _, body = line.partition(b" ")
-        if blake3.blake3(last.encode() + body).hexdigest()[:HASH_CHARS].encode() != mark:
+        line_hash, _, body = line.partition(b" ")
+        if blake3.blake3(last.encode() + body).hexdigest()[:HASH_CHARS].encode() != line_hash:
             return number
-        last = mark.decode()
+        last = line_hash.decode()
     return None
--- a/packages/daemon/src/fennelcove/daemon/background.py
+++ b/packages/daemon/src/fennelcove/daemon/background.py
@@ -17,22 +17,27 @@
 class Background:
     """Owns its thread; `add` before `start`, and `stop` waits for the run under way."""
 
-    def __init__(self, clock: Clock, notice: EventLogger) -> None:
+    def __init__(self, clock: Clock, log_event: EventLogger) -> None:
         self.clock = clock
-        self.notice = notice
-        self.schedule = BackgroundScheduler(clock.now_us())
-        self.calls: dict[BackgroundTask, Callable[[], None]] = {}
-        self.changed = threading.Condition()
-        self.stopped = False
+        self.log_event = log_event
+        self.scheduler = BackgroundScheduler(clock.now_us())
+        self.functions: dict[BackgroundTask, Callable[[], None]] = {}
+        self.state_changed = threading.Condition()
+        self.is_stopped = False
         self.thread = threading.Thread(target=self._run, name="background")
 
     def add(
-        self, name: str, priority: TaskPriority, every_us: int, late_us: int, call: Callable[[], None]
+        self,
+        name: str,
+        priority: TaskPriority,
+        interval_us: int,
+        max_lateness_us: int,
+        function: Callable[[], None],
     ) -> None:
         """Work that comes again; it must not wait for anything."""
-        task = BackgroundTask(name, priority, every_us, late_us)
-        self.calls[task] = call
-        self.schedule.add(task, self.clock.now_us())
+        task = BackgroundTask(name, priority, interval_us, max_lateness_us)
+        self.functions[task] = function
+        self.scheduler.add(task, self.clock.now_us())
 
     def start(self) -> None:
         """Start the thread."""
@@ -40,9 +45,9 @@
 
     def stop(self) -> None:
         """End it."""
-        with self.changed:
-            self.stopped = True
-            self.changed.notify()
+        with self.state_changed:
+            self.is_stopped = True
+            self.state_changed.notify()
         self.thread.join()
 
     def status(self) -> dict[str, object]:
@@ -54,21 +59,21 @@
                 "latest_ms": task.max_lateness_us / 1000,
                 "skipped": task.skipped_count,
             }
-            for task in self.calls
+            for task in self.functions
         }
 
     def _run(self) -> None:
         while True:
-            with self.changed:
-                if self.stopped:
+            with self.state_changed:
+                if self.is_stopped:
                     return
-                pick = self.schedule.next_task(self.clock.now_us())
-                if pick.task is None:
-                    self.changed.wait(pick.wait_us / 1e6)
+                scheduled = self.scheduler.next_task(self.clock.now_us())
+                if scheduled.task is None:
+                    self.state_changed.wait(scheduled.wait_us / 1e6)
                     continue
-            began_us = self.clock.now_us()
+            started_us = self.clock.now_us()
             try:
-                self.calls[pick.task]()
+                self.functions[scheduled.task]()
             except Exception as error:  # one task that fails must not end the others
-                self.notice("background_failed", task=pick.task.name, reason=repr(error))
-            self.schedule.on_run_completed(pick.task, began_us, self.clock.now_us())
+                self.log_event("background_failed", task=scheduled.task.name, reason=repr(error))
+            self.scheduler.on_run_completed(scheduled.task, started_us, self.clock.now_us())
--- a/packages/daemon/src/fennelcove/daemon/certificates.py
+++ b/packages/daemon/src/fennelcove/daemon/certificates.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldCertificate:
+class CertificateInfo:
     """What a certificate says."""
 
     names: tuple[str, ...]
@@ -35,14 +35,14 @@
     fits: bool
 
 
-def _named(name: str) -> x509.GeneralName:
+def _general_name(name: str) -> x509.GeneralName:
     try:
         return x509.IPAddress(ipaddress.ip_address(name))
     except ValueError:
         return x509.DNSName(name)
 
 
-def make(folder: str, names: tuple[str, ...], now: datetime, good_for: timedelta) -> None:
+def make(folder: str, names: tuple[str, ...], now: datetime, validity: timedelta) -> None:
     """A fresh key and certificate, each file whole or not at all; the key first, so that a front that reads
     between the two finds a pair that does not fit and keeps the old one.
 
@@ -59,54 +59,57 @@
             .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
             .not_valid_before(now - timedelta(minutes=5))
-            .not_valid_after(now + good_for)
-            .add_extension(x509.SubjectAlternativeName([_named(name) for name in names]), critical=False)
+            .not_valid_after(now + validity)
+            .add_extension(
+                x509.SubjectAlternativeName([_general_name(name) for name in names]), critical=False
+            )
             .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
             .sign(key, hashes.SHA256())
         )
-        here = Path(folder)
-        here.mkdir(parents=True, exist_ok=True)
+        folder_path = Path(folder)
+        folder_path.mkdir(parents=True, exist_ok=True)
         private = key.private_bytes(
             serialization.Encoding.PEM,
             serialization.PrivateFormat.PKCS8,
             serialization.NoEncryption(),
         )
-        _put(here / KEY, private)
-        _put(here / CERTIFICATE, certificate.public_bytes(serialization.Encoding.PEM))
+        _write_atomically(folder_path / KEY, private)
+        _write_atomically(folder_path / CERTIFICATE, certificate.public_bytes(serialization.Encoding.PEM))
     except (OSError, ValueError) as error:
         raise CertificateError(f"found no way to write a pair there ({error})", folder) from None
 
 
-def _put(path: Path, raw: bytes) -> None:
-    fresh = path.with_name(path.name + ".new")
-    descriptor = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+def _write_atomically(path: Path, content: bytes) -> None:
+    temporary_path = path.with_name(path.name + ".new")
+    descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     with os.fdopen(descriptor, "wb") as file:
-        file.write(raw)
+        file.write(content)
         file.flush()
         os.fsync(file.fileno())
-    fresh.replace(path)
+    temporary_path.replace(path)
 
 
-def read(folder: str) -> HeldCertificate:
+def read(folder: str) -> CertificateInfo:
     """The certificate of a folder, and whether its key fits.
 
     Raises:
         CertificateError: there is none that can be read.
     """
-    here = Path(folder)
+    folder_path = Path(folder)
     try:
-        certificate = x509.load_pem_x509_certificate((here / CERTIFICATE).read_bytes())
-        key = serialization.load_pem_private_key((here / KEY).read_bytes(), None)
+        certificate = x509.load_pem_x509_certificate((folder_path / CERTIFICATE).read_bytes())
+        key = serialization.load_pem_private_key((folder_path / KEY).read_bytes(), None)
     except (OSError, ValueError) as error:
         raise CertificateError(
             f"found no certificate and key ({error})", folder, "fennelcove keys new makes them"
         ) from None
     names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
-    spki = (serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
-    return HeldCertificate(
+    public_key_format = (serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
+    return CertificateInfo(
         tuple(str(name.value) for name in names),
         certificate.not_valid_before_utc,
         certificate.not_valid_after_utc,
         certificate.fingerprint(hashes.SHA256()).hex(),
-        certificate.public_key().public_bytes(*spki) == key.public_key().public_bytes(*spki),
+        certificate.public_key().public_bytes(*public_key_format)
+        == key.public_key().public_bytes(*public_key_format),
     )
--- a/packages/daemon/src/fennelcove/daemon/concurrency_limits.py
+++ b/packages/daemon/src/fennelcove/daemon/concurrency_limits.py
@@ -1,4 +1,4 @@
-"""Joins up the running front's part in learned slots: boxes from the module, timers, the module's veto."""
+"""Joins up the is_running front's part in learned slots: boxes from the module, timers, the module's veto."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class LimitService:
-    """The book of one front, with what it is fed. `start` when the timers run."""
+    """The learned_limits of one front, with what it is fed. `start` when the timers run."""
 
     def __init__(
         self,
         settings: FrontSettings,
-        told: SlotSettings,
+        slot_settings: SlotSettings,
         core: Core,
         timers: Timers,
         clock: Clock,
-        notice: EventLogger,
-        running: Callable[[], bool],
+        log_event: EventLogger,
+        is_running: Callable[[], bool],
     ) -> None:
         self.core = core
         self.timers = timers
         self.clock = clock
-        self.running = running
-        self.book = LearnedLimits(
-            told,
+        self.is_running = is_running
+        self.learned_limits = LearnedLimits(
+            slot_settings,
             settings.room_types,
             len(settings.ladder),
             settings.instance,
@@ -39,39 +39,41 @@
             clock,
             core.rng,
             core.lock,
-            notice,
+            log_event,
+        )
+        self.learned_limits.list_servers = self._list_servers
+        self.learned_limits.schedule_quota_exchange = lambda: timers.after(
+            0, self.learned_limits.exchange_quota
         )
-        self.book.list_servers = self._servers
-        self.book.schedule_quota_exchange = lambda: timers.after(0, self.book.exchange_quota)
 
-    def free(self, id: str, server: str) -> bool:
+    def may_use_server(self, id: str, server: str) -> bool:
         """As the module asks: whether a subscription may join there now."""
-        return self.book.has_free_slot(server)
+        return self.learned_limits.has_free_slot(server)
 
     def start(self) -> None:
         """Begin to learn and to trade."""
-        self.timers.after(0, self._window)
-        self.timers.after(QUOTA_EXCHANGE_INTERVAL_US, self._trade)
+        self.timers.after(0, self._close_window)
+        self.timers.after(QUOTA_EXCHANGE_INTERVAL_US, self._exchange_quota)
 
-    def _servers(self) -> list[ListedServer]:
-        """The boxes that the module knows, with the kinds that the list has told."""
-        front, keeper, now_us = self.core.policy, self.core.endpoint_tracker, self.clock.now_us()
+    def _list_servers(self) -> list[ListedServer]:
+        """The boxes that the module knows, with the kinds that the list has slot_settings."""
+        policy, endpoint_tracker, now_us = self.core.policy, self.core.endpoint_tracker, self.clock.now_us()
         return [
             ListedServer(
                 server.address,
-                keeper.kind_of(server.address),
+                endpoint_tracker.kind_of(server.address),
                 server.started_us,
-                bool(server.started_us) and now_us - server.started_us < front.settings.warm_up_us,
+                bool(server.started_us) and now_us - server.started_us < policy.settings.warm_up_us,
             )
-            for server in front.servers.values()
+            for server in policy.servers.values()
         ]
 
-    def _window(self) -> None:
-        if self.running():
-            self.timers.after(WINDOW_US, self._window)
-            self.book.close_window()
+    def _close_window(self) -> None:
+        if self.is_running():
+            self.timers.after(WINDOW_US, self._close_window)
+            self.learned_limits.close_window()
 
-    def _trade(self) -> None:
-        if self.running():
-            self.timers.after(QUOTA_EXCHANGE_INTERVAL_US, self._trade)
-            self.book.exchange_quota()
+    def _exchange_quota(self) -> None:
+        if self.is_running():
+            self.timers.after(QUOTA_EXCHANGE_INTERVAL_US, self._exchange_quota)
+            self.learned_limits.exchange_quota()
--- a/packages/daemon/src/fennelcove/daemon/front_daemon.py
+++ b/packages/daemon/src/fennelcove/daemon/front_daemon.py
@@ -59,13 +59,13 @@
 from fennelcove.upstream.server_event_streams import ServerEventStreams
 from fennelcove.upstream.wakeups import CancellationLatch, Wakeup
 
-SWEEP_US = 250_000
-REMEMBER_US = 1_000_000
-TRIM_US = 1_000_000
-LOOK_US = 500_000
+SWEEP_INTERVAL_US = 250_000
+SNAPSHOT_INTERVAL_US = 1_000_000
+TRIM_INTERVAL_US = 1_000_000
+CERTIFICATE_CHECK_INTERVAL_US = 500_000
 
 
-def void(_: object) -> None:
+def ignore_result(_: object) -> None:
     """A call whose answer nobody needs."""
 
 
@@ -75,40 +75,40 @@
     def __init__(
         self,
         settings: FrontSettings,
-        notice: EventLogger,
+        log_event: EventLogger,
         clock: Clock | None = None,
-        names: SessionIds | None = None,
+        session_ids: SessionIds | None = None,
         end: Callable[[], None] = lambda: None,
     ) -> None:
         self.settings = settings
-        self.notice = notice
+        self.log_event = log_event
         self.clock = clock or SystemClock()
         limits = settings.limits
         threading.stack_size(limits.stack_kib * 1024)
-        codec = DialLimits(limits.head_bytes, limits.head_count, limits.body_bytes, settings.source)
-        self.timers = Timers(self.clock, lambda error: notice("timer_failed", reason=repr(error)))
+        dial_limits = DialLimits(limits.head_bytes, limits.head_count, limits.body_bytes, settings.source)
+        self.timers = Timers(self.clock, lambda error: log_event("timer_failed", reason=repr(error)))
         self.halt = CancellationLatch()
         self.pool = ConnectionPool(self.clock, limits.box_connections, round(limits.idle_ms * 1000))
         self.hints = HintReader()
         effects = {service_class.name: Effect(service_class.effect) for service_class in settings.room_types}
-        self.joiner = AttemptSender(
-            settings.name, self.clock, self.pool, self.hints, effects, codec, self.halt
+        self.attempt_sender = AttemptSender(
+            settings.name, self.clock, self.pool, self.hints, effects, dial_limits, self.halt
         )
-        self.senders = CommandSenders(self.clock, self.pool, codec)
-        self.movers = MigrationWorkers(self.joiner, settings.stitch.moves_at_once)
-        self.server_side = self._server_side(codec)
+        self.command_senders = CommandSenders(self.clock, self.pool, dial_limits)
+        self.migration_workers = MigrationWorkers(self.attempt_sender, settings.stitch.moves_at_once)
+        self.server_event_streams = self._make_server_event_streams(dial_limits)
         self.list_side = EndpointListClient(
             self.clock,
             settings.lists.address,
             settings.lists.must_ask,
             Random(settings.seed),
-            notice,
+            log_event,
             settings.source,
         )
-        ports = CorePorts(self.server_side, self.list_side, self.movers)
-        self.core = Core(settings, self.clock, self.timers, notice, ports, names)
-        self.server_side.attach(self.core.server_registry)
-        self.ledger = LedgerFile(settings.stitch.ledger, notice)
+        ports = CorePorts(self.server_event_streams, self.list_side, self.migration_workers)
+        self.core = Core(settings, self.clock, self.timers, log_event, ports, session_ids)
+        self.server_event_streams.attach(self.core.server_registry)
+        self.ledger = LedgerFile(settings.stitch.ledger, log_event)
         self.core.content.restore(self.ledger.load())
         if settings.storm.key_file is not None:
             self.core.retry_storms.use_keys(load(settings.storm.key_file, self.clock.wall_us() // 1000))
@@ -119,7 +119,7 @@
         if settings.store is not None:
             store = Store(settings.store.folder, settings.store.most_mb, settings.name)
             for file, damage in store.recovered.damages:
-                notice(
+                log_event(
                     "store_damaged",
                     file=file,
                     at=damage.offset,
@@ -127,45 +127,52 @@
                     detail=damage.detail,
                 )
             for key in store.corrupt_keys:
-                notice("store_damaged", file="base.lmdb", key=repr(key), fault="altered")
+                log_event("store_damaged", file="base.lmdb", key=repr(key), fault="altered")
             self.core.snapshots.restore(store.values)
-            self.keeper = StoreWriter(store, self.clock, notice)
-        self.comeback = self._comeback()
-        self.background = Background(self.clock, notice)
+            self.keeper = StoreWriter(store, self.clock, log_event)
+        self.recovery = self._make_recovery()
+        self.background = Background(self.clock, log_event)
         self.core.status_reporter.add_section("background", self.background.status)
-        self.probe_side: HealthChecker | None = None
-        self.front_side: FrontMessaging | None = None
+        self.health_checker: HealthChecker | None = None
+        self.front_messaging: FrontMessaging | None = None
         shape = settings.shape
         if shape.probes is not None:
-            timeout_us, probed = round(shape.probes.timeout_ms * 1000), self.core.probes.on_probe_completed
-            self.probe_side = HealthChecker(self.clock, self.hints, settings.name, timeout_us, codec, probed)
-            self.core.probes.probe_sender = self.probe_side
-        self.company = self._company()
-        among = settings.company or shape.peers
-        if among is not None:
-            index, heard = settings.instance.index, self.core.probes.on_peer_message
-            beaten = self.company.on_heartbeat if self.company is not None else None
-            self.front_side = FrontMessaging(among.addresses, index, heard, beaten)
+            timeout_us, on_probe_completed = (
+                round(shape.probes.timeout_ms * 1000),
+                self.core.probes.on_probe_completed,
+            )
+            self.health_checker = HealthChecker(
+                self.clock, self.hints, settings.name, timeout_us, dial_limits, on_probe_completed
+            )
+            self.core.probes.probe_sender = self.health_checker
+        self.membership = self._make_membership()
+        peer_settings = settings.company or shape.peers
+        if peer_settings is not None:
+            index, on_message = settings.instance.index, self.core.probes.on_peer_message
+            on_heartbeat = self.membership.on_heartbeat if self.membership is not None else None
+            self.front_messaging = FrontMessaging(peer_settings.addresses, index, on_message, on_heartbeat)
             if shape.peers is not None:
-                self.core.probes.peer_messenger = self.front_side
-            if self.company is not None:
-                self.company.broadcast = self.front_side.beat
-        self.overload = self._overload()
-        self.budgets = self._budgets()
-        self.vetoes: list[Callable[[str, str], bool]] = []  # what keeps the module from a box, in order
+                self.core.probes.peer_messenger = self.front_messaging
+            if self.membership is not None:
+                self.membership.broadcast = self.front_messaging.send_heartbeats
+        self.load_shedding = self._make_load_shedding()
+        self.shared_quotas = self._make_shared_quotas()
+        self.server_filters: list[
+            Callable[[str, str], bool]
+        ] = []  # what keeps the module from a box, in order
         core = self.core
-        core.policy.may_use = lambda id, server: all(free(id, server) for free in self.vetoes)
-        self.releases = self._releases(end)
-        self.watch_side: HealthChecker | None = None
-        self.watch = self._watch(codec)
-        self.slots = self._slots()
-        self.fair = self._fair()
-        times = [round(ms * 1000) for ms in (limits.idle_ms, limits.head_ms, limits.write_ms)]
-        self.setups = SessionSetups(self.core, self.clock, self.joiner, notice)
+        core.policy.may_use = lambda id, server: all(may_use(id, server) for may_use in self.server_filters)
+        self.rollouts = self._make_rollouts(end)
+        self.watch_health_checker: HealthChecker | None = None
+        self.health_coordinator = self._make_health_coordinator(dial_limits)
+        self.limit_service = self._make_limit_service()
+        self.slot_scheduler = self._make_slot_scheduler()
+        timeouts_us = [round(ms * 1000) for ms in (limits.idle_ms, limits.head_ms, limits.write_ms)]
+        self.setups = SessionSetups(self.core, self.clock, self.attempt_sender, log_event)
         self.sockets = WebSocketServer(
-            self.core, self.clock, self.setups, settings.name, ConnectionLimits(*times), notice
+            self.core, self.clock, self.setups, settings.name, ConnectionLimits(*timeouts_us), log_event
         )
-        self.tls = TlsKeys(settings.tls, notice) if settings.tls is not None else None
+        self.tls = TlsKeys(settings.tls, log_event) if settings.tls is not None else None
         self.door = HttpServer(
             self.core,
             self.clock,
@@ -174,326 +181,420 @@
             self.tls,
             settings.name,
             settings.listen,
-            codec,
-            ConnectionLimits(*times),
-            notice,
+            dial_limits,
+            ConnectionLimits(*timeouts_us),
+            log_event,
             self.ledger.keep,
-            self._control(),
+            self._make_operator_commands(),
         )
-        self.timekeeper = threading.Thread(target=self.timers.run, name="timers")
-        self.stopping = GracefulShutdown(round(limits.stop_ms * 1000))
+        self.timer_thread = threading.Thread(target=self.timers.run, name="timers")
+        self.shutdown = GracefulShutdown(round(limits.stop_ms * 1000))
 
-    def _server_side(self, codec: DialLimits) -> ServerEventStreams:
+    def _make_server_event_streams(self, dial_limits: DialLimits) -> ServerEventStreams:
         policy_settings = module_settings(self.settings)
         silence_us = event_stream.idle_timeout_us(
             policy_settings.report_interval_us, policy_settings.report_delay_us
         )
         return ServerEventStreams(
-            self.timers, self.senders, self.hints, self.settings.name, silence_us, codec, self.notice
+            self.timers,
+            self.command_senders,
+            self.hints,
+            self.settings.name,
+            silence_us,
+            dial_limits,
+            self.log_event,
         )
 
-    def _comeback(self) -> RecoveryCoordinator | None:
+    def _make_recovery(self) -> RecoveryCoordinator | None:
         """Off by default: without it who asks waits at the door until the front knows what it holds."""
         core, settings = self.core, self.settings
-        told = settings.recovery
-        if told is None:
+        recovery_settings = settings.recovery
+        if recovery_settings is None:
             return None
-        found = RecoveryCoordinator(
-            settings, told, core.policy, core.server_registry, self.clock, core.rng, self.notice
+        recovery = RecoveryCoordinator(
+            settings,
+            recovery_settings,
+            core.policy,
+            core.server_registry,
+            self.clock,
+            core.rng,
+            self.log_event,
         )
-        core.admission.add_first_rule(found.check_request)
-        core.discovery.set_update_filter(found.correct_list)
-        core.status_reporter.add_section("comeback", found.status)
-        found.on_list_applied, found.on_sessions_accounted = (
+        core.admission.add_first_rule(recovery.check_request)
+        core.discovery.set_update_filter(recovery.correct_list)
+        core.status_reporter.add_section("comeback", recovery.status)
+        recovery.on_list_applied, recovery.on_sessions_accounted = (
             core.snapshots.on_list_received,
             core.seat_leases.on_recovered,
         )
-        found.stored_list = core.snapshots.stored_list()
-        if told.kept_list:
-            core.snapshots.list_entries = found.list_entries
-        return found
+        recovery.stored_list = core.snapshots.stored_list()
+        if recovery_settings.kept_list:
+            core.snapshots.list_entries = recovery.list_entries
+        return recovery
 
-    def _overload(self) -> LoadSheddingCoordinator | None:
+    def _make_load_shedding(self) -> LoadSheddingCoordinator | None:
         """Off by default: without it each front damps alone, by its own weather."""
-        core, settings, company = self.core, self.settings, self.company
+        core, settings, membership = self.core, self.settings, self.membership
         if settings.overload is None or not settings.overload.enabled:
             return None
         all_fronts = settings.instance.fronts
-        fronts = company.membership.live_front_count if company is not None else lambda: all_fronts
-        life = self.clock.wall_us() // 1000
-        found = LoadSheddingCoordinator(
-            settings.room_types, fronts, life, core.retry_storms, self.clock, core.rng, core.lock, self.notice
+        fronts = membership.membership.live_front_count if membership is not None else lambda: all_fronts
+        incarnation = self.clock.wall_us() // 1000
+        load_shedding = LoadSheddingCoordinator(
+            settings.room_types,
+            fronts,
+            incarnation,
+            core.retry_storms,
+            self.clock,
+            core.rng,
+            core.lock,
+            self.log_event,
         )
-        core.status_reporter.add_section("overload", found.status)
-        if self.front_side is not None:
-            found.broadcast, self.front_side.counted = self.front_side.summary, found.on_summary
-        return found
+        core.status_reporter.add_section("overload", load_shedding.status)
+        if self.front_messaging is not None:
+            load_shedding.broadcast, self.front_messaging.on_load_summary = (
+                self.front_messaging.send_load_summary,
+                load_shedding.on_summary,
+            )
+        return load_shedding
 
-    def _budgets(self) -> SharedQuotaCoordinator | None:
+    def _make_shared_quotas(self) -> SharedQuotaCoordinator | None:
         """Off by default: without it each front spends by its own limits."""
-        core, told = self.core, self.settings.overload
-        if told is None:
+        core, overload_settings = self.core, self.settings.overload
+        if overload_settings is None:
             return None
         limits = {
-            Resource.FURTHER_JOIN: told.further_joins_s,
-            Resource.PROBE: told.probes_s,
-            Resource.LIST_CALL: told.list_calls_s,
+            Resource.FURTHER_JOIN: overload_settings.further_joins_s,
+            Resource.PROBE: overload_settings.probes_s,
+            Resource.LIST_CALL: overload_settings.list_calls_s,
         }
-        wholes = {thing: whole for thing, whole in limits.items() if whole > 0}
-        if not wholes:
+        budgets = {resource: per_s for resource, per_s in limits.items() if per_s > 0}
+        if not budgets:
             return None
-        life = self.clock.wall_us() // 1000
-        found = SharedQuotaCoordinator(wholes, self.settings.instance, life, self.clock, core.rng, core.lock)
-        core.use_retry_budget(lambda: found.try_acquire(Resource.FURTHER_JOIN))
-        core.probes.may_probe = lambda: found.try_acquire(Resource.PROBE)
-        self.list_side.turn_us = lambda: found.acquire_wait_us(Resource.LIST_CALL)
-        core.status_reporter.add_section("budgets", found.status)
-        if self.front_side is not None:
-            found.send, self.front_side.spared = self.front_side.spare, found.on_message
-        return found
-
-    def _releases(self, end: Callable[[], None]) -> RolloutService | None:
+        incarnation = self.clock.wall_us() // 1000
+        shared_quotas = SharedQuotaCoordinator(
+            budgets, self.settings.instance, incarnation, self.clock, core.rng, core.lock
+        )
+        core.use_retry_budget(lambda: shared_quotas.try_acquire(Resource.FURTHER_JOIN))
+        core.probes.may_probe = lambda: shared_quotas.try_acquire(Resource.PROBE)
+        self.list_side.turn_wait_us = lambda: shared_quotas.acquire_wait_us(Resource.LIST_CALL)
+        core.status_reporter.add_section("budgets", shared_quotas.status)
+        if self.front_messaging is not None:
+            shared_quotas.send, self.front_messaging.on_quota_message = (
+                self.front_messaging.send_quota_message,
+                shared_quotas.on_message,
+            )
+        return shared_quotas
+
+    def _make_rollouts(self, on_shutdown_requested: Callable[[], None]) -> RolloutService | None:
         """Off by default: without it operators see to it that not too many are out."""
-        told, core = self.settings.releases, self.core
-        if told is None or self.front_side is None:
+        release_settings, core = self.settings.releases, self.core
+        if release_settings is None or self.front_messaging is None:
             return None
-        found = RolloutService(self.settings, told, core, self.timers, self.clock, self.notice, end)
-        if self.overload is not None:
-            ladder = self.overload.policy
-            found.level = lambda: ladder.level.value
-        if self.comeback is not None:
-            state = self.comeback.state
-            found.opening = lambda: state.state
-        found.book.send, self.front_side.agreed = self.front_side.agree, found.book.on_message
-        return found
-
-    def _watch(self, codec: DialLimits) -> HealthCheckCoordinator | None:
+        rollouts = RolloutService(
+            self.settings,
+            release_settings,
+            core,
+            self.timers,
+            self.clock,
+            self.log_event,
+            on_shutdown_requested,
+        )
+        if self.load_shedding is not None:
+            ladder = self.load_shedding.policy
+            rollouts.shedding_level = lambda: ladder.level.value
+        if self.recovery is not None:
+            state = self.recovery.state
+            rollouts.recovery_state = lambda: state.state
+        rollouts.coordinator.send, self.front_messaging.on_rollout_message = (
+            self.front_messaging.send_rollout_message,
+            rollouts.coordinator.on_message,
+        )
+        return rollouts
+
+    def _make_health_coordinator(self, dial_limits: DialLimits) -> HealthCheckCoordinator | None:
         """Off by default: without it each front finds out by its own joins that a box is gone."""
-        core, told, company = self.core, self.settings.watchers, self.company
-        if told is None:
+        core, watcher_settings, membership = self.core, self.settings.watchers, self.membership
+        if watcher_settings is None:
             return None
-        instance, front = self.settings.instance, core.policy
+        instance, policy = self.settings.instance, core.policy
 
-        def listed() -> list[str]:
-            return [box for box, server in front.servers.items() if server.state is ServerState.ACTIVE]
+        def list_active_servers() -> list[str]:
+            return [
+                address for address, server in policy.servers.items() if server.state is ServerState.ACTIVE
+            ]
 
-        def living() -> Iterable[int]:
-            return company.membership.live_fronts() if company is not None else range(instance.fronts)
+        def list_live_fronts() -> Iterable[int]:
+            return membership.membership.live_fronts() if membership is not None else range(instance.fronts)
 
-        found = HealthCheckCoordinator(
+        coordinator = HealthCheckCoordinator(
             instance.index,
             instance.fronts,
             self.clock.wall_us(),  # the number above all of an earlier life's
-            listed,
-            living,
+            list_active_servers,
+            list_live_fronts,
             self.clock,
             core.rng,
             core.lock,
-            self.notice,
+            self.log_event,
         )
-        side = HealthChecker(
+        component = HealthChecker(
             self.clock,
             self.hints,
             self.settings.name,
-            round(told.timeout_ms * 1000),
-            codec,
-            found.on_probe_completed,
+            round(watcher_settings.timeout_ms * 1000),
+            dial_limits,
+            coordinator.on_probe_completed,
         )
-        self.watch_side, found.start_probe = side, side.start_probe
-        self.vetoes.append(found.may_use_server)
-        core.retry_storms.on_server_attempt_ended = found.on_attempt_ended
-        core.status_reporter.add_section("watchers", found.status)
-        if self.front_side is not None:
-            found.broadcast, self.front_side.worded = self.front_side.word, found.on_report
-        return found
-
-    def _look_out(self) -> None:
-        assert self.watch is not None
-        if self.stopping.state is ShutdownState.RUNNING:
-            self.timers.after(health_check_coordinator.CHECK_INTERVAL_US, self._look_out)
-            self.watch.run_checks()
-
-    def _slots(self) -> LimitService | None:
+        self.watch_health_checker, coordinator.start_probe = component, component.start_probe
+        self.server_filters.append(coordinator.may_use_server)
+        core.retry_storms.on_server_attempt_ended = coordinator.on_attempt_ended
+        core.status_reporter.add_section("watchers", coordinator.status)
+        if self.front_messaging is not None:
+            coordinator.broadcast, self.front_messaging.on_health_report = (
+                self.front_messaging.send_health_report,
+                coordinator.on_report,
+            )
+        return coordinator
+
+    def _run_health_checks(self) -> None:
+        assert self.health_coordinator is not None
+        if self.shutdown.state is ShutdownState.RUNNING:
+            self.timers.after(health_check_coordinator.CHECK_INTERVAL_US, self._run_health_checks)
+            self.health_coordinator.run_checks()
+
+    def _make_limit_service(self) -> LimitService | None:
         """Off by default: without it each front has so many joins out at a box as it keeps connections."""
-        told, core = self.settings.slots, self.core
-        if told is None:
+        slot_settings, core = self.settings.slots, self.core
+        if slot_settings is None:
             return None
-        running = lambda: self.stopping.state is ShutdownState.RUNNING  # noqa: E731
-        found = LimitService(self.settings, told, core, self.timers, self.clock, self.notice, running)
-        core.status_reporter.add_section("slots", found.book.status)
-        core.snapshots.collect_other_records = found.book.snapshot_records
-        self.vetoes.append(found.free)
-        self.joiner.slots, self.pool.keeps = found.book, found.book.target_connection_count
+        is_running = lambda: self.shutdown.state is ShutdownState.RUNNING  # noqa: E731
+        limit_service = LimitService(
+            self.settings, slot_settings, core, self.timers, self.clock, self.log_event, is_running
+        )
+        core.status_reporter.add_section("slots", limit_service.learned_limits.status)
+        core.snapshots.collect_other_records = limit_service.learned_limits.snapshot_records
+        self.server_filters.append(limit_service.may_use_server)
+        self.attempt_sender.slots, self.pool.target_count = (
+            limit_service.learned_limits,
+            limit_service.learned_limits.target_connection_count,
+        )
         if self.keeper is not None:
-            found.book.restore(self.keeper.store.values)
-        if self.front_side is not None:
-            found.book.send, self.front_side.slotted = self.front_side.slots, found.book.on_message
-        return found
+            limit_service.learned_limits.restore(self.keeper.store.values)
+        if self.front_messaging is not None:
+            limit_service.learned_limits.send, self.front_messaging.on_limit_message = (
+                self.front_messaging.send_limit_message,
+                limit_service.learned_limits.on_message,
+            )
+        return limit_service
 
-    def _fair(self) -> SlotScheduler | None:
+    def _make_slot_scheduler(self) -> SlotScheduler | None:
         """Off by default: without it a box's slots go to whoever comes first."""
-        told, core = self.settings.fair, self.core
-        if told is None:
+        fair_settings, core = self.settings.fair, self.core
+        if fair_settings is None:
             return None
-        found = SlotScheduler(
-            core.context, told, self.settings.instance, core.catalogue, core.policy, core.lifecycle, Wakeup
+        scheduler = SlotScheduler(
+            core.context,
+            fair_settings,
+            self.settings.instance,
+            core.catalogue,
+            core.policy,
+            core.lifecycle,
+            Wakeup,
         )
-        core.use_slots(found)
-        self.vetoes.append(found.may_use_server)
-        if self.slots is not None:
-            learned = self.slots.book
-            found.quota_of = lambda server, now_us: learned.max_in_flight(server, learned.longest_timeout_us)
-            found.publish_waiting_count, learned.on_capacity_increased = (
-                learned.set_waiting_count,
-                found.on_quota_increased,
+        core.use_slots(scheduler)
+        self.server_filters.append(scheduler.may_use_server)
+        if self.limit_service is not None:
+            learned_limits = self.limit_service.learned_limits
+            scheduler.quota_of = lambda server, now_us: learned_limits.max_in_flight(
+                server, learned_limits.longest_timeout_us
+            )
+            scheduler.publish_waiting_count, learned_limits.on_capacity_increased = (
+                learned_limits.set_waiting_count,
+                scheduler.on_quota_increased,
+            )
+        if self.front_messaging is not None:
+            scheduler.broadcast, self.front_messaging.on_usage_report = (
+                self.front_messaging.send_usage_report,
+                scheduler.on_usage_report,
             )
-        if self.front_side is not None:
-            found.broadcast, self.front_side.gave = self.front_side.give, found.on_usage_report
-        return found
-
-    def _share(self) -> None:
-        assert self.fair is not None
-        if self.stopping.state is ShutdownState.RUNNING:
-            self.timers.after(slot_scheduler.WINDOW_US, self._share)
-            self.fair.close_window()
-
-    def _spare(self) -> None:
-        assert self.budgets is not None
-        if self.stopping.state is ShutdownState.RUNNING:
-            self.timers.after(shared_quota_coordinator.EXCHANGE_INTERVAL_US, self._spare)
-            self.budgets.exchange_quota()
-
-    def _count(self) -> None:
-        assert self.overload is not None
-        if self.stopping.state is ShutdownState.RUNNING:
-            self.timers.after(fleet_load.WINDOW_US, self._count)
-            self.overload.close_window()
-
-    def _look(self) -> None:
-        assert self.comeback is not None
+        return scheduler
+
+    def _close_usage_window(self) -> None:
+        assert self.slot_scheduler is not None
+        if self.shutdown.state is ShutdownState.RUNNING:
+            self.timers.after(slot_scheduler.WINDOW_US, self._close_usage_window)
+            self.slot_scheduler.close_window()
+
+    def _exchange_quota(self) -> None:
+        assert self.shared_quotas is not None
+        if self.shutdown.state is ShutdownState.RUNNING:
+            self.timers.after(shared_quota_coordinator.EXCHANGE_INTERVAL_US, self._exchange_quota)
+            self.shared_quotas.exchange_quota()
+
+    def _close_load_window(self) -> None:
+        assert self.load_shedding is not None
+        if self.shutdown.state is ShutdownState.RUNNING:
+            self.timers.after(fleet_load.WINDOW_US, self._close_load_window)
+            self.load_shedding.close_window()
+
+    def _advance_recovery(self) -> None:
+        assert self.recovery is not None
         with self.core.lock:
-            self.comeback.advance(self.clock.now_us())
+            self.recovery.advance(self.clock.now_us())
 
-    def _company(self) -> MembershipCoordinator | None:
+    def _make_membership(self) -> MembershipCoordinator | None:
         """Off by default: without it each front counts on all others that its settings name."""
-        told, core = self.settings.company, self.core
-        if told is None:
+        company_settings, core = self.settings.company, self.core
+        if company_settings is None:
             return None
-        life = self.clock.wall_us() // 1000
-        company = MembershipCoordinator(
-            told, self.settings.instance, life, self.clock, core.lock, self.notice
+        incarnation = self.clock.wall_us() // 1000
+        coordinator = MembershipCoordinator(
+            company_settings, self.settings.instance, incarnation, self.clock, core.lock, self.log_event
         )
-        core.policy.owns_turn = company.is_own_turn
-        core.status_reporter.add_section("company", company.status)
-        core.snapshots.known_incarnations = company.known_incarnations
-        if self.comeback is not None:
-            self.comeback.front_count = company.effective_front_count
+        core.policy.owns_turn = coordinator.is_own_turn
+        core.status_reporter.add_section("company", coordinator.status)
+        core.snapshots.known_incarnations = coordinator.known_incarnations
+        if self.recovery is not None:
+            self.recovery.front_count = coordinator.effective_front_count
         if core.shadow_policy is not None:
-            core.shadow_policy.alternative.owns_turn = company.is_own_turn
-        return company
+            core.shadow_policy.alternative.owns_turn = coordinator.is_own_turn
+        return coordinator
 
-    def _beat(self) -> None:
-        assert self.company is not None and self.settings.company is not None
-        if self.stopping.state is ShutdownState.RUNNING:
-            self.timers.after(round(self.settings.company.beat_ms * 1000), self._beat)
-            self.company.send_heartbeats()
+    def _send_heartbeats(self) -> None:
+        assert self.membership is not None and self.settings.company is not None
+        if self.shutdown.state is ShutdownState.RUNNING:
+            self.timers.after(round(self.settings.company.beat_ms * 1000), self._send_heartbeats)
+            self.membership.send_heartbeats()
 
-    def _control(self) -> OperatorCommands:
+    def _make_operator_commands(self) -> OperatorCommands:
         wall_ms = self.clock.wall_us() // 1000
-        told = self.settings.control
-        keys = {key.name: (keyed_mac(load(key.key_file, wall_ms)[0]), key.may_change) for key in told.keys}
-        found = OperatorCommands(
-            self.core, self.clock, CommandAuthorizer(self.settings.name, keys), AuditFile(told.audit).tell
+        control_settings = self.settings.control
+        keys = {
+            key.name: (keyed_mac(load(key.key_file, wall_ms)[0]), key.may_change)
+            for key in control_settings.keys
+        }
+        operator_commands = OperatorCommands(
+            self.core,
+            self.clock,
+            CommandAuthorizer(self.settings.name, keys),
+            AuditFile(control_settings.audit).tell,
         )
-        if self.releases is not None:
-            found.orders = OperatorRoutes(self.settings.name, self.releases.book)
-        return found
+        if self.rollouts is not None:
+            operator_commands.orders = OperatorRoutes(self.settings.name, self.rollouts.coordinator)
+        return operator_commands
 
     def start(self) -> None:
         """Start every thread; from then on the front answers."""
-        self.timekeeper.start()
+        self.timer_thread.start()
         if self.keeper is not None:
             self.keeper.start()
-        for side in (self.probe_side, self.watch_side, self.front_side):
-            if side is not None:
-                side.start()
-        if self.releases is not None:
-            self.releases.start()
-        if self.watch is not None:
-            self.timers.after(health_check_coordinator.CHECK_INTERVAL_US, self._look_out)
-        if self.company is not None:
-            self.timers.after(0, self._beat)
-        if self.budgets is not None:
-            self.timers.after(0, self._spare)
-        if self.slots is not None:
-            self.slots.start()
-        if self.overload is not None:
-            self.timers.after(fleet_load.WINDOW_US, self._count)
-        if self.fair is not None:
-            self.timers.after(slot_scheduler.WINDOW_US, self._share)
-        self.senders.start(self.core.commands, self.core.lifecycle)
-        self.movers.start(self.core.migrations)
+        for component in (self.health_checker, self.watch_health_checker, self.front_messaging):
+            if component is not None:
+                component.start()
+        if self.rollouts is not None:
+            self.rollouts.start()
+        if self.health_coordinator is not None:
+            self.timers.after(health_check_coordinator.CHECK_INTERVAL_US, self._run_health_checks)
+        if self.membership is not None:
+            self.timers.after(0, self._send_heartbeats)
+        if self.shared_quotas is not None:
+            self.timers.after(0, self._exchange_quota)
+        if self.limit_service is not None:
+            self.limit_service.start()
+        if self.load_shedding is not None:
+            self.timers.after(fleet_load.WINDOW_US, self._close_load_window)
+        if self.slot_scheduler is not None:
+            self.timers.after(slot_scheduler.WINDOW_US, self._close_usage_window)
+        self.command_senders.start(self.core.commands, self.core.lifecycle)
+        self.migration_workers.start(self.core.migrations)
         self.list_side.start(self.core.discovery)
         if self.settings.lists.must_ask:
             self.list_side.watch()
-        self._plan()
+        self._add_background_tasks()
         self.background.start()
-        if self.comeback is None:
+        if self.recovery is None:
             self.core.server_registry.wait_until_recovered()
             self.core.seat_leases.on_recovered()
         else:
-            self.timers.after(recovery_admission.SAVED_LIST_FALLBACK_US, self._stand_in)
+            self.timers.after(recovery_admission.SAVED_LIST_FALLBACK_US, self._use_stored_list)
         self.door.start()
-        if self.releases is not None:
-            self.releases.is_open = True
-        self.notice("front_started", address=self.door.address, boot=self.core.session_ids.boot_id)
+        if self.rollouts is not None:
+            self.rollouts.is_open = True
+        self.log_event("front_started", address=self.door.address, boot=self.core.session_ids.boot_id)
 
-    def _stand_in(self) -> None:
-        assert self.comeback is not None
+    def _use_stored_list(self) -> None:
+        assert self.recovery is not None
         with self.core.lock:
-            self.comeback.use_stored_list()
+            self.recovery.use_stored_list()
 
-    def _plan(self) -> None:
+    def _add_background_tasks(self) -> None:
         """What goes on in the background."""
-        plan = self.background.add
-        plan("sweep", TaskPriority.CLIENT_FACING, SWEEP_US, SWEEP_US, self._sweep)
-        plan("trim", TaskPriority.HOUSEKEEPING, TRIM_US, TRIM_US, self.pool.trim)
-        if self.comeback is not None:
-            plan("comeback", TaskPriority.CLIENT_FACING, SWEEP_US, SWEEP_US, self._look)
+        add = self.background.add
+        add(
+            "sweep",
+            TaskPriority.CLIENT_FACING,
+            SWEEP_INTERVAL_US,
+            SWEEP_INTERVAL_US,
+            self._sweep_sessions,
+        )
+        add("trim", TaskPriority.HOUSEKEEPING, TRIM_INTERVAL_US, TRIM_INTERVAL_US, self.pool.close_stale)
+        if self.recovery is not None:
+            add(
+                "comeback",
+                TaskPriority.CLIENT_FACING,
+                SWEEP_INTERVAL_US,
+                SWEEP_INTERVAL_US,
+                self._advance_recovery,
+            )
         if self.keeper is not None:
-            plan("memories", TaskPriority.SNAPSHOT, REMEMBER_US, REMEMBER_US, self._remember)
+            add(
+                "memories",
+                TaskPriority.SNAPSHOT,
+                SNAPSHOT_INTERVAL_US,
+                SNAPSHOT_INTERVAL_US,
+                self._store_snapshot,
+            )
         if self.tls is not None:
             tls = self.tls
-            plan("certificate", TaskPriority.HOUSEKEEPING, LOOK_US, LOOK_US, lambda: void(tls.check()))
+            add(
+                "certificate",
+                TaskPriority.HOUSEKEEPING,
+                CERTIFICATE_CHECK_INTERVAL_US,
+                CERTIFICATE_CHECK_INTERVAL_US,
+                lambda: ignore_result(tls.check()),
+            )
 
-    def _remember(self) -> None:
+    def _store_snapshot(self) -> None:
         assert self.keeper is not None
         self.keeper.enqueue(self.core.snapshots.collect_changes())
 
-    def _sweep(self) -> None:
+    def _sweep_sessions(self) -> None:
         self.core.client_reports.close_silent_sessions()
         self.core.seat_leases.close_expired()
         self.core.migrations.run_due()
 
     def stop(self) -> None:
         """Answer everything held and end, within the stated time."""
-        began_us = self.clock.now_us()
-        acts = {
+        started_us = self.clock.now_us()
+        actions = {
             ShutdownAction.STOP_ACCEPTING: self._stop_accepting,
             ShutdownAction.CANCEL_ATTEMPTS: self.halt.set,
             ShutdownAction.CLOSE_CONNECTIONS: self._close,
         }
         event = ShutdownEvent.REQUESTED
-        while self.stopping.state is not ShutdownState.STOPPED:
-            for act in self.stopping.apply(event, self.clock.now_us()):
-                acts[act]()
-            idle = self.door.wait_idle(self.stopping.remaining_us(self.clock.now_us()))
+        while self.shutdown.state is not ShutdownState.STOPPED:
+            for action in self.shutdown.apply(event, self.clock.now_us()):
+                actions[action]()
+            idle = self.door.wait_idle(self.shutdown.remaining_us(self.clock.now_us()))
             event = ShutdownEvent.IDLE if idle else ShutdownEvent.DEADLINE_REACHED
-        self.notice("front_stopped", took_ms=(self.clock.now_us() - began_us) / 1000, counts=self.core.counts)
+        self.log_event(
+            "front_stopped", took_ms=(self.clock.now_us() - started_us) / 1000, counts=self.core.counts
+        )
 
     def _stop_accepting(self) -> None:
-        if self.company is not None:
-            self.company.announce_leave()
+        if self.membership is not None:
+            self.membership.announce_leave()
         self.core.admission.stop()
         self.door.stop_accepting()
 
@@ -503,18 +604,23 @@
         self.list_side.stop()
         self.background.stop()
         self.timers.stop()
-        self.timekeeper.join()
-        self.movers.stop()
+        self.timer_thread.join()
+        self.migration_workers.stop()
         if self.keeper is not None:
             self.keeper.enqueue(self.core.snapshots.collect_changes())
             self.keeper.stop(
-                max(0, self.stopping.requested_us + self.stopping.time_limit_us - self.clock.now_us())
+                max(0, self.shutdown.requested_us + self.shutdown.time_limit_us - self.clock.now_us())
             )
-        for side in (self.probe_side, self.watch_side, self.releases, self.front_side):
-            if side is not None:
-                side.stop()
-        self.server_side.stop()
-        self.senders.stop(self.stopping.requested_us + self.stopping.time_limit_us)
+        for component in (
+            self.health_checker,
+            self.watch_health_checker,
+            self.rollouts,
+            self.front_messaging,
+        ):
+            if component is not None:
+                component.stop()
+        self.server_event_streams.stop()
+        self.command_senders.stop(self.shutdown.requested_us + self.shutdown.time_limit_us)
         self.pool.close()
         self.halt.close()
 
--- a/packages/daemon/src/fennelcove/daemon/key_file.py
+++ b/packages/daemon/src/fennelcove/daemon/key_file.py
@@ -34,24 +34,26 @@
         raise KeyFileError(
             f"found no readable key file ({error})", path, "fennelcove storm key makes one"
         ) from None
-    found: list[tuple[int, bytes]] = []
+    dated_keys: list[tuple[int, bytes]] = []
     for number, line in enumerate(lines, 1):
-        text, _, made = line.strip().partition(" ")
+        text, _, created = line.strip().partition(" ")
         try:
-            key, made_ms = bytes.fromhex(text), int(made)
+            key, created_ms = bytes.fromhex(text), int(created)
         except ValueError:
-            key, made_ms = b"", 0
+            key, created_ms = b"", 0
         if len(key) != KEY_BYTES:
             raise KeyFileError(
                 f"found no key of {KEY_BYTES} bytes and its time", f"{path}:{number}", "remove the line"
             )
-        found.append((made_ms, key))
-    found.sort(reverse=True)
+        dated_keys.append((created_ms, key))
+    dated_keys.sort(reverse=True)
     # A key is superseded when the next is made; the newest never expires.
-    kept = [key for i, (_, key) in enumerate(found) if i == 0 or wall_ms - found[i - 1][0] < OVERLAP_MS]
-    if not kept:
+    active_keys = [
+        key for i, (_, key) in enumerate(dated_keys) if i == 0 or wall_ms - dated_keys[i - 1][0] < OVERLAP_MS
+    ]
+    if not active_keys:
         raise KeyFileError("found no key", path, "fennelcove storm key makes one")
-    return kept
+    return active_keys
 
 
 def rotate(path: str, wall_ms: int) -> int:
@@ -60,22 +62,26 @@
     Raises:
         KeyFileError: a file that is there and is no key file, or can't be written.
     """
-    here = Path(path)
-    keys = load(path, wall_ms) if here.exists() else []
+    file_path = Path(path)
+    keys = load(path, wall_ms) if file_path.exists() else []
     lines = (
         []
         if not keys
-        else [line for line in here.read_text("ascii").splitlines() if bytes.fromhex(line.split()[0]) in keys]
+        else [
+            line
+            for line in file_path.read_text("ascii").splitlines()
+            if bytes.fromhex(line.split()[0]) in keys
+        ]
     )
     lines.append(f"{secrets.token_hex(KEY_BYTES)} {wall_ms}")
-    fresh = here.with_name(here.name + ".new")
+    temporary_path = file_path.with_name(file_path.name + ".new")
     try:
-        descriptor = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         with os.fdopen(descriptor, "w", encoding="ascii") as file:
             file.write("\n".join(lines) + "\n")
             file.flush()
             os.fsync(file.fileno())
-        fresh.replace(here)
+        temporary_path.replace(file_path)
     except OSError as error:
         raise KeyFileError(f"found no writable place ({error.strerror})", path) from None
     return len(lines)
--- a/packages/daemon/src/fennelcove/daemon/ledger_file.py
+++ b/packages/daemon/src/fennelcove/daemon/ledger_file.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 
-class _Line(Struct, frozen=True, kw_only=True):
+class _Record(Struct, frozen=True, kw_only=True):
     version: int
     made: bool
     id: str
@@ -32,10 +32,10 @@
     wall_us: int | None
 
 
-_DECODER: msgspec.json.Decoder[_Line] = msgspec.json.Decoder(_Line)
+_DECODER: msgspec.json.Decoder[_Record] = msgspec.json.Decoder(_Record)
 
 
-def _text(at: Fraction | None) -> str | None:
+def _fraction_text(at: Fraction | None) -> str | None:
     return None if at is None else str(at)
 
 
@@ -46,27 +46,29 @@
 class LedgerFile:
     """One file; without a path nothing is kept."""
 
-    def __init__(self, path: str | None, notice: EventLogger) -> None:
+    def __init__(self, path: str | None, log_event: EventLogger) -> None:
         self.path = Path(path) if path is not None else None
-        self.notice = notice
+        self.log_event = log_event
         self.lock = threading.Lock()
 
     def load(self) -> list[tuple[Change, bool]]:
         """Every change and withdrawal in the order of the ledger's versions."""
         if self.path is None or not self.path.exists():
             return []
-        lines = []
-        for number, raw in enumerate(self.path.read_bytes().split(b"\n"), 1):
-            if not raw:
+        records = []
+        for number, line in enumerate(self.path.read_bytes().split(b"\n"), 1):
+            if not line:
                 continue
-            mark, _, body = raw.partition(b" ")
+            line_hash, _, body = line.partition(b" ")
             try:
-                if mark.decode("ascii", "replace") != blake3.blake3(body).hexdigest()[:16]:
+                if line_hash.decode("ascii", "replace") != blake3.blake3(body).hexdigest()[:16]:
                     raise ValueError("its hash does not fit")
-                lines.append(_DECODER.decode(body))
+                records.append(_DECODER.decode(body))
             except (msgspec.MsgspecError, ValueError) as error:
-                self.notice("ledger_line_passed_over", file=str(self.path), line=number, reason=str(error))
-        return [(_change(line), line.made) for line in sorted(lines, key=lambda line: line.version)]
+                self.log_event("ledger_line_passed_over", file=str(self.path), line=number, reason=str(error))
+        return [
+            (_change(record), record.made) for record in sorted(records, key=lambda record: record.version)
+        ]
 
     def keep(self, change: Change, made: bool, version: int) -> None:
         """Write one step through to the disk.
@@ -77,7 +79,7 @@
         if self.path is None:
             return
         target = change.target
-        line = _Line(
+        record = _Record(
             version=version,
             made=made,
             id=change.id,
@@ -87,33 +89,33 @@
             subscription=target.session_id,
             kind=change.kind.value,
             clip=change.clip,
-            at=_text(change.start_s),
-            until=_text(change.end_s),
+            at=_fraction_text(change.start_s),
+            until=_fraction_text(change.end_s),
             wall_us=change.wall_us,
         )
-        body = msgspec.json.encode(line)
+        body = msgspec.json.encode(record)
         with self.lock, self.path.open("ab") as file:
-            if file.tell() and not self._ends_whole():
+            if file.tell() and not self._ends_with_newline():
                 file.write(b"\n")  # a line cut short must not swallow the next one
             file.write(blake3.blake3(body).hexdigest()[:16].encode() + b" " + body + b"\n")
             file.flush()
             os.fsync(file.fileno())
 
-    def _ends_whole(self) -> bool:
+    def _ends_with_newline(self) -> bool:
         assert self.path is not None
         with self.path.open("rb") as file:
             file.seek(-1, os.SEEK_END)
             return file.read(1) == b"\n"
 
 
-def _change(line: _Line) -> Change:
+def _change(record: _Record) -> Change:
     return Change(
-        line.id,
-        line.author,
-        ChangeTarget(line.title, line.room_type, line.subscription),
-        ChangeKind(line.kind),
-        line.clip,
-        _fraction(line.at),
-        _fraction(line.until),
-        line.wall_us,
+        record.id,
+        record.author,
+        ChangeTarget(record.title, record.room_type, record.subscription),
+        ChangeKind(record.kind),
+        record.clip,
+        _fraction(record.at),
+        _fraction(record.until),
+        record.wall_us,
     )
--- a/packages/daemon/src/fennelcove/daemon/rollouts.py
+++ b/packages/daemon/src/fennelcove/daemon/rollouts.py
@@ -17,8 +17,8 @@
 from fennelcove.core.requests import EventLogger
 from fennelcove.core.rollout_coordinator import RolloutCoordinator, ServerObservation
 from fennelcove.decisions.clients.admission import AdmissionEvent, AdmissionState
-from fennelcove.decisions.clients.retry_storm import StormState as Weather
-from fennelcove.decisions.fleet.recovery_admission import RecoveryState as Opening
+from fennelcove.decisions.clients.retry_storm import StormState
+from fennelcove.decisions.fleet.recovery_admission import RecoveryState
 from fennelcove.interface import ServerState
 from fennelcove.placement import Server
 from fennelcove.rollouts.coordinator import FrontStatus, PersistedState, RolloutAgreement, RolloutSettings
@@ -29,28 +29,28 @@
 from msgspec import Struct
 
 KEY = b"releases"
-FOLDER = "promises"  # in the front's store: a store of its own, written at once
-MOST_MB = 4
-MOST_PLACE = 0x7FFF  # what a message can name
+STORE_FOLDER = "promises"  # in the front's store: a store of its own, written at once
+MAX_STORE_MB = 4
+MAX_PLACE_NUMBER = 0x7FFF  # what a message can name
 # A join that fails so says something of the front, or of its settings; a box that is full does not.
-FAILED = ("server_error", "no_answer", "no_connection", "connection_lost")
-WEATHER = {phase: number for number, phase in enumerate(Weather)}
+FRONT_FAILURES = ("server_error", "no_answer", "no_connection", "connection_lost")
+STORM_PHASE_NUMBERS = {phase: number for number, phase in enumerate(StormState)}
 
 
-class Kept(Struct, frozen=True, array_like=True):
+class StoredRollouts(Struct, frozen=True, array_like=True):
     """What is safe in the folder."""
 
-    life: int
-    memory: PersistedState
+    incarnation: int
+    state: PersistedState
 
 
-_DECODER: msgspec.msgpack.Decoder[Kept] = msgspec.msgpack.Decoder(Kept)
+_DECODER: msgspec.msgpack.Decoder[StoredRollouts] = msgspec.msgpack.Decoder(StoredRollouts)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def zone(name: str) -> int:
+def zone_number(name: str) -> int:
     """A hall's number, the same at all fronts."""
-    return crc32(name.encode()) & MOST_PLACE
+    return crc32(name.encode()) & MAX_PLACE_NUMBER
 
 
 class Promises:
@@ -58,35 +58,35 @@
     waits instead.
     """
 
-    def __init__(self, settings: FrontSettings, wall_us: int, notice: EventLogger) -> None:
-        self.notice = notice
+    def __init__(self, settings: FrontSettings, wall_us: int, log_event: EventLogger) -> None:
+        self.log_event = log_event
         self.store: Store | None = None
         self.memory: PersistedState | None = None
         self.life = wall_us // 1000
         if settings.store is None:
             return
-        self.store = Store(f"{settings.store.folder}/{FOLDER}", MOST_MB, settings.name)
+        self.store = Store(f"{settings.store.folder}/{STORE_FOLDER}", MAX_STORE_MB, settings.name)
         raw = self.store.values.get(KEY)
         if raw is None:
             return
         try:
-            kept = _DECODER.decode(raw)
+            stored = _DECODER.decode(raw)
         except msgspec.MsgspecError as error:
-            notice("promises_unread", reason=str(error))
+            log_event("promises_unread", reason=str(error))
             return
         # A clock that went back must not begin a life that the others hold to be over.
-        self.life, self.memory = max(self.life, kept.life + 1), kept.memory
+        self.life, self.memory = max(self.life, stored.incarnation + 1), stored.state
 
     def keep(self, memory: PersistedState) -> bool:
         """Whether it is safe now."""
         if self.store is None:
             return True
         try:
-            self.store.commit([(KEY, _ENCODER.encode(Kept(self.life, memory)))])
+            self.store.commit([(KEY, _ENCODER.encode(StoredRollouts(self.life, memory)))])
             if self.store.needs_checkpoint:
                 self.store.checkpoint()
         except OSError as error:
-            self.notice("promises_not_kept", reason=str(error))
+            self.log_event("promises_not_kept", reason=str(error))
             return False
         return True
 
@@ -102,56 +102,85 @@
     def __init__(
         self,
         settings: FrontSettings,
-        told: ReleaseSettings,
+        release_settings: ReleaseSettings,
         core: Core,
         timers: Timers,
         clock: Clock,
-        notice: EventLogger,
-        end: Callable[[], None],
+        log_event: EventLogger,
+        request_shutdown: Callable[[], None],
     ) -> None:
-        self.told = told
+        self.release_settings = release_settings
         self.core = core
         self.timers = timers
         self.clock = clock
-        self.notice = notice
-        self.end = end
-        self.level: Callable[[], int] = lambda: 0
-        self.opening: Callable[[], Opening] = lambda: Opening.OPEN
-        self.is_open = self.ending = False
-        self.served_from_us: int | None = None
-        self.joined_us: dict[str, int] = {}  # when the last join was sent that each box has answered well
-        self.promises = Promises(settings, clock.wall_us(), notice)
-        self.book = RolloutCoordinator(
-            self._agreement(settings, told),
-            round(told.beat_ms * 1000),
-            self.mine,
-            self.servers,
+        self.log_event = log_event
+        self.request_shutdown = request_shutdown
+        self.shedding_level: Callable[[], int] = lambda: 0
+        self.recovery_state: Callable[[], RecoveryState] = lambda: RecoveryState.OPEN
+        self.is_open = self.is_ending = False
+        self.serving_since_us: int | None = None
+        self.served_attempt_us: dict[
+            str, int
+        ] = {}  # when the last join was sent that each box has answered well
+        self.promises = Promises(settings, clock.wall_us(), log_event)
+        self.coordinator = RolloutCoordinator(
+            self._agreement(settings, release_settings),
+            round(release_settings.beat_ms * 1000),
+            self.own_status,
+            self.observe_servers,
             self.promises.keep,
             clock,
             Random(f"{settings.seed}/releases"),
-            notice,
+            log_event,
         )
-        self.book.leave_service, self.book.take_server_out = self.leave, self.take_server
-        core.attempts.set_served_listener(self.server_attempted)
+        self.coordinator.leave_service, self.coordinator.take_server_out = (
+            self.leave_service,
+            self.take_server_out,
+        )
+        core.attempts.set_served_listener(self.on_attempt_served)
         core.status_reporter.add_section("releases", self.status)
-        self.thread = threading.Thread(target=self.book.run, name="releases")
+        self.thread = threading.Thread(target=self.coordinator.run, name="releases")
 
-    def _agreement(self, settings: FrontSettings, told: ReleaseSettings) -> RolloutAgreement:
+    def _agreement(self, settings: FrontSettings, release_settings: ReleaseSettings) -> RolloutAgreement:
         instance = settings.instance
-        halls = told.halls or [instance.zone] * instance.fronts
+        zone_names = release_settings.halls or [instance.zone] * instance.fronts
         limits = FleetLimits(
-            DisruptionLimit(told.fronts_out, told.fronts_out_hall, capacity_margin=told.margin),
-            DisruptionLimit(told.boxes_out, told.boxes_out_hall, told.boxes_out_title, told.margin),
+            DisruptionLimit(
+                release_settings.fronts_out,
+                release_settings.fronts_out_hall,
+                capacity_margin=release_settings.margin,
+            ),
+            DisruptionLimit(
+                release_settings.boxes_out,
+                release_settings.boxes_out_hall,
+                release_settings.boxes_out_title,
+                release_settings.margin,
+            ),
+        )
+        heartbeat_us, window_us, silent_us, drain_visible_us = (
+            round(ms * 1000)
+            for ms in (
+                release_settings.beat_ms,
+                release_settings.window_ms,
+                release_settings.silent_ms,
+                release_settings.show_ms,
+            )
         )
-        beat_us, window_us, silent_us, show_us = (
-            round(ms * 1000) for ms in (told.beat_ms, told.window_ms, told.silent_ms, told.show_ms)
+        rollout_settings = RolloutSettings(
+            instance.fronts,
+            instance.index,
+            heartbeat_us,
+            window_us,
+            silent_us,
+            drain_visible_us=drain_visible_us,
         )
-        terms = RolloutSettings(
-            instance.fronts, instance.index, beat_us, window_us, silent_us, drain_visible_us=show_us
+        locations = tuple(
+            Location(zone_number(name), 1.0, release_settings.front_load) for name in zone_names
         )
-        places = tuple(Location(zone(name), 1.0, told.front_load) for name in halls)
         now_us = self.clock.now_us()
-        return RolloutAgreement(terms, limits, places, self.promises.life, now_us, self.promises.memory)
+        return RolloutAgreement(
+            rollout_settings, limits, locations, self.promises.life, now_us, self.promises.memory
+        )
 
     def start(self) -> None:
         """Begin to speak: the door may still be shut."""
@@ -159,127 +188,131 @@
 
     def stop(self) -> None:
         """End the thread and give the folder back."""
-        self.book.stop()
+        self.coordinator.stop()
         self.thread.join()
         self.promises.close()
 
     def status(self) -> dict[str, object]:
         """Figures for an operator."""
-        return {"version": self.told.version, **self.book.status()}
+        return {"version": self.release_settings.version, **self.coordinator.status()}
 
     # What it is and sees; called on the thread of releases.
 
-    def mine(self) -> FrontStatus:
+    def own_status(self) -> FrontStatus:
         """What this front is now. What it turns away since it drains says nothing about its version."""
         with self.core.lock:
-            phase, counts, weather = (
+            admission_state, counts, storm_detector = (
                 self.core.admission_controller.state,
                 Counter(self.core.counts),
                 self.core.retry_storms.detector,
             )
-            opening = self.opening()
-            storm, level = WEATHER[weather.state], self.level()
-        away = counts["damped"] + counts["refused_request_full"] + counts["refused_subscription_full"]
-        stands = ServingState.SERVING if phase is AdmissionState.OPEN else ServingState.DRAINING
-        if stands is ServingState.SERVING and (
-            not self.is_open or opening not in (Opening.OPEN, Opening.RATIONED)
+            recovery_state = self.recovery_state()
+            storm_phase, shedding_level = STORM_PHASE_NUMBERS[storm_detector.state], self.shedding_level()
+        rejected = counts["damped"] + counts["refused_request_full"] + counts["refused_subscription_full"]
+        serving_state = (
+            ServingState.SERVING if admission_state is AdmissionState.OPEN else ServingState.DRAINING
+        )
+        if serving_state is ServingState.SERVING and (
+            not self.is_open or recovery_state not in (RecoveryState.OPEN, RecoveryState.RATIONED)
         ):
-            stands = ServingState.STARTING
+            serving_state = ServingState.STARTING
         now_us = self.clock.now_us()
-        if stands is ServingState.SERVING and self.served_from_us is None:
-            self.served_from_us = now_us
-        since_us = now_us if self.served_from_us is None else self.served_from_us
+        if serving_state is ServingState.SERVING and self.serving_since_us is None:
+            self.serving_since_us = now_us
+        since_us = now_us if self.serving_since_us is None else self.serving_since_us
         return FrontStatus(
-            stands,
-            self.told.version,
+            serving_state,
+            self.release_settings.version,
             (now_us - since_us) // 1_000_000,
-            requested=counts["requests"] + away,
+            requested=counts["requests"] + rejected,
             served=counts["playing"],
-            refused=counts["throttled"] + away,
-            failed=sum(counts[f"joins_{how}"] for how in FAILED),
-            shedding_level=level,
-            storm_phase=storm,
+            refused=counts["throttled"] + rejected,
+            failed=sum(counts[f"joins_{outcome}"] for outcome in FRONT_FAILURES),
+            shedding_level=shedding_level,
+            storm_phase=storm_phase,
         )
 
-    def server_attempted(self, address: str, sent_us: int) -> None:
+    def on_attempt_served(self, address: str, sent_us: int) -> None:
         """A box has answered a join well that was sent then; the core's lock is round it."""
-        self.joined_us[address] = max(sent_us, self.joined_us.get(address, 0))
+        self.served_attempt_us[address] = max(sent_us, self.served_attempt_us.get(address, 0))
 
-    def servers(self) -> Mapping[int, ServerObservation]:
+    def observe_servers(self) -> Mapping[int, ServerObservation]:
         """All boxes by their cells. Where two share one, a cell names no box: then none may be taken out."""
         found: dict[int, ServerObservation] = {}
         with self.core.lock:
             servers = [s for s in self.core.policy.servers.values() if s.state is not ServerState.LEFT]
             cells = Counter(server.cell for server in servers)
-            if not servers or max(cells.values()) > 1 or max(cells) > MOST_PLACE:
+            if not servers or max(cells.values()) > 1 or max(cells) > MAX_PLACE_NUMBER:
                 return {}
             now_us = self.core.policy.now_us = self.clock.now_us()
             for server in servers:
-                found[server.cell] = self._sight(server, now_us)
+                found[server.cell] = self._observe(server, now_us)
             known = {server.address for server in servers}
-            for address in self.joined_us.keys() - known:
-                del self.joined_us[address]
+            for address in self.served_attempt_us.keys() - known:
+                del self.served_attempt_us[address]
         return found
 
-    def _sight(self, server: Server, now_us: int) -> ServerObservation:
-        front, core = self.core.policy, self.core
-        warm = not front.is_warming_up(server)
+    def _observe(self, server: Server, now_us: int) -> ServerObservation:
+        core, policy = self.core, self.core.policy
+        is_warm = not policy.is_warming_up(server)
         titles = frozenset(
             number
             for number, title in core.catalogue.titles.values()
-            if (server.cell - title.first_cell) % front.settings.cell_count < title.cells
+            if (server.cell - title.first_cell) % policy.settings.cell_count < title.cells
         )
-        size_kb = server.link.capacity_kb
-        load_kb = min(size_kb, (server.link.report or 0.0) * size_kb)
-        place = Location(zone(server.zone), size_kb, load_kb, titles, warm)
-        attempted_us = self.joined_us.get(server.address)
-        well = warm and server.state is ServerState.ACTIVE and now_us >= server.suspended_until_us
-        if well and attempted_us is not None and attempted_us >= server.started_us:
-            return ServerObservation(place, True, attempted_us)
+        capacity_kb = server.link.capacity_kb
+        load_kb = min(capacity_kb, (server.link.report or 0.0) * capacity_kb)
+        location = Location(zone_number(server.zone), capacity_kb, load_kb, titles, is_warm)
+        served_us = self.served_attempt_us.get(server.address)
+        is_usable = is_warm and server.state is ServerState.ACTIVE and now_us >= server.suspended_until_us
+        if is_usable and served_us is not None and served_us >= server.started_us:
+            return ServerObservation(location, True, served_us)
         # Nothing but an answer to what was sent tells of a time: a report may have lain anywhere.
-        return ServerObservation(place, False, now_us if not well else server.started_us)
+        return ServerObservation(location, False, now_us if not is_usable else server.started_us)
 
     # How it goes out.
 
-    def leave(self, version: int) -> bool:
+    def leave_service(self, version: int) -> bool:
         """Take nothing new from now on, and end so that the supervisor starts this version."""
         try:
-            write_whole(Path(self.told.wanted), f"{version}\n")
+            write_atomically(Path(self.release_settings.wanted), f"{version}\n")
         except OSError as error:
-            self.notice("wanted_not_written", file=self.told.wanted, reason=str(error))
+            self.log_event("wanted_not_written", file=self.release_settings.wanted, reason=str(error))
             return False
-        self.notice("release_leaves", version=version)
+        self.log_event("release_leaves", version=version)
         self.core.admission.change_state(AdmissionEvent.DRAIN)
-        if not self.ending:
-            self.ending = True
-            if not self.timers.after(round(self.told.drain_ms * 1000), self.end):
-                self.end()  # no timer is left: better at once than never
+        if not self.is_ending:
+            self.is_ending = True
+            if not self.timers.after(round(self.release_settings.drain_ms * 1000), self.request_shutdown):
+                self.request_shutdown()  # no timer is left: better at once than never
         return True
 
-    def take_server(self, cell: int) -> bool:
+    def take_server_out(self, cell: int) -> bool:
         """Tell whoever keeps the list that this box may be drained now: a line in a file beside `wanted`."""
         with self.core.lock:
             found = [s.address for s in self.core.policy.servers.values() if s.cell == cell]
         if not found:
             return False
         try:
-            write_whole(Path(f"{self.told.wanted}.box"), f"{found[0]}\n")
+            write_atomically(Path(f"{self.release_settings.wanted}.box"), f"{found[0]}\n")
         except OSError as error:
-            self.notice("wanted_not_written", file=f"{self.told.wanted}.box", reason=str(error))
+            self.log_event(
+                "wanted_not_written", file=f"{self.release_settings.wanted}.box", reason=str(error)
+            )
             return False
-        self.notice("release_takes_box", box=found[0], cell=cell)
+        self.log_event("release_takes_box", box=found[0], cell=cell)
         return True
 
 
-def write_whole(path: Path, text: str) -> None:
+def write_atomically(path: Path, text: str) -> None:
     """Whole or not at all, and safe when it returns.
 
     Raises:
         OSError: it can't be written.
     """
-    fresh = path.with_name(path.name + ".new")
-    with fresh.open("w", encoding="ascii") as file:
+    temporary_path = path.with_name(path.name + ".new")
+    with temporary_path.open("w", encoding="ascii") as file:
         file.write(text)
         file.flush()
         os.fsync(file.fileno())
-    fresh.replace(path)
+    temporary_path.replace(path)
--- a/packages/upstream/src/fennelcove/upstream/attempts.py
+++ b/packages/upstream/src/fennelcove/upstream/attempts.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunningAttempt:
+class CompletedAttempt:
     """A join's end, and whether the viewer's hanging up or this front's stopping brought it."""
 
     end: AttemptResult
@@ -45,48 +45,48 @@
     """Reads boxes' CMSD for all threads, out of memory where it came lately."""
 
     def __init__(self) -> None:
-        self.memo = cmsd.Memo()
+        self.cache = cmsd.Memo()
         self.lock = threading.Lock()
-        self.dropped = 0
+        self.dropped_count = 0
 
-    def says(self, static: str | None, dynamic: str | None) -> ServerHints | None:
+    def read(self, static: str | None, dynamic: str | None) -> ServerHints | None:
         """What a box tells; of several hops the one nearest the box counts, which is the first."""
         if not dynamic:
             return None
         with self.lock:
-            found = self.memo.read(static, dynamic)
-            self.dropped += found.dropped
+            found = self.cache.read(static, dynamic)
+            self.dropped_count += found.dropped
         if not found.hops:
             return None
         hop = found.hops[0]
-        link, uplink = hop.number(cmsd.LINK_KEY), hop.number(cmsd.UPLINK_KEY)
-        return ServerHints(link, uplink, hop.in_duress, hop.number("mb"))
+        link_load, uplink_load = hop.number(cmsd.LINK_KEY), hop.number(cmsd.UPLINK_KEY)
+        return ServerHints(link_load, uplink_load, hop.in_duress, hop.number("mb"))
 
 
-def text(head: ResponseHead, name: bytes) -> str | None:
+def header_text(head: ResponseHead, name: bytes) -> str | None:
     """A field's value as text."""
     value = head.get(name)
     return None if value is None else value.decode("latin-1")
 
 
-class Slots(Protocol):
+class AttemptSlots(Protocol):
     """What a joiner asks where the joins at a box have a number of their own; none of it waits."""
 
     def workload_shape(self, service_class: str, rung: int, server: str) -> int: ...
 
-    def try_acquire(self, server: str, shape: int, allow_us: int) -> bool: ...
+    def try_acquire(self, server: str, shape: int, timeout_us: int) -> bool: ...
 
     def on_attempt_ended(self, server: str, shape: int, held_us: int, answered: bool | None) -> None: ...
 
 
 # What an end says of a box's pace: it answered, or did not; the rest says nothing of it.
-ANSWERED = {Outcome.SERVED: True, Outcome.NO_ANSWER: False, Outcome.CONNECTION_LOST: False}
+ANSWERED_BY_OUTCOME = {Outcome.SERVED: True, Outcome.NO_ANSWER: False, Outcome.CONNECTION_LOST: False}
 
 
 class AttemptSender:
     """Runs joins, each on the thread that waits for it. With `slots` each first takes one."""
 
-    slots: Slots | None = None
+    slots: AttemptSlots | None = None
 
     def __init__(
         self,
@@ -106,56 +106,58 @@
         self.limits = limits
         self.halt = halt
 
-    def run(self, step: SendAttempt, viewer: socket.socket | None) -> RunningAttempt:
+    def run(self, step: SendAttempt, client_socket: socket.socket | None) -> CompletedAttempt:
         """Send the join and wait for its end, the viewer's hanging up, or this front's stopping."""
-        if step.is_blocked or not self.pool.enter(step.server):
-            return RunningAttempt(AttemptResult(Outcome.NOT_SENT, None, 0))
+        if step.is_blocked or not self.pool.reserve(step.server):
+            return CompletedAttempt(AttemptResult(Outcome.NOT_SENT, None, 0))
         if self.slots is None:
-            return self._entered(step, viewer)
+            return self._send_with_reservation(step, client_socket)
         shape = self.slots.workload_shape(step.session.service_class, step.rung, step.server)
         if not self.slots.try_acquire(step.server, shape, step.timeout_us):
-            self.pool.leave(step.server, None)
-            return RunningAttempt(AttemptResult(Outcome.NOT_SENT, None, 0))
+            self.pool.release(step.server, None)
+            return CompletedAttempt(AttemptResult(Outcome.NOT_SENT, None, 0))
         answered = None
-        began_us = self.clock.now_us()
+        started_us = self.clock.now_us()
         try:
-            run = self._entered(step, viewer)
-            answered = ANSWERED.get(run.end.outcome)
+            run = self._send_with_reservation(step, client_socket)
+            answered = ANSWERED_BY_OUTCOME.get(run.end.outcome)
             return run
         finally:
-            self.slots.on_attempt_ended(step.server, shape, self.clock.now_us() - began_us, answered)
-
-    def _entered(self, step: SendAttempt, viewer: socket.socket | None) -> RunningAttempt:
-        began_us = self.clock.now_us()
-        link: ServerConnection | None = None
-        keep = False
+            self.slots.on_attempt_ended(step.server, shape, self.clock.now_us() - started_us, answered)
+
+    def _send_with_reservation(
+        self, step: SendAttempt, client_socket: socket.socket | None
+    ) -> CompletedAttempt:
+        started_us = self.clock.now_us()
+        connection: ServerConnection | None = None
+        is_reusable = False
         try:
-            run, link, keep = self._exchange(step, viewer, began_us)
+            run, connection, is_reusable = self._exchange(step, client_socket, started_us)
             return run
         finally:
-            if link is not None and not keep:
-                link.sock.close()
-            self.pool.leave(step.server, link if keep else None)
+            if connection is not None and not is_reusable:
+                connection.sock.close()
+            self.pool.release(step.server, connection if is_reusable else None)
 
     def _exchange(
-        self, step: SendAttempt, viewer: socket.socket | None, began_us: int
-    ) -> tuple[RunningAttempt, ServerConnection | None, bool]:
-        exchange, times = AttemptExchange(), attempt_timeouts(step.timeout_us)
+        self, step: SendAttempt, client_socket: socket.socket | None, started_us: int
+    ) -> tuple[CompletedAttempt, ServerConnection | None, bool]:
+        exchange, timeouts = AttemptExchange(), attempt_timeouts(step.timeout_us)
         session = step.session
-        link = (
-            self.pool.idle_link(step.server)
+        connection = (
+            self.pool.take_idle_connection(step.server)
             if may_reuse_connection(self.effects[session.service_class])
             else None
         )
-        if link is None:
+        if connection is None:
             try:
-                link = dial(step.server, times.connect_us, self.limits)
+                connection = dial(step.server, timeouts.connect_us, self.limits)
             except TimeoutError:
                 exchange.apply(ExchangeEvent.TIMED_OUT)
             except OSError:
                 exchange.apply(ExchangeEvent.CONNECT_FAILED)
-        if link is None:
-            return self._run(exchange, began_us), None, False
+        if connection is None:
+            return self._completed_attempt(exchange, started_us), None, False
         exchange.apply(ExchangeEvent.CONNECTED)
         order = JoinOrder(
             front=self.front,
@@ -168,76 +170,91 @@
         path, body = join_path(session.id, step.attempt), msgspec.json.encode(order)
         raw = writer.request("PUT", path, step.server, fields, body)
         try:
-            link.sock.settimeout(max(0.001, (began_us + times.total_us - self.clock.now_us()) / 1e6))
-            link.sock.sendall(raw)
+            connection.sock.settimeout(
+                max(0.001, (started_us + timeouts.total_us - self.clock.now_us()) / 1e6)
+            )
+            connection.sock.sendall(raw)
             exchange.apply(ExchangeEvent.REQUEST_WRITTEN)
         except TimeoutError:
             exchange.apply(ExchangeEvent.TIMED_OUT)
         except OSError:
             exchange.apply(ExchangeEvent.CLOSED)
         if exchange.outcome is not None:
-            return self._run(exchange, began_us), link, False
-        first_us, whole_us = began_us + times.first_byte_us, began_us + times.total_us
-        return self._await(link, exchange, began_us, first_us, whole_us, viewer)
+            return self._completed_attempt(exchange, started_us), connection, False
+        first_byte_deadline_us, total_deadline_us = (
+            started_us + timeouts.first_byte_us,
+            started_us + timeouts.total_us,
+        )
+        return self._await_response(
+            connection, exchange, started_us, first_byte_deadline_us, total_deadline_us, client_socket
+        )
 
-    def _await(
+    def _await_response(
         self,
-        link: ServerConnection,
+        connection: ServerConnection,
         exchange: AttemptExchange,
-        began_us: int,
-        first_us: int,
-        whole_us: int,
-        viewer: socket.socket | None,
-    ) -> tuple[RunningAttempt, ServerConnection, bool]:
-        limit_us = first_us
+        started_us: int,
+        first_byte_deadline_us: int,
+        total_deadline_us: int,
+        client_socket: socket.socket | None,
+    ) -> tuple[CompletedAttempt, ServerConnection, bool]:
+        deadline_us = first_byte_deadline_us
         while True:
-            woken = wait(link.sock, limit_us - self.clock.now_us(), self.halt, viewer)
-            if woken in (WakeReason.HUNG_UP, WakeReason.LATCH):
-                end = AttemptResult(Outcome.CANCELLED, None, self.clock.now_us() - began_us)
-                return RunningAttempt(end, woken), link, False
-            if woken is WakeReason.TIME:
+            wake_reason = wait(connection.sock, deadline_us - self.clock.now_us(), self.halt, client_socket)
+            if wake_reason in (WakeReason.HUNG_UP, WakeReason.LATCH):
+                end = AttemptResult(Outcome.CANCELLED, None, self.clock.now_us() - started_us)
+                return CompletedAttempt(end, wake_reason), connection, False
+            if wake_reason is WakeReason.TIME:
                 exchange.apply(ExchangeEvent.TIMED_OUT)
-                return self._run(exchange, began_us), link, False
+                return self._completed_attempt(exchange, started_us), connection, False
             try:
-                data = link.sock.recv(READ_BYTES)
+                data = connection.sock.recv(READ_BYTES)
             except OSError:
                 data = b""
             if data:
                 exchange.apply(ExchangeEvent.RESPONSE_STARTED)
-                limit_us = whole_us
-            link.answers.reader.feed(data)
+                deadline_us = total_deadline_us
+            connection.responses.reader.feed(data)
             try:
-                whole = link.answers.next()
+                response = connection.responses.next()
             except ProtocolError:
                 exchange.apply(ExchangeEvent.MALFORMED_RESPONSE if data else ExchangeEvent.CLOSED)
-                return self._run(exchange, began_us), link, False
-            if whole is not None:
-                return self._answer(whole, link, exchange, began_us)
+                return self._completed_attempt(exchange, started_us), connection, False
+            if response is not None:
+                return self._on_response(response, connection, exchange, started_us)
             if not data:
                 exchange.apply(ExchangeEvent.CLOSED)
-                return self._run(exchange, began_us), link, False
+                return self._completed_attempt(exchange, started_us), connection, False
 
-    def _answer(
-        self, whole: Whole, link: ServerConnection, exchange: AttemptExchange, began_us: int
-    ) -> tuple[RunningAttempt, ServerConnection, bool]:
-        head = whole.head
+    def _on_response(
+        self, response: Whole, connection: ServerConnection, exchange: AttemptExchange, started_us: int
+    ) -> tuple[CompletedAttempt, ServerConnection, bool]:
+        head = response.head
         assert isinstance(head, ResponseHead)
-        dynamic = text(head, cmsd.DYNAMIC.encode())
-        says = self.hints.says(text(head, cmsd.STATIC.encode()), dynamic)
-        exchange.apply(_meaning(head, whole.body))
-        keep = head.keep_alive and link.answers.reader.between
-        return self._run(exchange, began_us, says, dynamic or ""), link, keep
-
-    def _run(
-        self, exchange: AttemptExchange, began_us: int, says: ServerHints | None = None, hops: str = ""
-    ) -> RunningAttempt:
+        dynamic = header_text(head, cmsd.DYNAMIC.encode())
+        server_hints = self.hints.read(header_text(head, cmsd.STATIC.encode()), dynamic)
+        exchange.apply(_response_event(head, response.body))
+        is_reusable = head.keep_alive and connection.responses.reader.between
+        return (
+            self._completed_attempt(exchange, started_us, server_hints, dynamic or ""),
+            connection,
+            is_reusable,
+        )
+
+    def _completed_attempt(
+        self,
+        exchange: AttemptExchange,
+        started_us: int,
+        server_hints: ServerHints | None = None,
+        hops: str = "",
+    ) -> CompletedAttempt:
         assert exchange.outcome is not None
-        return RunningAttempt(
-            AttemptResult(exchange.outcome, says, self.clock.now_us() - began_us), None, hops
+        return CompletedAttempt(
+            AttemptResult(exchange.outcome, server_hints, self.clock.now_us() - started_us), None, hops
         )
 
 
-def _meaning(head: ResponseHead, body: bytes) -> ExchangeEvent:
+def _response_event(head: ResponseHead, body: bytes) -> ExchangeEvent:
     if head.status == 201:
         return ExchangeEvent.PLAYBACK_STARTED
     if head.status == 503:
--- a/packages/upstream/src/fennelcove/upstream/command_senders.py
+++ b/packages/upstream/src/fennelcove/upstream/command_senders.py
@@ -14,8 +14,8 @@
 from fennelcove.upstream.connection_pool import ConnectionPool, DialLimits, ServerConnection, dial
 from fennelcove.wire.boxes import Mark, RungOrder, join_path
 
-SENDERS = 4
-MOST_WAIT_S = 1.0
+SENDER_COUNT = 4
+MAX_WAIT_S = 1.0
 
 
 class CommandSenders:
@@ -26,12 +26,12 @@
         self.pool = pool
         self.limits = limits
         self.ready = threading.Condition()
-        self.until_us: int | None = None  # once set, the senders end by then
+        self.deadline_us: int | None = None  # once set, the senders end by then
         self.threads: list[threading.Thread] = []
 
     def start(self, commands: CommandDispatcher, lifecycle: SessionLifecycle) -> None:
         """Start the threads, once; they take commands, and the rates of the sessions concerned."""
-        for i in range(SENDERS):
+        for i in range(SENDER_COUNT):
             thread = threading.Thread(target=self._run, args=(commands, lifecycle), name=f"orders-{i}")
             self.threads.append(thread)
             thread.start()
@@ -41,72 +41,72 @@
         with self.ready:
             self.ready.notify()
 
-    def stop(self, until_us: int) -> None:
+    def stop(self, deadline_us: int) -> None:
         """Send what may go out at once, and end by then: a box that hangs must not hold the front's end
         up.
         """
         with self.ready:
-            self.until_us = until_us
+            self.deadline_us = deadline_us
             self.ready.notify_all()
         for thread in self.threads:
             thread.join()
 
     def _run(self, commands: CommandDispatcher, lifecycle: SessionLifecycle) -> None:
-        while self._left_us() > 0:
+        while self._remaining_us() > 0:
             command, wait_us = commands.next_command()
             if command is not None:
-                is_successful = self._carry_out(command, lifecycle)
+                is_successful = self._execute(command, lifecycle)
                 commands.on_command_completed(command, is_successful=is_successful)
                 continue
             with self.ready:
-                if self.until_us is not None:
+                if self.deadline_us is not None:
                     return
                 # Woken between the look and this wait, a sender sleeps one bound at the most.
-                self.ready.wait(MOST_WAIT_S if wait_us is None else min(MOST_WAIT_S, wait_us / 1e6))
+                self.ready.wait(MAX_WAIT_S if wait_us is None else min(MAX_WAIT_S, wait_us / 1e6))
 
-    def _left_us(self) -> int:
+    def _remaining_us(self) -> int:
         """How long one order may take now."""
-        until_us = self.until_us
+        deadline_us = self.deadline_us
         return (
             COMMAND_TIMEOUT_US
-            if until_us is None
-            else min(COMMAND_TIMEOUT_US, until_us - self.clock.now_us())
+            if deadline_us is None
+            else min(COMMAND_TIMEOUT_US, deadline_us - self.clock.now_us())
         )
 
-    def _carry_out(self, order: Command, lifecycle: SessionLifecycle) -> bool:
-        if not self.pool.enter(order.server):
+    def _execute(self, command: Command, lifecycle: SessionLifecycle) -> bool:
+        if not self.pool.reserve(command.server):
             return False
-        link, keep = None, False
+        connection, is_reusable = None, False
         try:
-            link = self.pool.idle_link(order.server) or dial(
-                order.server, max(1, self._left_us()), self.limits
+            connection = self.pool.take_idle_connection(command.server) or dial(
+                command.server, max(1, self._remaining_us()), self.limits
             )
-            keep = self._exchange(link, order, lifecycle)
+            is_reusable = self._exchange(connection, command, lifecycle)
             return True
         except (OSError, ProtocolError):
             return False
         finally:
-            if link is not None and not keep:
-                link.sock.close()
-            self.pool.leave(order.server, link if keep else None)
+            if connection is not None and not is_reusable:
+                connection.sock.close()
+            self.pool.release(command.server, connection if is_reusable else None)
 
-    def _exchange(self, link: ServerConnection, order: Command, lifecycle: SessionLifecycle) -> bool:
-        path = join_path(order.session_id, order.attempt)
+    def _exchange(self, connection: ServerConnection, command: Command, lifecycle: SessionLifecycle) -> bool:
+        path = join_path(command.session_id, command.attempt)
         fields = [("Content-Type", "application/json")]
-        if order.resume_token is not None:
-            body = msgspec.json.encode(Mark(order.resume_token))
-            raw = writer.request("PUT", f"{path}/mark", order.server, fields, body)
-        elif order.rung is None:
-            raw = writer.request("DELETE", path, order.server)
+        if command.resume_token is not None:
+            body = msgspec.json.encode(Mark(command.resume_token))
+            encoded_request = writer.request("PUT", f"{path}/mark", command.server, fields, body)
+        elif command.rung is None:
+            encoded_request = writer.request("DELETE", path, command.server)
         else:
-            session = lifecycle.sessions.get(order.session_id)
-            rate_kb = session.rates_kb[order.rung] if session is not None else 0.0
-            body = msgspec.json.encode(RungOrder(order.rung, rate_kb))
-            raw = writer.request("PUT", f"{path}/rung", order.server, fields, body)
-        link.sock.settimeout(max(0.001, self._left_us() / 1e6))
-        link.sock.sendall(raw)
-        whole = link.answer()
-        assert isinstance(whole.head, ResponseHead)
-        if whole.head.status >= 500:
-            raise ConnectionError(f"answered {whole.head.status}")
-        return whole.head.keep_alive and link.answers.reader.between
+            session = lifecycle.sessions.get(command.session_id)
+            rate_kb = session.rates_kb[command.rung] if session is not None else 0.0
+            body = msgspec.json.encode(RungOrder(command.rung, rate_kb))
+            encoded_request = writer.request("PUT", f"{path}/rung", command.server, fields, body)
+        connection.sock.settimeout(max(0.001, self._remaining_us() / 1e6))
+        connection.sock.sendall(encoded_request)
+        response = connection.answer()
+        assert isinstance(response.head, ResponseHead)
+        if response.head.status >= 500:
+            raise ConnectionError(f"answered {response.head.status}")
+        return response.head.keep_alive and connection.responses.reader.between
--- a/packages/upstream/src/fennelcove/upstream/connection_pool.py
+++ b/packages/upstream/src/fennelcove/upstream/connection_pool.py
@@ -20,7 +20,7 @@
 class DialLimits(CodecLimits):
     """Bounds on what is read from a peer, and the address of this machine that peers are dialled from."""
 
-    source: str = ""  # the system chooses
+    source_address: str = ""  # the system chooses
 
 
 @dataclass(slots=True, eq=False)
@@ -29,8 +29,8 @@
 
     server: str
     sock: socket.socket
-    answers: Gatherer
-    kept_us: int = 0
+    responses: Gatherer
+    idle_since_us: int = 0
 
     def answer(self) -> Whole:
         """The next whole answer, waiting as the socket's own limit says.
@@ -39,17 +39,17 @@
             OSError: silent past the limit, reset, or closed before an answer.
             ProtocolError: an answer that is refused or cut short.
         """
-        while (whole := self.answers.next()) is None:
+        while (response := self.responses.next()) is None:
             data = self.sock.recv(READ_BYTES)
-            self.answers.reader.feed(data)
-            if not data and self.answers.reader.between:
+            self.responses.reader.feed(data)
+            if not data and self.responses.reader.between:
                 raise ConnectionResetError("closed before its answer")
-        return whole
+        return response
 
 
 @dataclass(slots=True, eq=False)
 class _Server:
-    out: int = 0
+    in_use_count: int = 0
     idle: deque[ServerConnection] = field(default_factory=deque)
 
 
@@ -60,8 +60,8 @@
         OSError: refused, unreachable or not made in time.
     """
     host, _, port = address.rpartition(":")
-    source = (limits.source, 0) if limits.source else None
-    sock = socket.create_connection((host, int(port)), max(0.001, timeout_us / 1e6), source)
+    source_address = (limits.source_address, 0) if limits.source_address else None
+    sock = socket.create_connection((host, int(port)), max(0.001, timeout_us / 1e6), source_address)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return ServerConnection(address, sock, Gatherer(Reader(False, limits, stream)))
 
@@ -69,59 +69,61 @@
 class ConnectionPool:
     """Hands out connections; `most` of them to one box at a time, idle ones included."""
 
-    def __init__(self, clock: Clock, most: int, idle_us: int) -> None:
+    def __init__(self, clock: Clock, max_connections: int, idle_us: int) -> None:
         self.clock = clock
-        self.most = most
+        self.max_connections = max_connections
         self.idle_us = idle_us
         self.servers: dict[str, _Server] = {}
         self.lock = threading.Lock()
         self.closed = False
-        self.keeps: Callable[[str], int] = lambda address: most  # connections to a box worth keeping
+        self.target_count: Callable[[str], int] = (
+            lambda address: max_connections
+        )  # connections to a box worth keeping
 
-    def enter(self, address: str) -> bool:
+    def reserve(self, address: str) -> bool:
         """Count one exchange with a box; False where the bound is reached."""
         with self.lock:
             server = self.servers.setdefault(address, _Server())
-            if self.closed or server.out >= self.most:
+            if self.closed or server.in_use_count >= self.max_connections:
                 return False
-            server.out += 1
+            server.in_use_count += 1
             return True
 
-    def leave(self, address: str, link: ServerConnection | None) -> None:
+    def release(self, address: str, connection: ServerConnection | None) -> None:
         """An exchange is over; a link that may be used again is kept."""
-        keeps = min(self.most, self.keeps(address)) if link is not None else 0
+        idle_limit = min(self.max_connections, self.target_count(address)) if connection is not None else 0
         with self.lock:
             server = self.servers[address]
-            server.out -= 1
-            if link is not None:
-                if not self.closed and len(server.idle) + server.out < keeps:
-                    link.kept_us = self.clock.now_us()
-                    server.idle.append(link)
+            server.in_use_count -= 1
+            if connection is not None:
+                if not self.closed and len(server.idle) + server.in_use_count < idle_limit:
+                    connection.idle_since_us = self.clock.now_us()
+                    server.idle.append(connection)
                 else:
-                    link.sock.close()
-            if not server.out and not server.idle:
+                    connection.sock.close()
+            if not server.in_use_count and not server.idle:
                 del self.servers[address]
 
-    def idle_link(self, address: str) -> ServerConnection | None:
+    def take_idle_connection(self, address: str) -> ServerConnection | None:
         """A kept connection that still looks alive, the last used first."""
         with self.lock:
             server = self.servers.get(address)
             while server is not None and server.idle:
-                link = server.idle.pop()
-                if self.clock.now_us() - link.kept_us < self.idle_us and _looks_alive(link):
-                    return link
-                link.sock.close()
+                connection = server.idle.pop()
+                if self.clock.now_us() - connection.idle_since_us < self.idle_us and _is_usable(connection):
+                    return connection
+                connection.sock.close()
             return None
 
-    def trim(self) -> None:
+    def close_stale(self) -> None:
         """Close what has been idle for too long; boxes that are gone would hold descriptors for ever."""
         with self.lock:
             now_us = self.clock.now_us()
             for address in list(self.servers):
                 server = self.servers[address]
-                while server.idle and now_us - server.idle[0].kept_us >= self.idle_us:
+                while server.idle and now_us - server.idle[0].idle_since_us >= self.idle_us:
                     server.idle.popleft().sock.close()
-                if not server.out and not server.idle:
+                if not server.in_use_count and not server.idle:
                     del self.servers[address]
 
     def close(self) -> None:
@@ -129,13 +131,13 @@
         with self.lock:
             self.closed = True
             for server in self.servers.values():
-                for link in server.idle:
-                    link.sock.close()
+                for connection in server.idle:
+                    connection.sock.close()
                 server.idle.clear()
 
 
-def _looks_alive(link: ServerConnection) -> bool:
+def _is_usable(connection: ServerConnection) -> bool:
     """Nothing may be readable between two exchanges: neither an end nor an answer that nobody asked for."""
     poll = select.poll()
-    poll.register(link.sock, select.POLLIN)
+    poll.register(connection.sock, select.POLLIN)
     return not poll.poll(0)
--- a/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
+++ b/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
@@ -16,11 +16,11 @@
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import ProtocolError, ResponseHead
 from fennelcove.upstream.connection_pool import DialLimits, dial
-from fennelcove.upstream.event_stream import Broken, EventStream, Refused
+from fennelcove.upstream.event_stream import EventStream, PeerRefusedError, StreamBrokenError
 from fennelcove.wire.events import EventError, ServerEvent
 from fennelcove.wire.lists import ListMessage, news
 
-LIST_BYTES = 4 * 1024 * 1024
+MAX_LIST_BYTES = 4 * 1024 * 1024
 _MESSAGE: msgspec.json.Decoder[ListMessage] = msgspec.json.Decoder(ListMessage)
 
 
@@ -48,73 +48,75 @@
         self,
         clock: Clock,
         address: str,
-        must_ask: bool,
+        on_request_only: bool,
         rng: Random,
-        notice: EventLogger,
-        source: str = "",
+        log_event: EventLogger,
+        source_address: str = "",
     ) -> None:
         self.clock = clock
         self.address = address
-        self.must_ask = must_ask
+        self.on_request_only = on_request_only
         self.rng = rng
-        self.notice = notice
-        self.limits = DialLimits(body_bytes=LIST_BYTES, source=source)
-        self.changed = threading.Condition()
-        self.stream_due = not must_ask
-        self.fetch_due = False
-        self.stopped = False
+        self.log_event = log_event
+        self.limits = DialLimits(body_bytes=MAX_LIST_BYTES, source_address=source_address)
+        self.state_changed = threading.Condition()
+        self.stream_requested = not on_request_only
+        self.fetch_requested = False
+        self.is_stopped = False
         self.stream: EventStream | None = None
-        self.turn_us: Callable[[], int] = lambda: 0  # how long to wait before a call; 0 where it is counted
+        self.turn_wait_us: Callable[[], int] = (
+            lambda: 0
+        )  # how long to wait before a call; 0 where it is counted
         self.threads: list[threading.Thread] = []
 
     def start(self, discovery: EndpointDiscovery) -> None:
         """Start the threads, once; they report lists to the discovery."""
         self.threads = [
-            threading.Thread(target=self._streams, args=(discovery,), name="list-stream"),
-            threading.Thread(target=self._fetches, args=(discovery,), name="list-fetch"),
+            threading.Thread(target=self._run_stream, args=(discovery,), name="list-stream"),
+            threading.Thread(target=self._run_fetches, args=(discovery,), name="list-fetch"),
         ]
         for thread in self.threads:
             thread.start()
 
     def stop(self) -> None:
         """End the threads."""
-        with self.changed:
-            self.stopped = True
+        with self.state_changed:
+            self.is_stopped = True
             if self.stream is not None:
-                self.stream.shut()
-            self.changed.notify_all()
+                self.stream.close()
+            self.state_changed.notify_all()
         for thread in self.threads:
             thread.join()
 
     def watch(self) -> None:
         """Keep the stream open."""
-        with self.changed:
-            self.stream_due = True
-            self.changed.notify_all()
+        with self.state_changed:
+            self.stream_requested = True
+            self.state_changed.notify_all()
 
     def fetch(self) -> None:
         """Request the whole list once."""
-        with self.changed:
-            self.fetch_due = True
-            self.changed.notify_all()
+        with self.state_changed:
+            self.fetch_requested = True
+            self.state_changed.notify_all()
 
     def _wait_turn(self) -> None:
         """Where the fleet's calls have a budget, wait for this front's turn."""
-        while (left_us := self.turn_us()) > 0:
-            with self.changed:
-                if self.changed.wait_for(lambda: self.stopped, left_us / 1e6):
+        while (wait_us := self.turn_wait_us()) > 0:
+            with self.state_changed:
+                if self.state_changed.wait_for(lambda: self.is_stopped, wait_us / 1e6):
                     return
 
-    def _streams(self, discovery: EndpointDiscovery) -> None:
+    def _run_stream(self, discovery: EndpointDiscovery) -> None:
         failures = 0
         while True:
-            with self.changed:
-                self.changed.wait_for(lambda: self.stream_due or self.stopped)
-                if self.stopped:
+            with self.state_changed:
+                self.state_changed.wait_for(lambda: self.stream_requested or self.is_stopped)
+                if self.is_stopped:
                     return
             self._wait_turn()
-            with self.changed:
-                if self.stopped:
+            with self.state_changed:
+                if self.is_stopped:
                     return
                 version = discovery.version
                 path = "/v1/list/stream" if version is None else f"/v1/list/stream?since={version}"
@@ -122,40 +124,40 @@
                     self.address, path, self.limits, COMMAND_TIMEOUT_US, endpoint_list.STREAM_IDLE_TIMEOUT_US
                 )
             try:
-                self.stream.run(lambda event: self._take(event, discovery))
-            except (Refused, Broken) as error:
+                self.stream.run(lambda event: self._on_event(event, discovery))
+            except (PeerRefusedError, StreamBrokenError) as error:
                 failures = 0 if discovery.version != version else failures + 1
-                if not self.stopped:
-                    self.notice("list_stream_broken", **error.fields(), failures=failures)
-            if self.must_ask:
-                with self.changed:
-                    self.stream_due = False
+                if not self.is_stopped:
+                    self.log_event("list_stream_broken", **error.fields(), failures=failures)
+            if self.on_request_only:
+                with self.state_changed:
+                    self.stream_requested = False
                 discovery.on_list_unavailable()
-            with self.changed:
-                pause_us = endpoint_list.backoff_us(failures, self.rng.random())
-                self.changed.wait_for(lambda: self.stopped, pause_us / 1e6)
+            with self.state_changed:
+                delay_us = endpoint_list.backoff_us(failures, self.rng.random())
+                self.state_changed.wait_for(lambda: self.is_stopped, delay_us / 1e6)
 
-    def _take(self, event: ServerEvent, discovery: EndpointDiscovery) -> None:
+    def _on_event(self, event: ServerEvent, discovery: EndpointDiscovery) -> None:
         if event.name == "list":
             try:
                 message = _MESSAGE.decode(event.data)
             except msgspec.MsgspecError as error:
-                self.notice(
+                self.log_event(
                     "endpoint_list_rejected", **EndpointListUnreadableError(str(error), self.address).fields()
                 )
                 raise EventError(f"a list that is not as agreed: {error}") from None
             discovery.on_list(news(message, self.clock.now_us()))
 
-    def _fetches(self, discovery: EndpointDiscovery) -> None:
+    def _run_fetches(self, discovery: EndpointDiscovery) -> None:
         failures = 0
         while True:
-            with self.changed:
-                self.changed.wait_for(lambda: self.fetch_due or self.stopped)
-                if self.stopped:
+            with self.state_changed:
+                self.state_changed.wait_for(lambda: self.fetch_requested or self.is_stopped)
+                if self.is_stopped:
                     return
-                self.fetch_due = False
+                self.fetch_requested = False
             self._wait_turn()
-            if self.stopped:
+            if self.is_stopped:
                 return
             try:
                 message = self._fetch()
@@ -163,20 +165,20 @@
                 failures = 0
             except (OSError, ProtocolError, msgspec.MsgspecError) as error:
                 failures += 1
-                told = EndpointListUnreachedError(str(error) or type(error).__name__, self.address)
-                self.notice("list_call_failed", **told.fields(), failures=failures)
+                unreached = EndpointListUnreachedError(str(error) or type(error).__name__, self.address)
+                self.log_event("list_call_failed", **unreached.fields(), failures=failures)
                 discovery.on_list_unavailable()
-                with self.changed:
-                    pause_us = endpoint_list.backoff_us(failures, self.rng.random())
-                    self.changed.wait_for(lambda: self.stopped, pause_us / 1e6)
+                with self.state_changed:
+                    delay_us = endpoint_list.backoff_us(failures, self.rng.random())
+                    self.state_changed.wait_for(lambda: self.is_stopped, delay_us / 1e6)
 
     def _fetch(self) -> ListMessage:
-        link = dial(self.address, COMMAND_TIMEOUT_US, self.limits)
-        with link.sock as sock:
+        connection = dial(self.address, COMMAND_TIMEOUT_US, self.limits)
+        with connection.sock as sock:
             sock.settimeout(COMMAND_TIMEOUT_US / 1e6)
             sock.sendall(writer.request("GET", "/v1/list", self.address))
-            whole = link.answer()
-        assert isinstance(whole.head, ResponseHead)
-        if whole.head.status == 200:
-            return _MESSAGE.decode(whole.body)
-        raise ConnectionError(f"answered {whole.head.status}")
+            response = connection.answer()
+        assert isinstance(response.head, ResponseHead)
+        if response.head.status == 200:
+            return _MESSAGE.decode(response.body)
+        raise ConnectionError(f"answered {response.head.status}")
--- a/packages/upstream/src/fennelcove/upstream/event_stream.py
+++ b/packages/upstream/src/fennelcove/upstream/event_stream.py
@@ -15,14 +15,14 @@
 from fennelcove.wire.events import EventError, EventReader, ServerEvent
 
 
-class Refused(OperatorError):
+class PeerRefusedError(OperatorError):
     """A connection for a stream was refused: nothing listens there."""
 
     code = "peer-refused"
     advice = "Start what should listen there, or take its address off the list or out of the settings"
 
 
-class Broken(OperatorError):
+class StreamBrokenError(OperatorError):
     """A stream of a box or of the list service ended, fell silent or can't be read on."""
 
     code = "peer-stream-broken"
@@ -32,17 +32,19 @@
 class EventStream:
     """One stream. `run` belongs to the thread that owns it; `shut` ends it from any other."""
 
-    def __init__(self, address: str, path: str, limits: DialLimits, connect_us: int, silence_us: int) -> None:
+    def __init__(
+        self, address: str, path: str, limits: DialLimits, connect_timeout_us: int, idle_timeout_us: int
+    ) -> None:
         self.address = address
         self.path = path
         self.limits = limits
-        self.connect_us = connect_us
-        self.silence_us = silence_us
+        self.connect_timeout_us = connect_timeout_us
+        self.idle_timeout_us = idle_timeout_us
         self.sock: socket.socket | None = None
-        self.is_shut = False
+        self.is_closed = False
         self.lock = threading.Lock()
 
-    def run(self, take: Callable[[ServerEvent], None]) -> None:
+    def run(self, on_event: Callable[[ServerEvent], None]) -> None:
         """Open the stream and hand each event on.
 
         Raises:
@@ -50,48 +52,48 @@
             Broken: anything else that ends it.
         """
         try:
-            link = dial(self.address, self.connect_us, self.limits, stream=True)
+            connection = dial(self.address, self.connect_timeout_us, self.limits, stream=True)
         except ConnectionRefusedError:
-            raise Refused("refused", self.address) from None
+            raise PeerRefusedError("refused", self.address) from None
         except OSError as error:
-            raise Broken(str(error), self.address) from None
+            raise StreamBrokenError(str(error), self.address) from None
         with self.lock:
-            self.sock = link.sock
-            if self.is_shut:
-                link.sock.close()
-                raise Broken("shut", self.address)
+            self.sock = connection.sock
+            if self.is_closed:
+                connection.sock.close()
+                raise StreamBrokenError("shut", self.address)
         try:
-            link.sock.settimeout(self.silence_us / 1e6)
+            connection.sock.settimeout(self.idle_timeout_us / 1e6)
             accept = [("Accept", "text/event-stream")]
-            link.sock.sendall(writer.request("GET", self.path, self.address, accept))
-            self._read(link.sock, link.answers.reader, take)
+            connection.sock.sendall(writer.request("GET", self.path, self.address, accept))
+            self._read(connection.sock, connection.responses.reader, on_event)
         except (OSError, ProtocolError, EventError) as error:
-            raise Broken(str(error) or type(error).__name__, self.address) from None
+            raise StreamBrokenError(str(error) or type(error).__name__, self.address) from None
         finally:
             with self.lock:
-                link.sock.close()
+                connection.sock.close()
                 self.sock = None
 
-    def _read(self, sock: socket.socket, reader: Reader, take: Callable[[ServerEvent], None]) -> None:
+    def _read(self, sock: socket.socket, reader: Reader, on_event: Callable[[ServerEvent], None]) -> None:
         events = EventReader()
         while True:
             while (event := reader.next()) is not None:
                 if isinstance(event, ResponseHead) and event.status != 200:
-                    raise Broken(f"answered {event.status}", self.address)
+                    raise StreamBrokenError(f"answered {event.status}", self.address)
                 if isinstance(event, Data):
                     for item in events.feed(event.body):
-                        take(item)
+                        on_event(item)
                 if isinstance(event, End):
-                    raise Broken("ended", self.address)
+                    raise StreamBrokenError("ended", self.address)
             data = sock.recv(READ_BYTES)
             reader.feed(data)
             if not data and reader.between:
-                raise Broken("closed", self.address)
+                raise StreamBrokenError("closed", self.address)
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """End the stream; `run` raises soon."""
         with self.lock:
-            self.is_shut = True
+            self.is_closed = True
             if self.sock is not None:
                 with suppress(OSError):
                     self.sock.shutdown(socket.SHUT_RDWR)
--- a/packages/upstream/src/fennelcove/upstream/front_messaging.py
+++ b/packages/upstream/src/fennelcove/upstream/front_messaging.py
@@ -16,7 +16,7 @@
 from fennelcove.messages import MAX_BYTES, decode, encode
 from fennelcove.rollouts.messages import RolloutMessage
 
-LOOK_S = 0.25  # how often the listening thread looks whether it should end
+POLL_INTERVAL_S = 0.25  # how often the listening thread looks whether it should end
 
 
 class FrontMessaging:
@@ -26,20 +26,20 @@
         self,
         addresses: Sequence[str],
         index: int,
-        heard: Callable[[PeerMessage], None],
-        beaten: Callable[[int, Heartbeat], None] | None = None,
+        on_message: Callable[[PeerMessage], None],
+        on_heartbeat: Callable[[int, Heartbeat], None] | None = None,
     ) -> None:
         self.addresses = [(host, int(port)) for host, _, port in (a.rpartition(":") for a in addresses)]
         self.indices = {address: i for i, address in enumerate(self.addresses) if i != index}
-        self.heard = heard
-        self.beaten = beaten  # None: signs of life are not asked for
-        self.counted: Callable[[int, LoadSummary], None] | None = None
-        self.worded: Callable[[int, HealthReport], None] | None = None
-        self.spared: Callable[[int, QuotaRequest | QuotaTransfer], None] | None = None
-        self.agreed: Callable[[int, RolloutMessage], None] | None = None
-        self.slotted: Callable[[int, bytes], bool] | None = None
-        self.gave: Callable[[int, UsageReport], None] | None = None
-        self.stopped = False
+        self.on_message = on_message
+        self.on_heartbeat = on_heartbeat  # None: signs of life are not asked for
+        self.on_load_summary: Callable[[int, LoadSummary], None] | None = None
+        self.on_health_report: Callable[[int, HealthReport], None] | None = None
+        self.on_quota_message: Callable[[int, QuotaRequest | QuotaTransfer], None] | None = None
+        self.on_rollout_message: Callable[[int, RolloutMessage], None] | None = None
+        self.on_limit_message: Callable[[int, bytes], bool] | None = None
+        self.on_usage_report: Callable[[int, UsageReport], None] | None = None
+        self.is_stopped = False
         self.lost = 0  # not sent, from nobody known, or not understood
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -47,113 +47,116 @@
         except OSError:
             self.sock.close()
             raise
-        self.sock.settimeout(LOOK_S)
+        self.sock.settimeout(POLL_INTERVAL_S)
         self.thread = threading.Thread(target=self._run, name="fronts")
 
     def start(self) -> None:
         """Begin to listen."""
         self.thread.start()
 
-    def send_message(self, front: int, said: PeerMessage) -> None:
+    def send_message(self, front: int, message: PeerMessage) -> None:
         """Send it, or lose it: a message that can't leave now is worth nothing later."""
-        for part in encode(said):
-            self._send(front, part)
+        for datagram in encode(message):
+            self._send(front, datagram)
 
-    def beat(self, beats: dict[int, Heartbeat]) -> None:
+    def send_heartbeats(self, heartbeats: dict[int, Heartbeat]) -> None:
         """Send a sign of life to each of these fronts, or lose it."""
-        for front, beat in beats.items():
-            self._send(front, messages.encode_heartbeat(beat))
+        for front, heartbeat in heartbeats.items():
+            self._send(front, messages.encode_heartbeat(heartbeat))
 
-    def summary(self, said: LoadSummary) -> None:
+    def send_load_summary(self, message: LoadSummary) -> None:
         """Tell all other fronts what this one is asked."""
-        raw = messages.encode_load_summary(said)
+        datagram = messages.encode_load_summary(message)
         for front in self.indices.values():
-            self._send(front, raw)
+            self._send(front, datagram)
 
-    def spare(self, front: int, said: QuotaRequest | QuotaTransfer) -> None:
+    def send_quota_message(self, front: int, message: QuotaRequest | QuotaTransfer) -> None:
         """Ask another front for a part of its budget, or lend of this one's."""
-        self._send(front, messages.encode_quota_message(said))
+        self._send(front, messages.encode_quota_message(message))
 
-    def agree(self, front: int, said: RolloutMessage) -> None:
+    def send_rollout_message(self, front: int, message: RolloutMessage) -> None:
         """Tell another front something about who is out."""
-        self._send(front, rollout_messages.encode(said))
+        self._send(front, rollout_messages.encode(message))
 
-    def word(self, said: HealthReport) -> None:
+    def send_health_report(self, message: HealthReport) -> None:
         """Tell all other fronts what this one finds of a box."""
-        raw = messages.encode_health_report(said)
+        datagram = messages.encode_health_report(message)
         for front in self.indices.values():
-            self._send(front, raw)
+            self._send(front, datagram)
 
-    def slots(self, front: int, raw: bytes) -> None:
+    def send_limit_message(self, front: int, datagram: bytes) -> None:
         """Tell another front something about slots at boxes."""
-        self._send(front, raw)
+        self._send(front, datagram)
 
-    def give(self, said: UsageReport) -> None:
+    def send_usage_report(self, message: UsageReport) -> None:
         """Tell all other fronts what this one's slots were given to."""
-        for raw in usage_messages.encode(said):
+        for datagram in usage_messages.encode(message):
             for front in self.indices.values():
-                self._send(front, raw)
+                self._send(front, datagram)
 
-    def _send(self, front: int, part: bytes) -> None:
+    def _send(self, front: int, datagram: bytes) -> None:
         try:
-            self.sock.sendto(part, self.addresses[front])
+            self.sock.sendto(datagram, self.addresses[front])
         except (OSError, IndexError):
             self.lost += 1
 
     def stop(self) -> None:
         """End listening and close."""
-        self.stopped = True
+        self.is_stopped = True
         self.thread.join()
         self.sock.close()
 
     def _run(self) -> None:
-        while not self.stopped:
+        while not self.is_stopped:
             try:
-                raw, address = self.sock.recvfrom(MAX_BYTES + 1)
+                datagram, address = self.sock.recvfrom(MAX_BYTES + 1)
             except TimeoutError:
                 continue
             except OSError:
                 self.lost += 1  # a refused datagram of ours comes back as an error of the socket
                 continue
             sender = self.indices.get(address)
-            if sender is None or not self._take(sender, raw):
+            if sender is None or not self._deliver(sender, datagram):
                 self.lost += 1
 
-    def _take(self, sender: int, raw: bytes) -> bool:
-        kind = raw[0] if raw else 0
-        if kind == messages.HEARTBEAT and self.beaten is not None:
-            beat = messages.decode_heartbeat(raw)
-            if beat is not None:
-                self.beaten(sender, beat)
-            return beat is not None
-        if kind == messages.LOAD_SUMMARY and self.counted is not None:
-            summary = messages.decode_load_summary(raw)
+    def _deliver(self, sender: int, datagram: bytes) -> bool:
+        message_kind = datagram[0] if datagram else 0
+        if message_kind == messages.HEARTBEAT and self.on_heartbeat is not None:
+            heartbeat = messages.decode_heartbeat(datagram)
+            if heartbeat is not None:
+                self.on_heartbeat(sender, heartbeat)
+            return heartbeat is not None
+        if message_kind == messages.LOAD_SUMMARY and self.on_load_summary is not None:
+            summary = messages.decode_load_summary(datagram)
             if summary is not None:
-                self.counted(sender, summary)
+                self.on_load_summary(sender, summary)
             return summary is not None
-        if kind in (messages.QUOTA_REQUEST, messages.QUOTA_TRANSFER) and self.spared is not None:
-            spared = messages.decode_quota_message(raw)
-            if spared is not None:
-                self.spared(sender, spared)
-            return spared is not None
-        if kind in rollout_messages.KINDS and self.agreed is not None:
-            agreed = rollout_messages.decode(raw)
-            if agreed is not None:
-                self.agreed(sender, agreed)
-            return agreed is not None
-        if kind == messages.HEALTH_REPORT_KIND and self.worded is not None:
-            word = messages.decode_health_report(raw)
-            if word is not None:
-                self.worded(sender, word)
-            return word is not None
-        if kind in limit_messages.KINDS and self.slotted is not None:
-            return self.slotted(sender, raw)
-        if kind == usage_messages.USAGE_REPORT and self.gave is not None:
-            given = usage_messages.decode(raw)
-            if given is not None:
-                self.gave(sender, given)
-            return given is not None
-        said = decode(sender, raw)
-        if said is not None:
-            self.heard(said)
-        return said is not None
+        if (
+            message_kind in (messages.QUOTA_REQUEST, messages.QUOTA_TRANSFER)
+            and self.on_quota_message is not None
+        ):
+            quota_message = messages.decode_quota_message(datagram)
+            if quota_message is not None:
+                self.on_quota_message(sender, quota_message)
+            return quota_message is not None
+        if message_kind in rollout_messages.KINDS and self.on_rollout_message is not None:
+            rollout_message = rollout_messages.decode(datagram)
+            if rollout_message is not None:
+                self.on_rollout_message(sender, rollout_message)
+            return rollout_message is not None
+        if message_kind == messages.HEALTH_REPORT_KIND and self.on_health_report is not None:
+            report = messages.decode_health_report(datagram)
+            if report is not None:
+                self.on_health_report(sender, report)
+            return report is not None
+        if message_kind in limit_messages.KINDS and self.on_limit_message is not None:
+            return self.on_limit_message(sender, datagram)
+        if message_kind == usage_messages.USAGE_REPORT and self.on_usage_report is not None:
+            usage_report = usage_messages.decode(datagram)
+            if usage_report is not None:
+                self.on_usage_report(sender, usage_report)
+            return usage_report is not None
+        message = decode(sender, datagram)
+        if message is not None:
+            self.on_message(message)
+        return message is not None
--- a/packages/upstream/src/fennelcove/upstream/health_checks.py
+++ b/packages/upstream/src/fennelcove/upstream/health_checks.py
@@ -12,12 +12,12 @@
 from fennelcove.interface import LoadReport, Outcome, ProbeCompleted
 from fennelcove.upstream.attempts import HintReader
 from fennelcove.upstream.connection_pool import DialLimits
-from fennelcove.upstream.event_stream import Broken, EventStream, Refused
+from fennelcove.upstream.event_stream import EventStream, PeerRefusedError, StreamBrokenError
 from fennelcove.wire.boxes import REPORT, Report
 from fennelcove.wire.events import ServerEvent
 
-MOST_WAITING = 256
-THREADS = 4
+MAX_QUEUED_PROBES = 256
+THREAD_COUNT = 4
 _REPORT: msgspec.json.Decoder[Report] = msgspec.json.Decoder(Report)
 
 
@@ -31,16 +31,16 @@
         front: str,
         timeout_us: int,
         limits: DialLimits,
-        heard: Callable[[ProbeCompleted], None],
+        on_probe_completed: Callable[[ProbeCompleted], None],
     ) -> None:
         self.clock = clock
         self.hints = hints
         self.front = front
         self.timeout_us = timeout_us
         self.limits = limits
-        self.heard = heard
-        self.waiting: queue.Queue[str | None] = queue.Queue(MOST_WAITING)
-        self.threads = [threading.Thread(target=self._run, name=f"probe-{i}") for i in range(THREADS)]
+        self.on_probe_completed = on_probe_completed
+        self.queued: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_PROBES)
+        self.threads = [threading.Thread(target=self._run, name=f"probe-{i}") for i in range(THREAD_COUNT)]
 
     def start(self) -> None:
         """Begin to carry probes out."""
@@ -50,47 +50,47 @@
     def start_probe(self, server: str) -> bool:
         """Probe this box soon; False where too many wait, and nothing will be heard of it."""
         try:
-            self.waiting.put_nowait(server)
+            self.queued.put_nowait(server)
         except queue.Full:
             return False
         return True
 
     def stop(self) -> None:
         """End after the probes under way, each of which has its limit."""
-        while not self.waiting.empty():
+        while not self.queued.empty():
             try:
-                self.waiting.get_nowait()
+                self.queued.get_nowait()
             except queue.Empty:
                 break
         for _ in self.threads:
-            self.waiting.put(None)
+            self.queued.put(None)
         for thread in self.threads:
             thread.join()
 
     def _run(self) -> None:
-        while (server := self.waiting.get()) is not None:
-            self.heard(self.probe(server))
+        while (server := self.queued.get()) is not None:
+            self.on_probe_completed(self.probe(server))
 
     def probe(self, server: str) -> ProbeCompleted:
         """Ask now, within the time-out."""
-        began_us, reports = self.clock.now_us(), list[LoadReport]()
+        started_us, reports = self.clock.now_us(), list[LoadReport]()
         path = f"/v1/feed?front={self.front}"
         stream = EventStream(server, path, self.limits, self.timeout_us, self.timeout_us)
 
-        def take(event: ServerEvent) -> None:
+        def on_event(event: ServerEvent) -> None:
             if event.name == REPORT:
-                says = self.hints.says(None, _REPORT.decode(event.data).cmsd)
-                report = load_signals.load_report(says) if says is not None else None
+                server_hints = self.hints.read(None, _REPORT.decode(event.data).cmsd)
+                report = load_signals.load_report(server_hints) if server_hints is not None else None
                 reports.append(report or LoadReport(None, None))
-            if reports or self.clock.now_us() - began_us > self.timeout_us:
-                raise Broken("heard")
+            if reports or self.clock.now_us() - started_us > self.timeout_us:
+                raise StreamBrokenError("probe finished")
 
         outcome = Outcome.NO_ANSWER
         try:
-            stream.run(take)
-        except Refused:
+            stream.run(on_event)
+        except PeerRefusedError:
             outcome = Outcome.NO_CONNECTION
-        except (Broken, msgspec.MsgspecError):
+        except (StreamBrokenError, msgspec.MsgspecError):
             outcome = Outcome.SERVED if reports else Outcome.NO_ANSWER
-        took_us = self.clock.now_us() - began_us
-        return ProbeCompleted(server, outcome, took_us, reports[0] if reports else None)
+        duration_us = self.clock.now_us() - started_us
+        return ProbeCompleted(server, outcome, duration_us, reports[0] if reports else None)
--- a/packages/upstream/src/fennelcove/upstream/migration_workers.py
+++ b/packages/upstream/src/fennelcove/upstream/migration_workers.py
@@ -9,21 +9,21 @@
 from fennelcove.core.session_migrations import SessionMigrations
 from fennelcove.upstream.attempts import AttemptSender
 
-MOST_WAITING = 4096
+MAX_QUEUED_ATTEMPTS = 4096
 
 
 class MigrationWorkers:
     """Owns the worker threads; implements `fennelcove.core.ports.MigrationSender`."""
 
-    def __init__(self, joiner: AttemptSender, count: int) -> None:
-        self.joiner = joiner
-        self.count = count
-        self.line: queue.Queue[SendAttempt | None] = queue.Queue(MOST_WAITING)
+    def __init__(self, attempt_sender: AttemptSender, thread_count: int) -> None:
+        self.attempt_sender = attempt_sender
+        self.thread_count = thread_count
+        self.pending: queue.Queue[SendAttempt | None] = queue.Queue(MAX_QUEUED_ATTEMPTS)
         self.threads: list[threading.Thread] = []
 
     def start(self, migrations: SessionMigrations) -> None:
         """Start the threads, once; they report results to the migrations."""
-        for i in range(self.count):
+        for i in range(self.thread_count):
             thread = threading.Thread(target=self._run, args=(migrations,), name=f"mover-{i}")
             self.threads.append(thread)
             thread.start()
@@ -31,7 +31,7 @@
     def send(self, step: SendAttempt) -> bool:
         """Queue an attempt; False where the queue is full."""
         try:
-            self.line.put_nowait(step)
+            self.pending.put_nowait(step)
             return True
         except queue.Full:
             return False
@@ -39,11 +39,11 @@
     def stop(self) -> None:
         """End the threads; the front's shutdown has ended the pending attempts."""
         for _ in self.threads:
-            self.line.put(None)
+            self.pending.put(None)
         for thread in self.threads:
             thread.join()
 
     def _run(self, migrations: SessionMigrations) -> None:
-        while (step := self.line.get()) is not None:
-            run = self.joiner.run(step, None)
+        while (step := self.pending.get()) is not None:
+            run = self.attempt_sender.run(step, None)
             migrations.on_attempt_completed(step, run.end)
--- a/packages/upstream/src/fennelcove/upstream/wakeups.py
+++ b/packages/upstream/src/fennelcove/upstream/wakeups.py
@@ -64,41 +64,43 @@
 
 
 # A peer that closed its side shows so without its bytes being read, pipelined ones included.
-_HANG_UP = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
+_DISCONNECT_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
 def wait(
     sock: socket.socket,
     timeout_us: int,
     latch: CancellationLatch | Wakeup | None,
-    other: socket.socket | None = None,
+    client_socket: socket.socket | None = None,
 ) -> WakeReason:
     """Wait until the socket can be read, the other one's peer hangs up, the latch is set or time is up."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     if latch is not None:
         poll.register(latch.reader, select.POLLIN)
-    if other is not None:
-        poll.register(other, _HANG_UP & ~(select.POLLHUP | select.POLLERR))
-    found = dict(poll.poll(max(0, -(-timeout_us // 1000))))
-    if sock.fileno() in found:
+    if client_socket is not None:
+        poll.register(client_socket, _DISCONNECT_EVENTS & ~(select.POLLHUP | select.POLLERR))
+    ready = dict(poll.poll(max(0, -(-timeout_us // 1000))))
+    if sock.fileno() in ready:
         return WakeReason.READY
-    if other is not None and other.fileno() in found:
+    if client_socket is not None and client_socket.fileno() in ready:
         return WakeReason.HUNG_UP
-    return WakeReason.LATCH if found else WakeReason.TIME
+    return WakeReason.LATCH if ready else WakeReason.TIME
 
 
-def wait_bell(bell: int, timeout_us: int, latch: CancellationLatch, other: socket.socket) -> WakeReason:
+def wait_bell(
+    descriptor: int, timeout_us: int, latch: CancellationLatch, client_socket: socket.socket
+) -> WakeReason:
     """Wait until this descriptor can be read, the other one's peer hangs up, the latch is set or time is
     up.
     """
     poll = select.poll()
-    poll.register(bell, select.POLLIN)
+    poll.register(descriptor, select.POLLIN)
     poll.register(latch.reader, select.POLLIN)
-    poll.register(other, _HANG_UP & ~(select.POLLHUP | select.POLLERR))
-    found = dict(poll.poll(max(0, -(-timeout_us // 1000))))
-    if bell in found:
+    poll.register(client_socket, _DISCONNECT_EVENTS & ~(select.POLLHUP | select.POLLERR))
+    ready = dict(poll.poll(max(0, -(-timeout_us // 1000))))
+    if descriptor in ready:
         return WakeReason.READY
-    if other.fileno() in found:
+    if client_socket.fileno() in ready:
         return WakeReason.HUNG_UP
-    return WakeReason.LATCH if found else WakeReason.TIME
+    return WakeReason.LATCH if ready else WakeReason.TIME
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -25,7 +25,7 @@
 from fennelcove.daemon import key_file
 from fennelcove.daemon.audit_file import AuditFile, check
 from fennelcove.daemon.ledger_file import LedgerFile
-from fennelcove.daemon.rollouts import Kept as StoredRollouts
+from fennelcove.daemon.rollouts import StoredRollouts
 from fennelcove.decisions.clients import access_tokens, waiting_room
 from fennelcove.decisions.clients.idempotency import IdempotencyTable, KeyState, StoredKey
 from fennelcove.decisions.clients.seat_leases import SeatLeases, StoredSeat
