--- a/packages/daemon/src/fennelcove/daemon/__init__.py
+++ b/packages/daemon/src/fennelcove/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Puts one front together and runs it from start to end."""
+"""Builds one front from its settings and runs it."""
--- a/packages/daemon/src/fennelcove/daemon/audit_file.py
+++ b/packages/daemon/src/fennelcove/daemon/audit_file.py
@@ -1,4 +1,7 @@
-"""What operators did, in a file that can't be edited unseen: each line holds the hash of all before it."""
+"""The audit file of operator commands: a hash chain, so that later edits can be detected.
+
+Each line begins with the hash of the previous line's hash and its own JSON object.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class AuditFile:
-    """One file; without a path nothing is written."""
+    """Appends records to one audit file; without a path nothing is written."""
 
     def __init__(self, path: str | None) -> None:
         self.path = Path(path) if path is not None else None
@@ -27,10 +30,10 @@
         return lines[-1][:HASH_CHARS].decode("ascii", "replace") if lines else ""
 
     def tell(self, **fields: object) -> None:
-        """One more line, on the disk before this returns.
+        """Append a record and sync it to the disk.
 
         Raises:
-            OSError: it could not be written.
+            OSError: the record could not be written.
         """
         if self.path is None:
             return
@@ -47,7 +50,7 @@
 
 
 def check(path: str) -> int | None:
-    """The first line that is not what was written, counted from 1; None where all are."""
+    """Verify an audit file; return the number of the first line that was altered, or None."""
     last = ""
     for number, line in enumerate(Path(path).read_bytes().splitlines(), 1):
         line_hash, _, body = line.partition(b" ")
--- a/packages/daemon/src/fennelcove/daemon/background.py
+++ b/packages/daemon/src/fennelcove/daemon/background.py
@@ -1,4 +1,4 @@
-"""The one thread of background work."""
+"""The thread that runs periodic background tasks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Background:
-    """Owns its thread; `add` before `start`, and `stop` waits for the run under way."""
+    """Owns the thread. Call `add` before `start`; `stop` waits for the task that is running."""
 
     def __init__(self, clock: Clock, log_event: EventLogger) -> None:
         self.clock = clock
@@ -34,7 +34,7 @@
         max_lateness_us: int,
         function: Callable[[], None],
     ) -> None:
-        """Work that comes again; it must not wait for anything."""
+        """Add a periodic task, which must not block."""
         task = BackgroundTask(name, priority, interval_us, max_lateness_us)
         self.functions[task] = function
         self.scheduler.add(task, self.clock.now_us())
@@ -44,14 +44,14 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """End it."""
+        """End the thread."""
         with self.state_changed:
             self.is_stopped = True
             self.state_changed.notify()
         self.thread.join()
 
     def status(self) -> dict[str, object]:
-        """Figures for an operator, by task."""
+        """Statistics by task, for the status that operators read."""
         return {
             task.name: {
                 "runs": task.run_count,
@@ -74,6 +74,6 @@
             started_us = self.clock.now_us()
             try:
                 self.functions[scheduled.task]()
-            except Exception as error:  # one task that fails must not end the others
+            except Exception as error:  # a task that fails must not end the others
                 self.log_event("background_failed", task=scheduled.task.name, reason=repr(error))
             self.scheduler.on_run_completed(scheduled.task, started_us, self.clock.now_us())
--- a/packages/daemon/src/fennelcove/daemon/certificates.py
+++ b/packages/daemon/src/fennelcove/daemon/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of a front's own signature, made with the cryptography library and read back."""
+"""Makes and reads self-signed certificates of fronts."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class CertificateError(OperatorError):
-    """A folder holds no certificate and key that can be read, or can't take one."""
+    """A folder has no readable certificate and key, or they can't be written there."""
 
     code = "certificate-unusable"
-    advice = "Check the folder and its rights; a running front keeps the pair that it has"
+    advice = "Check the folder and its permissions; a running front keeps using its current certificate"
 
 
 @dataclass(frozen=True, slots=True)
 class CertificateInfo:
-    """What a certificate says."""
+    """The contents of a certificate; `fits` is whether the key of its folder belongs to it."""
 
     names: tuple[str, ...]
     since: datetime
@@ -43,11 +43,13 @@
 
 
 def make(folder: str, names: tuple[str, ...], now: datetime, validity: timedelta) -> None:
-    """A fresh key and certificate, each file whole or not at all; the key first, so that a front that reads
-    between the two finds a pair that does not fit and keeps the old one.
+    """Make a new key and certificate, and replace each file atomically.
+
+    The key is written first: a front that reads the folder between the two writes finds a pair that does not
+    match, and keeps its old one.
 
     Raises:
-        CertificateError: the folder can't be written, or a name is none.
+        CertificateError: the folder can't be written, or a name is invalid.
     """
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, names[0][:64])])
@@ -76,7 +78,7 @@
         _write_atomically(folder_path / KEY, private)
         _write_atomically(folder_path / CERTIFICATE, certificate.public_bytes(serialization.Encoding.PEM))
     except (OSError, ValueError) as error:
-        raise CertificateError(f"found no way to write a pair there ({error})", folder) from None
+        raise CertificateError(f"found no way to write the certificate and key ({error})", folder) from None
 
 
 def _write_atomically(path: Path, content: bytes) -> None:
@@ -90,10 +92,10 @@
 
 
 def read(folder: str) -> CertificateInfo:
-    """The certificate of a folder, and whether its key fits.
+    """Read the certificate of a folder, and whether its key matches.
 
     Raises:
-        CertificateError: there is none that can be read.
+        CertificateError: the certificate or the key is missing or unreadable.
     """
     folder_path = Path(folder)
     try:
@@ -101,7 +103,7 @@
         key = serialization.load_pem_private_key((folder_path / KEY).read_bytes(), None)
     except (OSError, ValueError) as error:
         raise CertificateError(
-            f"found no certificate and key ({error})", folder, "fennelcove keys new makes them"
+            f"found no readable certificate and key ({error})", folder, "fennelcove keys new makes them"
         ) from None
     names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     public_key_format = (serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
--- a/packages/daemon/src/fennelcove/daemon/concurrency_limits.py
+++ b/packages/daemon/src/fennelcove/daemon/concurrency_limits.py
@@ -1,4 +1,4 @@
-"""Joins up the is_running front's part in learned slots: boxes from the module, timers, the module's veto."""
+"""Connects the learned concurrency limits to a running front: its servers, its timers, its placement."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LimitService:
-    """The learned_limits of one front, with what it is fed. `start` when the timers run."""
+    """The learned limits of one front and what drives them. Call `start` once the timers run."""
 
     def __init__(
         self,
@@ -47,16 +47,16 @@
         )
 
     def may_use_server(self, id: str, server: str) -> bool:
-        """As the module asks: whether a subscription may join there now."""
+        """Filter for the placement policy: whether an attempt may be sent to the server now."""
         return self.learned_limits.has_free_slot(server)
 
     def start(self) -> None:
-        """Begin to learn and to trade."""
+        """Start the windows that limits are learned in, and the exchange of quota with other fronts."""
         self.timers.after(0, self._close_window)
         self.timers.after(QUOTA_EXCHANGE_INTERVAL_US, self._exchange_quota)
 
     def _list_servers(self) -> list[ListedServer]:
-        """The boxes that the module knows, with the kinds that the list has slot_settings."""
+        """The servers that the placement policy knows, with their kinds from the endpoint list."""
         policy, endpoint_tracker, now_us = self.core.policy, self.core.endpoint_tracker, self.clock.now_us()
         return [
             ListedServer(
--- a/packages/daemon/src/fennelcove/daemon/front_daemon.py
+++ b/packages/daemon/src/fennelcove/daemon/front_daemon.py
@@ -1,4 +1,4 @@
-"""One front: its clock, core, doors and peers, who owns which thread, and the order in which they end."""
+"""One front: builds the core and its network components, and starts and stops their threads in order."""
 
 from __future__ import annotations
 
@@ -66,11 +66,11 @@
 
 
 def ignore_result(_: object) -> None:
-    """A call whose answer nobody needs."""
+    """Discard a value, so that a lambda returns None."""
 
 
 class FrontDaemon:
-    """A whole front. `start`; then `stop` from any thread, which returns when every thread has ended."""
+    """A front. Call `start`, then `stop` from any thread: it returns when every thread has ended."""
 
     def __init__(
         self,
@@ -157,9 +157,8 @@
                 self.membership.broadcast = self.front_messaging.send_heartbeats
         self.load_shedding = self._make_load_shedding()
         self.shared_quotas = self._make_shared_quotas()
-        self.server_filters: list[
-            Callable[[str, str], bool]
-        ] = []  # what keeps the module from a box, in order
+        # Called in this order with a session and a server; each may exclude the server.
+        self.server_filters: list[Callable[[str, str], bool]] = []
         core = self.core
         core.policy.may_use = lambda id, server: all(may_use(id, server) for may_use in self.server_filters)
         self.rollouts = self._make_rollouts(end)
@@ -192,7 +191,7 @@
 
     def _make_server_event_streams(self, dial_limits: DialLimits) -> ServerEventStreams:
         policy_settings = module_settings(self.settings)
-        silence_us = event_stream.idle_timeout_us(
+        idle_timeout_us = event_stream.idle_timeout_us(
             policy_settings.report_interval_us, policy_settings.report_delay_us
         )
         return ServerEventStreams(
@@ -200,13 +199,13 @@
             self.command_senders,
             self.hints,
             self.settings.name,
-            silence_us,
+            idle_timeout_us,
             dial_limits,
             self.log_event,
         )
 
     def _make_recovery(self) -> RecoveryCoordinator | None:
-        """Off by default: without it who asks waits at the door until the front knows what it holds."""
+        """Off by default: without it, requests are held until the front knows its sessions again."""
         core, settings = self.core, self.settings
         recovery_settings = settings.recovery
         if recovery_settings is None:
@@ -233,7 +232,7 @@
         return recovery
 
     def _make_load_shedding(self) -> LoadSheddingCoordinator | None:
-        """Off by default: without it each front damps alone, by its own weather."""
+        """Off by default: without it, each front limits retries by its own retry-storm detector alone."""
         core, settings, membership = self.core, self.settings, self.membership
         if settings.overload is None or not settings.overload.enabled:
             return None
@@ -259,7 +258,7 @@
         return load_shedding
 
     def _make_shared_quotas(self) -> SharedQuotaCoordinator | None:
-        """Off by default: without it each front spends by its own limits."""
+        """Off by default: without it, each front has quotas of its own."""
         core, overload_settings = self.core, self.settings.overload
         if overload_settings is None:
             return None
@@ -286,8 +285,8 @@
             )
         return shared_quotas
 
-    def _make_rollouts(self, on_shutdown_requested: Callable[[], None]) -> RolloutService | None:
-        """Off by default: without it operators see to it that not too many are out."""
+    def _make_rollouts(self, request_shutdown: Callable[[], None]) -> RolloutService | None:
+        """Off by default: without it, operators must limit how many fronts and servers are out of service."""
         release_settings, core = self.settings.releases, self.core
         if release_settings is None or self.front_messaging is None:
             return None
@@ -298,7 +297,7 @@
             self.timers,
             self.clock,
             self.log_event,
-            on_shutdown_requested,
+            request_shutdown,
         )
         if self.load_shedding is not None:
             ladder = self.load_shedding.policy
@@ -313,7 +312,7 @@
         return rollouts
 
     def _make_health_coordinator(self, dial_limits: DialLimits) -> HealthCheckCoordinator | None:
-        """Off by default: without it each front finds out by its own joins that a box is gone."""
+        """Off by default: without it, each front detects failed servers only through its own attempts."""
         core, watcher_settings, membership = self.core, self.settings.watchers, self.membership
         if watcher_settings is None:
             return None
@@ -330,7 +329,7 @@
         coordinator = HealthCheckCoordinator(
             instance.index,
             instance.fronts,
-            self.clock.wall_us(),  # the number above all of an earlier life's
+            self.clock.wall_us(),  # exceeds every report number of earlier incarnations
             list_active_servers,
             list_live_fronts,
             self.clock,
@@ -364,7 +363,7 @@
             self.health_coordinator.run_checks()
 
     def _make_limit_service(self) -> LimitService | None:
-        """Off by default: without it each front has so many joins out at a box as it keeps connections."""
+        """Off by default: without it, the connection limit also limits a front's attempts at a server."""
         slot_settings, core = self.settings.slots, self.core
         if slot_settings is None:
             return None
@@ -389,7 +388,7 @@
         return limit_service
 
     def _make_slot_scheduler(self) -> SlotScheduler | None:
-        """Off by default: without it a box's slots go to whoever comes first."""
+        """Off by default: without it, the slots of a server are assigned in order of arrival."""
         fair_settings, core = self.settings.fair, self.core
         if fair_settings is None:
             return None
@@ -444,7 +443,7 @@
             self.recovery.advance(self.clock.now_us())
 
     def _make_membership(self) -> MembershipCoordinator | None:
-        """Off by default: without it each front counts on all others that its settings name."""
+        """Off by default: without it, each front assumes that all configured fronts are live."""
         company_settings, core = self.settings.company, self.core
         if company_settings is None:
             return None
@@ -485,7 +484,7 @@
         return operator_commands
 
     def start(self) -> None:
-        """Start every thread; from then on the front answers."""
+        """Start every thread and accept client connections."""
         self.timer_thread.start()
         if self.keeper is not None:
             self.keeper.start()
@@ -529,7 +528,7 @@
             self.recovery.use_stored_list()
 
     def _add_background_tasks(self) -> None:
-        """What goes on in the background."""
+        """Add the periodic tasks."""
         add = self.background.add
         add(
             "sweep",
@@ -575,7 +574,7 @@
         self.core.migrations.run_due()
 
     def stop(self) -> None:
-        """Answer everything held and end, within the stated time."""
+        """Answer the pending requests and shut down, within the configured time limit."""
         started_us = self.clock.now_us()
         actions = {
             ShutdownAction.STOP_ACCEPTING: self._stop_accepting,
@@ -625,5 +624,5 @@
         self.halt.close()
 
     def hurry(self) -> None:
-        """Give up what is still out; `stop` goes on to its end."""
+        """Cancel the pending attempts, which speeds up a `stop` that is in progress."""
         self.halt.set()
--- a/packages/daemon/src/fennelcove/daemon/key_file.py
+++ b/packages/daemon/src/fennelcove/daemon/key_file.py
@@ -1,6 +1,7 @@
-"""Keys of places in a file: one a line, `hexadecimal milliseconds-since-1970`, the newest last.
+"""Files of signing keys: one key a line, `hexadecimal milliseconds-since-1970`, the newest last.
 
-A new key seals at once; older ones are known for an hour more, longer than any place lasts.
+The newest key signs. A key that it supersedes is accepted for one more hour, longer than any queue ticket
+is valid.
 """
 
 from __future__ import annotations
@@ -11,22 +12,22 @@
 
 from fennelcove.errors import OperatorError
 
-OVERLAP_MS = 3_600_000
+OVERLAP_MS = 3_600_000  # longer than the lifetime of a queue ticket
 KEY_BYTES = 32
 
 
 class KeyFileError(OperatorError):
-    """A file of keys can't be read or written, or holds none."""
+    """A key file can't be read or written, or contains no key."""
 
     code = "key-file-unusable"
-    advice = "Fronts that share keys need the same file; it must be readable for the front's user alone"
+    advice = "Give all fronts that share keys the same file, readable only by the user that the front runs as"
 
 
 def load(path: str, wall_ms: int) -> list[bytes]:
-    """The keys in use, the newest first.
+    """Read the keys that are in use, the newest first.
 
     Raises:
-        KeyFileError: unreadable, or a line that is no key.
+        KeyFileError: the file is unreadable, or a line is not a key.
     """
     try:
         lines = Path(path).read_text("ascii").splitlines()
@@ -43,7 +44,9 @@
             key, created_ms = b"", 0
         if len(key) != KEY_BYTES:
             raise KeyFileError(
-                f"found no key of {KEY_BYTES} bytes and its time", f"{path}:{number}", "remove the line"
+                f"found no key of {KEY_BYTES} bytes with its creation time",
+                f"{path}:{number}",
+                "remove the line",
             )
         dated_keys.append((created_ms, key))
     dated_keys.sort(reverse=True)
@@ -57,10 +60,12 @@
 
 
 def rotate(path: str, wall_ms: int) -> int:
-    """Add a new key and drop those whose overlap is over; how many there are now. Whole or not at all.
+    """Add a new key, remove keys that are no longer accepted, and return the number of keys.
+
+    The file is replaced atomically.
 
     Raises:
-        KeyFileError: a file that is there and is no key file, or can't be written.
+        KeyFileError: the existing file is not a key file, or the file can't be written.
     """
     file_path = Path(path)
     keys = load(path, wall_ms) if file_path.exists() else []
@@ -83,5 +88,5 @@
             os.fsync(file.fileno())
         temporary_path.replace(file_path)
     except OSError as error:
-        raise KeyFileError(f"found no writable place ({error.strerror})", path) from None
+        raise KeyFileError(f"found no way to write the key file ({error.strerror})", path) from None
     return len(lines)
--- a/packages/daemon/src/fennelcove/daemon/ledger_file.py
+++ b/packages/daemon/src/fennelcove/daemon/ledger_file.py
@@ -1,6 +1,6 @@
-"""The changes made, on disk: one line each with its own hash, written through before an author hears of it.
+"""The ledger of content changes on disk: hashed lines, synced before the author gets a response.
 
-A line that was cut short by a crash, or whose hash does not fit, is passed over and told; the rest stands.
+Lines that a crash truncated, or whose hash does not match, are skipped and logged.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class LedgerFile:
-    """One file; without a path nothing is kept."""
+    """Reads and appends one ledger file; without a path nothing is stored."""
 
     def __init__(self, path: str | None, log_event: EventLogger) -> None:
         self.path = Path(path) if path is not None else None
@@ -52,7 +52,7 @@
         self.lock = threading.Lock()
 
     def load(self) -> list[tuple[Change, bool]]:
-        """Every change and withdrawal in the order of the ledger's versions."""
+        """All changes and withdrawals, ordered by ledger version; True marks a change, False a withdrawal."""
         if self.path is None or not self.path.exists():
             return []
         records = []
@@ -62,7 +62,7 @@
             line_hash, _, body = line.partition(b" ")
             try:
                 if line_hash.decode("ascii", "replace") != blake3.blake3(body).hexdigest()[:16]:
-                    raise ValueError("its hash does not fit")
+                    raise ValueError("the hash does not match")
                 records.append(_DECODER.decode(body))
             except (msgspec.MsgspecError, ValueError) as error:
                 self.log_event("ledger_line_passed_over", file=str(self.path), line=number, reason=str(error))
@@ -71,10 +71,10 @@
         ]
 
     def keep(self, change: Change, made: bool, version: int) -> None:
-        """Write one step through to the disk.
+        """Append a change or a withdrawal and sync it to the disk.
 
         Raises:
-            OSError: it could not be written; the change is in force and will not outlive this process.
+            OSError: the line could not be written; the change is in force, but will be lost on restart.
         """
         if self.path is None:
             return
@@ -96,7 +96,7 @@
         body = msgspec.json.encode(record)
         with self.lock, self.path.open("ab") as file:
             if file.tell() and not self._ends_with_newline():
-                file.write(b"\n")  # a line cut short must not swallow the next one
+                file.write(b"\n")  # otherwise a truncated line would corrupt this one too
             file.write(blake3.blake3(body).hexdigest()[:16].encode() + b" " + body + b"\n")
             file.flush()
             os.fsync(file.fileno())
--- a/packages/daemon/src/fennelcove/daemon/rollouts.py
+++ b/packages/daemon/src/fennelcove/daemon/rollouts.py
@@ -1,4 +1,4 @@
-"""A front's side of releases: what it is now, what it sees, where its promises are kept, how it goes out."""
+"""A front's part in rollouts: its status, observations of servers, persisted state and restart."""
 
 from __future__ import annotations
 
@@ -29,16 +29,17 @@
 from msgspec import Struct
 
 KEY = b"releases"
-STORE_FOLDER = "promises"  # in the front's store: a store of its own, written at once
+# A separate store inside the folder of the front's store, because its writes are synchronous.
+STORE_FOLDER = "promises"
 MAX_STORE_MB = 4
-MAX_PLACE_NUMBER = 0x7FFF  # what a message can name
-# A join that fails so says something of the front, or of its settings; a box that is full does not.
+MAX_PLACE_NUMBER = 0x7FFF  # the largest place number that a rollout message can carry
+# Outcomes of attempts that may be the fault of the front's version or settings; a full server is not.
 FRONT_FAILURES = ("server_error", "no_answer", "no_connection", "connection_lost")
 STORM_PHASE_NUMBERS = {phase: number for number, phase in enumerate(StormState)}
 
 
 class StoredRollouts(Struct, frozen=True, array_like=True):
-    """What is safe in the folder."""
+    """The stored record: the front's incarnation and the state of the rollout protocol."""
 
     incarnation: int
     state: PersistedState
@@ -49,13 +50,14 @@
 
 
 def zone_number(name: str) -> int:
-    """A hall's number, the same at all fronts."""
+    """The number of a zone in rollout messages, which is the same at all fronts."""
     return crc32(name.encode()) & MAX_PLACE_NUMBER
 
 
 class Promises:
-    """The folder of one front's promises; without a folder nothing outlives the process, and the next life
-    waits instead.
+    """The persisted rollout state of one front: the promises that it has made to other fronts.
+
+    Without a store nothing is persisted, and the next incarnation waits until old promises have expired.
     """
 
     def __init__(self, settings: FrontSettings, wall_us: int, log_event: EventLogger) -> None:
@@ -74,11 +76,11 @@
         except msgspec.MsgspecError as error:
             log_event("promises_unread", reason=str(error))
             return
-        # A clock that went back must not begin a life that the others hold to be over.
+        # After a clock step backwards the incarnation must still increase: the others ignore older ones.
         self.life, self.memory = max(self.life, stored.incarnation + 1), stored.state
 
     def keep(self, memory: PersistedState) -> bool:
-        """Whether it is safe now."""
+        """Persist the state; return whether it is on disk."""
         if self.store is None:
             return True
         try:
@@ -91,13 +93,13 @@
         return True
 
     def close(self) -> None:
-        """Give the folder back."""
+        """Close the store."""
         if self.store is not None:
             self.store.close()
 
 
 class RolloutService:
-    """Owns the thread of releases. `start` and `stop` with the front; `opened` once its door is open."""
+    """Owns the rollout thread. Set `is_open` once the front accepts client connections."""
 
     def __init__(
         self,
@@ -119,9 +121,8 @@
         self.recovery_state: Callable[[], RecoveryState] = lambda: RecoveryState.OPEN
         self.is_open = self.is_ending = False
         self.serving_since_us: int | None = None
-        self.served_attempt_us: dict[
-            str, int
-        ] = {}  # when the last join was sent that each box has answered well
+        # When the last successful attempt at each server was sent.
+        self.served_attempt_us: dict[str, int] = {}
         self.promises = Promises(settings, clock.wall_us(), log_event)
         self.coordinator = RolloutCoordinator(
             self._agreement(settings, release_settings),
@@ -183,23 +184,26 @@
         )
 
     def start(self) -> None:
-        """Begin to speak: the door may still be shut."""
+        """Start the thread, which may be before client connections are accepted."""
         self.thread.start()
 
     def stop(self) -> None:
-        """End the thread and give the folder back."""
+        """End the thread and close the store."""
         self.coordinator.stop()
         self.thread.join()
         self.promises.close()
 
     def status(self) -> dict[str, object]:
-        """Figures for an operator."""
+        """The version and the rollout's state, for the status that operators read."""
         return {"version": self.release_settings.version, **self.coordinator.status()}
 
-    # What it is and sees; called on the thread of releases.
+    # Status and observations; called on the rollout thread.
 
     def own_status(self) -> FrontStatus:
-        """What this front is now. What it turns away since it drains says nothing about its version."""
+        """This front's current status.
+
+        Requests rejected because the front drains are not counted: they say nothing about its version.
+        """
         with self.core.lock:
             admission_state, counts, storm_detector = (
                 self.core.admission_controller.state,
@@ -233,11 +237,11 @@
         )
 
     def on_attempt_served(self, address: str, sent_us: int) -> None:
-        """A box has answered a join well that was sent then; the core's lock is round it."""
+        """An attempt sent at this time succeeded; called under the core's lock."""
         self.served_attempt_us[address] = max(sent_us, self.served_attempt_us.get(address, 0))
 
     def observe_servers(self) -> Mapping[int, ServerObservation]:
-        """All boxes by their cells. Where two share one, a cell names no box: then none may be taken out."""
+        """All servers by cell; empty if two share a cell, as a cell then identifies no server to take out."""
         found: dict[int, ServerObservation] = {}
         with self.core.lock:
             servers = [s for s in self.core.policy.servers.values() if s.state is not ServerState.LEFT]
@@ -253,7 +257,7 @@
         return found
 
     def _observe(self, server: Server, now_us: int) -> ServerObservation:
-        core, policy = self.core, self.core.policy
+        policy, core = self.core.policy, self.core
         is_warm = not policy.is_warming_up(server)
         titles = frozenset(
             number
@@ -267,13 +271,13 @@
         is_usable = is_warm and server.state is ServerState.ACTIVE and now_us >= server.suspended_until_us
         if is_usable and served_us is not None and served_us >= server.started_us:
             return ServerObservation(location, True, served_us)
-        # Nothing but an answer to what was sent tells of a time: a report may have lain anywhere.
+        # Only a response proves that the server worked after a known time: a report may have been delayed.
         return ServerObservation(location, False, now_us if not is_usable else server.started_us)
 
-    # How it goes out.
+    # Taking this front or a server out of service.
 
     def leave_service(self, version: int) -> bool:
-        """Take nothing new from now on, and end so that the supervisor starts this version."""
+        """Drain and shut down, so that the supervisor starts this version."""
         try:
             write_atomically(Path(self.release_settings.wanted), f"{version}\n")
         except OSError as error:
@@ -284,11 +288,11 @@
         if not self.is_ending:
             self.is_ending = True
             if not self.timers.after(round(self.release_settings.drain_ms * 1000), self.request_shutdown):
-                self.request_shutdown()  # no timer is left: better at once than never
+                self.request_shutdown()  # no timer is free: shut down at once
         return True
 
     def take_server_out(self, cell: int) -> bool:
-        """Tell whoever keeps the list that this box may be drained now: a line in a file beside `wanted`."""
+        """Permit the drain of a server by writing its address to a file beside `wanted`."""
         with self.core.lock:
             found = [s.address for s in self.core.policy.servers.values() if s.cell == cell]
         if not found:
@@ -305,10 +309,10 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Whole or not at all, and safe when it returns.
+    """Replace the contents of a file atomically and sync them to the disk.
 
     Raises:
-        OSError: it can't be written.
+        OSError: the file can't be written.
     """
     temporary_path = path.with_name(path.name + ".new")
     with temporary_path.open("w", encoding="ascii") as file:
--- a/packages/upstream/src/fennelcove/upstream/__init__.py
+++ b/packages/upstream/src/fennelcove/upstream/__init__.py
@@ -1,3 +1,4 @@
-"""The front as a client: joins and orders to boxes, their feeds, the list service. Sockets only, no
-decisions.
+"""The front's outgoing connections: attempts, commands and event streams at servers, and the endpoint list.
+
+These modules do network I/O only; the decisions are made in the core.
 """
--- a/packages/upstream/src/fennelcove/upstream/attempts.py
+++ b/packages/upstream/src/fennelcove/upstream/attempts.py
@@ -1,6 +1,4 @@
-"""Carries out one join: one HTTP set-up at a box, each socket event told to the table that knows what it
-proves.
-"""
+"""Sends attempts: one HTTP request to a server each, whose socket events go to the attempt's state table."""
 
 from __future__ import annotations
 
@@ -34,15 +32,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletedAttempt:
-    """A join's end, and whether the viewer's hanging up or this front's stopping brought it."""
+    """The result of an attempt; `interrupted` is set if the client's disconnect or the shutdown ended it."""
 
     end: AttemptResult
     interrupted: WakeReason | None = None
-    hops: str = ""
+    hops: str = ""  # the server's CMSD-Dynamic header, to which the front appends its own hop
 
 
 class HintReader:
-    """Reads boxes' CMSD for all threads, out of memory where it came lately."""
+    """Parses servers' CMSD headers, with a cache that all threads share."""
 
     def __init__(self) -> None:
         self.cache = cmsd.Memo()
@@ -50,7 +48,7 @@
         self.dropped_count = 0
 
     def read(self, static: str | None, dynamic: str | None) -> ServerHints | None:
-        """What a box tells; of several hops the one nearest the box counts, which is the first."""
+        """The load signals of a server, from the first of several hops: the one nearest the server."""
         if not dynamic:
             return None
         with self.lock:
@@ -64,27 +62,33 @@
 
 
 def header_text(head: ResponseHead, name: bytes) -> str | None:
-    """A field's value as text."""
+    """The value of a header field as text, or None."""
     value = head.get(name)
     return None if value is None else value.decode("latin-1")
 
 
 class AttemptSlots(Protocol):
-    """What a joiner asks where the joins at a box have a number of their own; none of it waits."""
+    """Limits the attempts in flight at each server; no call blocks."""
 
-    def workload_shape(self, service_class: str, rung: int, server: str) -> int: ...
+    def workload_shape(self, service_class: str, rung: int, server: str) -> int:
+        """The workload shape whose latency an attempt of this kind is compared with."""
+        ...
 
-    def try_acquire(self, server: str, shape: int, timeout_us: int) -> bool: ...
+    def try_acquire(self, server: str, shape: int, timeout_us: int) -> bool:
+        """Take a slot for an attempt; False if none is free."""
+        ...
 
-    def on_attempt_ended(self, server: str, shape: int, held_us: int, answered: bool | None) -> None: ...
+    def on_attempt_ended(self, server: str, shape: int, held_us: int, answered: bool | None) -> None:
+        """Release the slot. `answered` is None if the result says nothing about the server's latency."""
+        ...
 
 
-# What an end says of a box's pace: it answered, or did not; the rest says nothing of it.
+# Whether the server answered in time; other outcomes say nothing about its latency.
 ANSWERED_BY_OUTCOME = {Outcome.SERVED: True, Outcome.NO_ANSWER: False, Outcome.CONNECTION_LOST: False}
 
 
 class AttemptSender:
-    """Runs joins, each on the thread that waits for it. With `slots` each first takes one."""
+    """Sends attempts, each on the calling thread. If `slots` is set, each attempt takes a slot first."""
 
     slots: AttemptSlots | None = None
 
@@ -107,7 +111,7 @@
         self.halt = halt
 
     def run(self, step: SendAttempt, client_socket: socket.socket | None) -> CompletedAttempt:
-        """Send the join and wait for its end, the viewer's hanging up, or this front's stopping."""
+        """Send an attempt; wait for its result, the client's disconnect or the front's shutdown."""
         if step.is_blocked or not self.pool.reserve(step.server):
             return CompletedAttempt(AttemptResult(Outcome.NOT_SENT, None, 0))
         if self.slots is None:
@@ -258,7 +262,8 @@
     if head.status == 201:
         return ExchangeEvent.PLAYBACK_STARTED
     if head.status == 503:
-        # A 503 alone may come from anything on the way, after the box ran it: only the box's own word proves.
+        # An intermediary may answer 503 after the server has executed the request: only the problem type
+        # of the server itself proves that it rejected the attempt.
         try:
             if _PROBLEM.decode(body).type == TURNED_AWAY:
                 return ExchangeEvent.REJECTED
--- a/packages/upstream/src/fennelcove/upstream/command_senders.py
+++ b/packages/upstream/src/fennelcove/upstream/command_senders.py
@@ -1,4 +1,4 @@
-"""Sends orders to boxes, new rungs and releases, on a few threads of its own."""
+"""Threads that send commands to servers: rung changes, resume tokens and releases."""
 
 from __future__ import annotations
 
@@ -19,32 +19,30 @@
 
 
 class CommandSenders:
-    """Owns the senders; `start` them once, `stop` ends them when what is in hand has gone out."""
+    """Owns the sender threads; `stop` ends them after the commands that are ready have been sent."""
 
     def __init__(self, clock: Clock, pool: ConnectionPool, limits: DialLimits) -> None:
         self.clock = clock
         self.pool = pool
         self.limits = limits
         self.ready = threading.Condition()
-        self.deadline_us: int | None = None  # once set, the senders end by then
+        self.deadline_us: int | None = None  # set by `stop`: the senders end by this time
         self.threads: list[threading.Thread] = []
 
     def start(self, commands: CommandDispatcher, lifecycle: SessionLifecycle) -> None:
-        """Start the threads, once; they take commands, and the rates of the sessions concerned."""
+        """Start the threads, once; they take commands, and look up the rates of their sessions."""
         for i in range(SENDER_COUNT):
             thread = threading.Thread(target=self._run, args=(commands, lifecycle), name=f"orders-{i}")
             self.threads.append(thread)
             thread.start()
 
     def wake(self) -> None:
-        """An order may be ready."""
+        """Wake a sender, as a command may be ready."""
         with self.ready:
             self.ready.notify()
 
     def stop(self, deadline_us: int) -> None:
-        """Send what may go out at once, and end by then: a box that hangs must not hold the front's end
-        up.
-        """
+        """Send the commands that are ready, and end by the deadline even if a server does not respond."""
         with self.ready:
             self.deadline_us = deadline_us
             self.ready.notify_all()
@@ -61,11 +59,11 @@
             with self.ready:
                 if self.deadline_us is not None:
                     return
-                # Woken between the look and this wait, a sender sleeps one bound at the most.
+                # A notification between `next_command` and this wait is missed; the bound limits the delay.
                 self.ready.wait(MAX_WAIT_S if wait_us is None else min(MAX_WAIT_S, wait_us / 1e6))
 
     def _remaining_us(self) -> int:
-        """How long one order may take now."""
+        """The time that one command may take now."""
         deadline_us = self.deadline_us
         return (
             COMMAND_TIMEOUT_US
@@ -108,5 +106,5 @@
         response = connection.answer()
         assert isinstance(response.head, ResponseHead)
         if response.head.status >= 500:
-            raise ConnectionError(f"answered {response.head.status}")
+            raise ConnectionError(f"response status {response.head.status}")
         return response.head.keep_alive and connection.responses.reader.between
--- a/packages/upstream/src/fennelcove/upstream/connection_pool.py
+++ b/packages/upstream/src/fennelcove/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to boxes: kept between exchanges, bounded for each server and in age."""
+"""A pool of connections to servers, limited in number per server and in idle time."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DialLimits(CodecLimits):
-    """Bounds on what is read from a peer, and the address of this machine that peers are dialled from."""
+    """Limits on what is read from a peer, and the local address that connections are made from."""
 
-    source_address: str = ""  # the system chooses
+    source_address: str = ""  # empty: the operating system chooses
 
 
 @dataclass(slots=True, eq=False)
 class ServerConnection:
-    """One connection to a box, with what has been read off it."""
+    """A connection to a server, with its buffered responses."""
 
     server: str
     sock: socket.socket
@@ -33,17 +33,17 @@
     idle_since_us: int = 0
 
     def answer(self) -> Whole:
-        """The next whole answer, waiting as the socket's own limit says.
+        """Read the next complete response, within the timeout of the socket.
 
         Raises:
-            OSError: silent past the limit, reset, or closed before an answer.
-            ProtocolError: an answer that is refused or cut short.
+            OSError: the read timed out, or the connection was reset or closed before a response.
+            ProtocolError: the response is malformed, over a limit or truncated.
         """
         while (response := self.responses.next()) is None:
             data = self.sock.recv(READ_BYTES)
             self.responses.reader.feed(data)
             if not data and self.responses.reader.between:
-                raise ConnectionResetError("closed before its answer")
+                raise ConnectionResetError("connection closed before a response")
         return response
 
 
@@ -54,10 +54,10 @@
 
 
 def dial(address: str, timeout_us: int, limits: DialLimits, stream: bool = False) -> ServerConnection:
-    """A new connection.
+    """Open a new connection.
 
     Raises:
-        OSError: refused, unreachable or not made in time.
+        OSError: the connection was refused, the peer is unreachable, or the timeout passed.
     """
     host, _, port = address.rpartition(":")
     source_address = (limits.source_address, 0) if limits.source_address else None
@@ -67,7 +67,7 @@
 
 
 class ConnectionPool:
-    """Hands out connections; `most` of them to one box at a time, idle ones included."""
+    """Idle connections and the number in use, at most `max_connections` per server in all."""
 
     def __init__(self, clock: Clock, max_connections: int, idle_us: int) -> None:
         self.clock = clock
@@ -76,12 +76,11 @@
         self.servers: dict[str, _Server] = {}
         self.lock = threading.Lock()
         self.closed = False
-        self.target_count: Callable[[str], int] = (
-            lambda address: max_connections
-        )  # connections to a box worth keeping
+        # How many connections to a server to retain.
+        self.target_count: Callable[[str], int] = lambda address: max_connections
 
     def reserve(self, address: str) -> bool:
-        """Count one exchange with a box; False where the bound is reached."""
+        """Reserve a connection for one request; False if the server's limit is reached."""
         with self.lock:
             server = self.servers.setdefault(address, _Server())
             if self.closed or server.in_use_count >= self.max_connections:
@@ -90,7 +89,7 @@
             return True
 
     def release(self, address: str, connection: ServerConnection | None) -> None:
-        """An exchange is over; a link that may be used again is kept."""
+        """End a reservation; a connection that can be reused is passed in, and retained within the limits."""
         idle_limit = min(self.max_connections, self.target_count(address)) if connection is not None else 0
         with self.lock:
             server = self.servers[address]
@@ -105,7 +104,7 @@
                 del self.servers[address]
 
     def take_idle_connection(self, address: str) -> ServerConnection | None:
-        """A kept connection that still looks alive, the last used first."""
+        """Take an idle connection that the peer has not closed, the most recently used first."""
         with self.lock:
             server = self.servers.get(address)
             while server is not None and server.idle:
@@ -116,7 +115,7 @@
             return None
 
     def close_stale(self) -> None:
-        """Close what has been idle for too long; boxes that are gone would hold descriptors for ever."""
+        """Close connections past the idle timeout; otherwise those to removed servers would stay open."""
         with self.lock:
             now_us = self.clock.now_us()
             for address in list(self.servers):
@@ -127,7 +126,7 @@
                     del self.servers[address]
 
     def close(self) -> None:
-        """Close all that is idle and keep nothing from now on."""
+        """Close all idle connections and retain none from now on."""
         with self.lock:
             self.closed = True
             for server in self.servers.values():
@@ -137,7 +136,7 @@
 
 
 def _is_usable(connection: ServerConnection) -> bool:
-    """Nothing may be readable between two exchanges: neither an end nor an answer that nobody asked for."""
+    """Whether nothing is readable: a close or an unrequested response makes a connection unusable."""
     poll = select.poll()
     poll.register(connection.sock, select.POLLIN)
     return not poll.poll(0)
--- a/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
+++ b/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
@@ -1,4 +1,4 @@
-"""The list service's client: a stream of changes, and single calls for the whole list."""
+"""Client of the list service: a stream of updates, and single requests for the complete list."""
 
 from __future__ import annotations
 
@@ -25,23 +25,26 @@
 
 
 class EndpointListUnreachedError(OperatorError):
-    """No whole answer of the list service came."""
+    """The list service sent no complete response."""
 
     code = "list-service-unreached"
-    advice = "See that the list service runs and can be reached; the front asks again and goes on by its list"
+    advice = "Check that the list service runs and is reachable; the front retries and keeps its current list"
 
 
 class EndpointListUnreadableError(OperatorError):
-    """A list is not as agreed; nothing of it was used."""
+    """An endpoint list is malformed, and no part of it was used."""
 
     code = "list-unreadable"
-    advice = "See what the list service sends (docs/operate/front.md); the front goes on by the list before"
+    advice = (
+        "Check what the list service sends (docs/operate/front.md); the front keeps using the previous list"
+    )
 
 
 class EndpointListClient:
-    """Owns two threads: one reads the stream of updates, one makes calls.
+    """Owns two threads: one reads the stream of updates, one requests complete lists.
 
-    With `must_ask` the stream opens on request. Implements `fennelcove.core.ports.EndpointListSource`.
+    With `on_request_only` each stream is opened on request.
+    Implements `fennelcove.core.ports.EndpointListSource`.
     """
 
     def __init__(
@@ -64,9 +67,7 @@
         self.fetch_requested = False
         self.is_stopped = False
         self.stream: EventStream | None = None
-        self.turn_wait_us: Callable[[], int] = (
-            lambda: 0
-        )  # how long to wait before a call; 0 where it is counted
+        self.turn_wait_us: Callable[[], int] = lambda: 0  # the wait before the next call; 0 counts the call
         self.threads: list[threading.Thread] = []
 
     def start(self, discovery: EndpointDiscovery) -> None:
@@ -89,19 +90,19 @@
             thread.join()
 
     def watch(self) -> None:
-        """Keep the stream open."""
+        """Open the stream of updates, and keep it open unless `on_request_only` is set."""
         with self.state_changed:
             self.stream_requested = True
             self.state_changed.notify_all()
 
     def fetch(self) -> None:
-        """Request the whole list once."""
+        """Request the complete list once."""
         with self.state_changed:
             self.fetch_requested = True
             self.state_changed.notify_all()
 
     def _wait_turn(self) -> None:
-        """Where the fleet's calls have a budget, wait for this front's turn."""
+        """Wait until the quota of list calls that the fronts share admits a call."""
         while (wait_us := self.turn_wait_us()) > 0:
             with self.state_changed:
                 if self.state_changed.wait_for(lambda: self.is_stopped, wait_us / 1e6):
@@ -145,7 +146,7 @@
                 self.log_event(
                     "endpoint_list_rejected", **EndpointListUnreadableError(str(error), self.address).fields()
                 )
-                raise EventError(f"a list that is not as agreed: {error}") from None
+                raise EventError(f"malformed list: {error}") from None
             discovery.on_list(news(message, self.clock.now_us()))
 
     def _run_fetches(self, discovery: EndpointDiscovery) -> None:
@@ -181,4 +182,4 @@
         assert isinstance(response.head, ResponseHead)
         if response.head.status == 200:
             return _MESSAGE.decode(response.body)
-        raise ConnectionError(f"answered {response.head.status}")
+        raise ConnectionError(f"response status {response.head.status}")
--- a/packages/upstream/src/fennelcove/upstream/event_stream.py
+++ b/packages/upstream/src/fennelcove/upstream/event_stream.py
@@ -1,4 +1,4 @@
-"""Reads one long answer of server-sent events, until it ends, falls silent or is shut from outside."""
+"""Reads a stream of server-sent events until it ends, times out or is closed by another thread."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class PeerRefusedError(OperatorError):
-    """A connection for a stream was refused: nothing listens there."""
+    """The connection for an event stream was refused: nothing listens at the address."""
 
     code = "peer-refused"
-    advice = "Start what should listen there, or take its address off the list or out of the settings"
+    advice = "Start the server or service at the address, or remove the address from the list or the settings"
 
 
 class StreamBrokenError(OperatorError):
-    """A stream of a box or of the list service ended, fell silent or can't be read on."""
+    """An event stream of a server or of the list service ended, timed out or is malformed."""
 
     code = "peer-stream-broken"
-    advice = "Wait: it is opened again by itself; where it goes on, look at the peer and the way to it"
+    advice = "The front reconnects automatically; if it recurs, check the peer and the network path to it"
 
 
 class EventStream:
-    """One stream. `run` belongs to the thread that owns it; `shut` ends it from any other."""
+    """One event stream. The owning thread calls `run`; any other thread can end it with `close`."""
 
     def __init__(
         self, address: str, path: str, limits: DialLimits, connect_timeout_us: int, idle_timeout_us: int
@@ -45,23 +45,23 @@
         self.lock = threading.Lock()
 
     def run(self, on_event: Callable[[ServerEvent], None]) -> None:
-        """Open the stream and hand each event on.
+        """Open the stream and pass each event to `on_event`, until the stream ends.
 
         Raises:
-            Refused: nothing listens there.
-            Broken: anything else that ends it.
+            PeerRefusedError: nothing listens at the address.
+            StreamBrokenError: the stream ended for any other reason.
         """
         try:
             connection = dial(self.address, self.connect_timeout_us, self.limits, stream=True)
         except ConnectionRefusedError:
-            raise PeerRefusedError("refused", self.address) from None
+            raise PeerRefusedError("connection refused", self.address) from None
         except OSError as error:
             raise StreamBrokenError(str(error), self.address) from None
         with self.lock:
             self.sock = connection.sock
             if self.is_closed:
                 connection.sock.close()
-                raise StreamBrokenError("shut", self.address)
+                raise StreamBrokenError("closed by this front", self.address)
         try:
             connection.sock.settimeout(self.idle_timeout_us / 1e6)
             accept = [("Accept", "text/event-stream")]
@@ -79,19 +79,19 @@
         while True:
             while (event := reader.next()) is not None:
                 if isinstance(event, ResponseHead) and event.status != 200:
-                    raise StreamBrokenError(f"answered {event.status}", self.address)
+                    raise StreamBrokenError(f"response status {event.status}", self.address)
                 if isinstance(event, Data):
                     for item in events.feed(event.body):
                         on_event(item)
                 if isinstance(event, End):
-                    raise StreamBrokenError("ended", self.address)
+                    raise StreamBrokenError("end of the response", self.address)
             data = sock.recv(READ_BYTES)
             reader.feed(data)
             if not data and reader.between:
-                raise StreamBrokenError("closed", self.address)
+                raise StreamBrokenError("connection closed by the peer", self.address)
 
     def close(self) -> None:
-        """End the stream; `run` raises soon."""
+        """End the stream: `run` raises `StreamBrokenError` soon after."""
         with self.lock:
             self.is_closed = True
             if self.sock is not None:
--- a/packages/upstream/src/fennelcove/upstream/front_messaging.py
+++ b/packages/upstream/src/fennelcove/upstream/front_messaging.py
@@ -1,4 +1,4 @@
-"""Messages between fronts: one datagram each, which may be lost; nothing here waits for a reply."""
+"""Messages between fronts, in UDP datagrams that may be lost; no call waits for a reply."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 from fennelcove.messages import MAX_BYTES, decode, encode
 from fennelcove.rollouts.messages import RolloutMessage
 
-POLL_INTERVAL_S = 0.25  # how often the listening thread looks whether it should end
+POLL_INTERVAL_S = 0.25  # how often the receiving thread checks for a shutdown
 
 
 class FrontMessaging:
-    """Tells the other fronts and hears them: only what comes from a configured address counts."""
+    """Sends messages to the other fronts and dispatches received ones.
+
+    Datagrams from addresses that are not configured are dropped.
+    """
 
     def __init__(
         self,
@@ -32,7 +35,7 @@
         self.addresses = [(host, int(port)) for host, _, port in (a.rpartition(":") for a in addresses)]
         self.indices = {address: i for i, address in enumerate(self.addresses) if i != index}
         self.on_message = on_message
-        self.on_heartbeat = on_heartbeat  # None: signs of life are not asked for
+        self.on_heartbeat = on_heartbeat  # None: heartbeats are not used
         self.on_load_summary: Callable[[int, LoadSummary], None] | None = None
         self.on_health_report: Callable[[int, HealthReport], None] | None = None
         self.on_quota_message: Callable[[int, QuotaRequest | QuotaTransfer], None] | None = None
@@ -40,7 +43,7 @@
         self.on_limit_message: Callable[[int, bytes], bool] | None = None
         self.on_usage_report: Callable[[int, UsageReport], None] | None = None
         self.is_stopped = False
-        self.lost = 0  # not sent, from nobody known, or not understood
+        self.lost = 0  # not sent, from an unknown address, or malformed
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             self.sock.bind(self.addresses[index])
@@ -51,45 +54,45 @@
         self.thread = threading.Thread(target=self._run, name="fronts")
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Start the receiving thread."""
         self.thread.start()
 
     def send_message(self, front: int, message: PeerMessage) -> None:
-        """Send it, or lose it: a message that can't leave now is worth nothing later."""
+        """Send a message to one front. It is dropped if it can't be sent now: later it is out of date."""
         for datagram in encode(message):
             self._send(front, datagram)
 
     def send_heartbeats(self, heartbeats: dict[int, Heartbeat]) -> None:
-        """Send a sign of life to each of these fronts, or lose it."""
+        """Send a heartbeat to each of these fronts."""
         for front, heartbeat in heartbeats.items():
             self._send(front, messages.encode_heartbeat(heartbeat))
 
     def send_load_summary(self, message: LoadSummary) -> None:
-        """Tell all other fronts what this one is asked."""
+        """Send this front's demand to all other fronts."""
         datagram = messages.encode_load_summary(message)
         for front in self.indices.values():
             self._send(front, datagram)
 
     def send_quota_message(self, front: int, message: QuotaRequest | QuotaTransfer) -> None:
-        """Ask another front for a part of its budget, or lend of this one's."""
+        """Request quota from another front, or lend it a part of this front's."""
         self._send(front, messages.encode_quota_message(message))
 
     def send_rollout_message(self, front: int, message: RolloutMessage) -> None:
-        """Tell another front something about who is out."""
+        """Send another front a message of the rollout protocol."""
         self._send(front, rollout_messages.encode(message))
 
     def send_health_report(self, message: HealthReport) -> None:
-        """Tell all other fronts what this one finds of a box."""
+        """Send this front's observation of a server to all other fronts."""
         datagram = messages.encode_health_report(message)
         for front in self.indices.values():
             self._send(front, datagram)
 
     def send_limit_message(self, front: int, datagram: bytes) -> None:
-        """Tell another front something about slots at boxes."""
+        """Send another front an encoded message about slots at servers."""
         self._send(front, datagram)
 
     def send_usage_report(self, message: UsageReport) -> None:
-        """Tell all other fronts what this one's slots were given to."""
+        """Send all other fronts the tenants that used this front's slots."""
         for datagram in usage_messages.encode(message):
             for front in self.indices.values():
                 self._send(front, datagram)
@@ -101,7 +104,7 @@
             self.lost += 1
 
     def stop(self) -> None:
-        """End listening and close."""
+        """End the receiving thread and close the socket."""
         self.is_stopped = True
         self.thread.join()
         self.sock.close()
@@ -113,7 +116,7 @@
             except TimeoutError:
                 continue
             except OSError:
-                self.lost += 1  # a refused datagram of ours comes back as an error of the socket
+                self.lost += 1  # the socket reports here that a datagram sent earlier was refused
                 continue
             sender = self.indices.get(address)
             if sender is None or not self._deliver(sender, datagram):
--- a/packages/upstream/src/fennelcove/upstream/health_checks.py
+++ b/packages/upstream/src/fennelcove/upstream/health_checks.py
@@ -1,4 +1,7 @@
-"""Probes: a box's feed opened, heard once and closed, on a few threads with a bounded queue."""
+"""Probes of servers: opens an event stream, reads one load report and closes it.
+
+A few threads take the probes from a bounded queue.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class HealthChecker:
-    """Asks boxes and says what came of it, once for each; started with the front, ended by `stop`."""
+    """Probes servers and reports each result once to `on_probe_completed`."""
 
     def __init__(
         self,
@@ -43,12 +46,12 @@
         self.threads = [threading.Thread(target=self._run, name=f"probe-{i}") for i in range(THREAD_COUNT)]
 
     def start(self) -> None:
-        """Begin to carry probes out."""
+        """Start the probe threads."""
         for thread in self.threads:
             thread.start()
 
     def start_probe(self, server: str) -> bool:
-        """Probe this box soon; False where too many wait, and nothing will be heard of it."""
+        """Queue a probe of a server; False if the queue is full, in which case no result is reported."""
         try:
             self.queued.put_nowait(server)
         except queue.Full:
@@ -56,7 +59,7 @@
         return True
 
     def stop(self) -> None:
-        """End after the probes under way, each of which has its limit."""
+        """Drop the queued probes and end the threads after the running ones, each of which has a timeout."""
         while not self.queued.empty():
             try:
                 self.queued.get_nowait()
@@ -72,7 +75,7 @@
             self.on_probe_completed(self.probe(server))
 
     def probe(self, server: str) -> ProbeCompleted:
-        """Ask now, within the time-out."""
+        """Probe a server on the calling thread, within the timeout."""
         started_us, reports = self.clock.now_us(), list[LoadReport]()
         path = f"/v1/feed?front={self.front}"
         stream = EventStream(server, path, self.limits, self.timeout_us, self.timeout_us)
--- a/packages/upstream/src/fennelcove/upstream/migration_workers.py
+++ b/packages/upstream/src/fennelcove/upstream/migration_workers.py
@@ -1,4 +1,4 @@
-"""Runs the attempts of migrations on threads of its own."""
+"""Threads that send the attempts of session migrations."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
             return False
 
     def stop(self) -> None:
-        """End the threads; the front's shutdown has ended the pending attempts."""
+        """End the threads; the front's shutdown has already cancelled the pending attempts."""
         for _ in self.threads:
             self.pending.put(None)
         for thread in self.threads:
--- a/packages/upstream/src/fennelcove/upstream/server_event_streams.py
+++ b/packages/upstream/src/fennelcove/upstream/server_event_streams.py
@@ -1,4 +1,4 @@
-"""The feeds of boxes: one thread for each box on which this front holds something."""
+"""Event streams of servers: one thread for each server on which this front has sessions."""
 
 from __future__ import annotations
 
@@ -79,10 +79,11 @@
             if not is_full:
                 thread.start()
                 return
-        except RuntimeError:  # the machine gives no more threads
+        except RuntimeError:  # the operating system refuses another thread
             with self.lock:
                 del self.streams[server]
-        # The core is in the middle of a step: it hears of it as of any other feed that broke, a moment later.
+        # The core calls this under its lock: a timer reports the failure right afterwards, in the same way as
+        # any other broken stream.
         self.log_event("feeds_full", box=server)
         self.timers.after(0, lambda: self.registry.on_stream_closed(server, generation, is_refused=False))
 
@@ -94,7 +95,7 @@
             entry.stream.close()
 
     def stop(self) -> None:
-        """End every feed and wait for its thread."""
+        """Close all streams and wait for their threads."""
         with self.lock:
             streams = list(self.streams.values())
         for entry in streams:
@@ -131,4 +132,4 @@
                 ended = _ENDED.decode(event.data)
                 self.registry.on_session_ended(server, generation, ended.subscription, ended.join)
         except msgspec.MsgspecError as error:
-            raise EventError(f"an event that is not as agreed: {error}") from None
+            raise EventError(f"malformed event: {error}") from None
--- a/packages/upstream/src/fennelcove/upstream/wakeups.py
+++ b/packages/upstream/src/fennelcove/upstream/wakeups.py
@@ -1,4 +1,4 @@
-"""A one-way switch that a thread can wait for together with its sockets."""
+"""Signals between threads that can be polled together with sockets, and the waits that use them."""
 
 from __future__ import annotations
 
@@ -10,47 +10,50 @@
 
 
 class CancellationLatch:
-    """Set once; its descriptor is readable from then on. The owner closes it when nobody waits any more."""
+    """A one-way flag; its descriptor is readable once it is set.
+
+    The owner closes it after all waiting threads have ended.
+    """
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
         self.is_set = False
 
     def set(self) -> None:
-        """Wake everybody who waits."""
+        """Set the flag, which wakes all waiting threads."""
         if not self.is_set:
             self.is_set = True
             os.write(self.writer, b"x")
 
     def wait(self, timeout_us: int) -> bool:
-        """Wait until it is set, or for so long."""
+        """Wait until the flag is set or the timeout has passed; return whether it is set."""
         poll = select.poll()
         poll.register(self.reader, select.POLLIN)
         return bool(poll.poll(max(0, -(-timeout_us // 1000))))
 
     def close(self) -> None:
-        """Give the descriptors back."""
+        """Close the descriptors."""
         os.close(self.reader)
         os.close(self.writer)
 
 
 class Wakeup:
-    """A wake-up that can be rung again and again; the owner closes it when nobody rings any more."""
+    """A reusable event; the owner closes it after the last `notify`."""
 
     def __init__(self) -> None:
         self.reader = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
 
     def notify(self) -> None:
-        """Wake who waits, or who will."""
+        """Wake the waiting thread, or the next one that waits."""
         os.eventfd_write(self.reader, 1)
 
     def clear(self) -> None:
-        """It was heard."""
+        """Reset the event, so that the next wait blocks again."""
         with suppress(BlockingIOError):
             os.eventfd_read(self.reader)
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Close the descriptor."""
         os.close(self.reader)
 
 
@@ -63,7 +66,7 @@
     TIME = auto()
 
 
-# A peer that closed its side shows so without its bytes being read, pipelined ones included.
+# POLLRDHUP reports that the peer closed its side although unread bytes, e.g. pipelined requests, remain.
 _DISCONNECT_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
@@ -73,7 +76,7 @@
     latch: CancellationLatch | Wakeup | None,
     client_socket: socket.socket | None = None,
 ) -> WakeReason:
-    """Wait until the socket can be read, the other one's peer hangs up, the latch is set or time is up."""
+    """Wait until the socket is readable, the client disconnects, the latch is set or the timeout passes."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     if latch is not None:
@@ -91,9 +94,7 @@
 def wait_bell(
     descriptor: int, timeout_us: int, latch: CancellationLatch, client_socket: socket.socket
 ) -> WakeReason:
-    """Wait until this descriptor can be read, the other one's peer hangs up, the latch is set or time is
-    up.
-    """
+    """Like `wait`, for a descriptor that is not a socket."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
     poll.register(latch.reader, select.POLLIN)
