--- a/benchmarks/front_load.py
+++ b/benchmarks/front_load.py
@@ -1,10 +1,10 @@
-"""Loads a front on loopback beside a bare blocking echo server with the same threads, in one run.
+"""Compares a front under load on loopback with a plain blocking echo server that has as many threads.
 
     python benchmarks/front_load.py [--seconds 4] [--connections 50,200,1000]
 
-Closed loop: each connection sets up, reads the answer, releases, and begins again. Paced: set-ups on a
-schedule that does not wait for answers, each timed from when it was due. Prints a table; figures are of the
-machine it ran on.
+Closed loop: each connection sets up a session, reads the response, releases the session and repeats. Paced:
+set-ups on a schedule that does not wait for responses, each timed from when it was due. Prints a table, which
+holds for the machine that it ran on.
 """
 
 from __future__ import annotations
@@ -30,24 +30,25 @@
 from fennelcove.emulators.recorder import Recorder
 from hdrh.histogram import HdrHistogram
 
-CLIENTS, BOXES = 3, 3
-BODY = b'{"room_type":"free","title":"t","client_timeout_ms":9000}'
-ASK = (
+CLIENT_PROCESS_COUNT, SERVER_COUNT = 3, 3
+SETUP_BODY = b'{"room_type":"free","title":"t","client_timeout_ms":9000}'
+SETUP_REQUEST = (
     b"POST /v1/subscriptions HTTP/1.1\r\nHost: front\r\nContent-Type: application/json\r\n"
     b"CMCD-Request: bl=4000,mtp=25400,su\r\nCMCD-Object: tb=9000\r\n"
-    b'CMCD-Session: cid="t",sf=h,sid="6e2fb550-c457",v=1\r\nContent-Length: %d\r\n\r\n%b' % (len(BODY), BODY)
+    b'CMCD-Session: cid="t",sf=h,sid="6e2fb550-c457",v=1\r\nContent-Length: %d\r\n\r\n%b'
+    % (len(SETUP_BODY), SETUP_BODY)
 )
-FRONT = """(front (name "f") (listen "127.0.0.1:0") (lists (address "{lists}"))
+FRONT_SETTINGS = """(front (name "f") (listen "127.0.0.1:0") (lists (address "{lists}"))
   (room-types (item (name "free") (objective-ms 5000) (client-timeout-ms 9000)))
   (ladder (item (kb 10) (worth 0.5)) (item (kb 20) (worth 1)))
   (fleet (kinds (item (name "k") (streams 100000))) (cells 1) (racks 1) (kb-per-weight 10000000)
     (all-links-kb 30000000) (uplink-kb 30000000) (reports-every-ms 1000))
   (titles (item (name "t")))
   (limits (connections 4000) (waiting 4000) (box-connections 1500) (silent-ms 600000) (stop-ms 5000)))"""
-BOX = '(box (name "b{}") (streams 100000) (link-kb 10000000) (uplink-kb 30000000))'
+SERVER_SETTINGS = '(box (name "b{}") (streams 100000) (link-kb 10000000) (uplink-kb 30000000))'
 
 
-def cpu_s(pid: int) -> float:
+def cpu_time_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -56,8 +57,8 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") // 1024
 
 
-def echo(port_out: Any) -> None:
-    """The baseline: one thread a connection, same stacks, a constant answer to each whole request."""
+def run_echo_server(port_pipe: Any) -> None:
+    """The baseline: one thread per connection, equal stack sizes, a constant response to each request."""
     threading.stack_size(256 * 1024)
     answer = (
         b"HTTP/1.1 201 Created\r\nContent-Type: application/json\r\nLocation: /v1/subscriptions/0\r\n"
@@ -72,141 +73,145 @@
                 sock.sendall(answer if data.startswith(b"POST") else b"HTTP/1.1 204 No Content\r\n\r\n")
 
     listener = socket.create_server(("127.0.0.1", 0), backlog=2048)
-    port_out.send(listener.getsockname()[1])
+    port_pipe.send(listener.getsockname()[1])
     while True:
         sock, _ = listener.accept()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         threading.Thread(target=serve, args=(sock,), daemon=True).start()
 
 
-class Link:
-    """One connection of the load."""
+class LoadConnection:
+    """One connection of a load client."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port))
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock.setblocking(False)
         self.data = b""
-        self.due = 0.0
+        self.due_s = 0.0
         self.setting_up = False
 
-    def whole(self) -> tuple[int, bytes] | None:
-        head, mark, rest = self.data.partition(b"\r\n\r\n")
-        if not mark:
+    def next_response(self) -> tuple[int, bytes] | None:
+        head, separator, remainder = self.data.partition(b"\r\n\r\n")
+        if not separator:
             return None
         length = 0
         for line in head.split(b"\r\n")[1:]:
             if line.lower().startswith(b"content-length:"):
                 length = int(line[15:])
-        if len(rest) < length:
+        if len(remainder) < length:
             return None
-        self.data = rest[length:]
+        self.data = remainder[length:]
         return int(head[9:12]), head
 
 
-def load(port: int, count: int, seconds: float, pace: float, out: Any) -> None:
-    """One client process: closed loop, or with a pace in set-ups a second on a schedule."""
-    links = [Link(port) for _ in range(count)]
-    chosen = selectors.DefaultSelector()
-    for link in links:
-        chosen.register(link.sock, selectors.EVENT_READ, link)
-    times = HdrHistogram(1, 60_000_000, 3)
+def run_client(port: int, count: int, seconds: float, setups_per_s: float, pipe: Any) -> None:
+    """One client process: a closed loop, or a schedule of set-ups per second."""
+    connections = [LoadConnection(port) for _ in range(count)]
+    selector = selectors.DefaultSelector()
+    for connection in connections:
+        selector.register(connection.sock, selectors.EVENT_READ, connection)
+    latencies_us = HdrHistogram(1, 60_000_000, 3)
     statuses: dict[int, int] = {}
-    lost = 0
-    out.send("ready")
-    out.recv()
-    began = time.monotonic()
-    idle, sent = list(links), 0
-    while (now := time.monotonic()) < began + seconds:
-        while idle and (not pace or sent < (now - began) * pace):
-            link = idle.pop()
-            link.due = began + sent / pace if pace else now
-            link.setting_up = True
-            sent += 1
-            link.sock.send(ASK)
-        for key, _ in chosen.select(0.001 if pace else 0.05):
-            link = key.data
+    lost_count = 0
+    pipe.send("ready")
+    pipe.recv()
+    started_s = time.monotonic()
+    idle_connections, sent_count = list(connections), 0
+    while (now_s := time.monotonic()) < started_s + seconds:
+        while idle_connections and (not setups_per_s or sent_count < (now_s - started_s) * setups_per_s):
+            connection = idle_connections.pop()
+            connection.due_s = started_s + sent_count / setups_per_s if setups_per_s else now_s
+            connection.setting_up = True
+            sent_count += 1
+            connection.sock.send(SETUP_REQUEST)
+        for key, _ in selector.select(0.001 if setups_per_s else 0.05):
+            connection = key.data
             try:
-                data = link.sock.recv(65_536)
+                data = connection.sock.recv(65_536)
             except OSError:
                 data = b""
             if not data:
-                lost += 1
-                chosen.unregister(link.sock)
+                lost_count += 1
+                selector.unregister(connection.sock)
                 continue
-            link.data += data
-            answer = link.whole()
+            connection.data += data
+            answer = connection.next_response()
             if answer is None:
                 continue
             status, head = answer
-            if link.setting_up:
-                times.record_value(max(1, round((time.monotonic() - link.due) * 1e6)))
+            if connection.setting_up:
+                latencies_us.record_value(max(1, round((time.monotonic() - connection.due_s) * 1e6)))
                 statuses[status] = statuses.get(status, 0) + 1
-                link.setting_up = False
-                where = head.partition(b"Location: ")[2].partition(b"\r\n")[0]
+                connection.setting_up = False
+                location = head.partition(b"Location: ")[2].partition(b"\r\n")[0]
                 if status == 201 and b"Connection: close" not in head:
-                    link.sock.send(b"DELETE %b HTTP/1.1\r\nHost: front\r\n\r\n" % where)
+                    connection.sock.send(b"DELETE %b HTTP/1.1\r\nHost: front\r\n\r\n" % location)
                     continue
             if b"Connection: close" in head:
-                chosen.unregister(link.sock)  # what is sent on it now would be nobody's
-            elif pace:
-                idle.append(link)
+                selector.unregister(connection.sock)  # the server would not read another request
+            elif setups_per_s:
+                idle_connections.append(connection)
             else:
-                link.due, link.setting_up = time.monotonic(), True
-                sent += 1
-                link.sock.send(ASK)
-    out.send(
+                connection.due_s, connection.setting_up = time.monotonic(), True
+                sent_count += 1
+                connection.sock.send(SETUP_REQUEST)
+    pipe.send(
         {
-            "encoded": times.encode().decode(),
+            "encoded": latencies_us.encode().decode(),
             "statuses": statuses,
-            "seconds": time.monotonic() - began,
-            "lost": lost,
-            "open": sum(link.setting_up for link in links),
+            "seconds": time.monotonic() - started_s,
+            "lost": lost_count,
+            "open": sum(connection.setting_up for connection in connections),
         }
     )
 
 
-def run(port: int, pid: int, connections: int, seconds: float, pace: float = 0.0) -> dict[str, Any]:
-    """One load from several processes; totals, with the server's CPU."""
+def measure_load(
+    port: int, pid: int, connections: int, seconds: float, setups_per_s: float = 0.0
+) -> dict[str, Any]:
+    """Run the load from several processes; return the totals, and the CPU time of the server."""
     pipes, processes = [], []
-    for i in range(CLIENTS):
-        here, there = multiprocessing.Pipe()
-        count = connections // CLIENTS + (i < connections % CLIENTS)
-        process = multiprocessing.Process(target=load, args=(port, count, seconds, pace / CLIENTS, there))
+    for i in range(CLIENT_PROCESS_COUNT):
+        parent_end, child_end = multiprocessing.Pipe()
+        count = connections // CLIENT_PROCESS_COUNT + (i < connections % CLIENT_PROCESS_COUNT)
+        process = multiprocessing.Process(
+            target=run_client, args=(port, count, seconds, setups_per_s / CLIENT_PROCESS_COUNT, child_end)
+        )
         process.start()
-        pipes.append(here)
+        pipes.append(parent_end)
         processes.append(process)
     for pipe in pipes:
         pipe.recv()
     time.sleep(0.3)
-    memory = rss_kib(pid)
-    before = cpu_s(pid)
+    idle_rss_kib = rss_kib(pid)
+    cpu_before_s = cpu_time_s(pid)
     for pipe in pipes:
         pipe.send("go")
     results = [pipe.recv() for pipe in pipes]
-    used = cpu_s(pid) - before
+    used_cpu_s = cpu_time_s(pid) - cpu_before_s
     for process in processes:
         process.join()
-    times = HdrHistogram(1, 60_000_000, 3)
+    latencies_us = HdrHistogram(1, 60_000_000, 3)
     statuses: dict[int, int] = {}
     for result in results:
-        times.decode_and_add(result["encoded"])
+        latencies_us.decode_and_add(result["encoded"])
         for status, count in result["statuses"].items():
             statuses[status] = statuses.get(status, 0) + count
-    done = sum(statuses.values())
+    response_count = sum(statuses.values())
     return {
-        "per_s": done / max(result["seconds"] for result in results),
-        "cpu_us": used / max(1, done) * 1e6,
-        "p50": times.get_value_at_percentile(50) / 1000,
-        "p99": times.get_value_at_percentile(99) / 1000,
+        "per_s": response_count / max(result["seconds"] for result in results),
+        "cpu_us": used_cpu_s / max(1, response_count) * 1e6,
+        "p50": latencies_us.get_value_at_percentile(50) / 1000,
+        "p99": latencies_us.get_value_at_percentile(99) / 1000,
         "statuses": statuses,
-        "rss_kib": memory,
+        "rss_kib": idle_rss_kib,
         "lost": sum(result["lost"] for result in results),
     }
 
 
-class Rig:
-    """A front, its boxes and its list, each in a process of its own."""
+class System:
+    """A front and its servers in a process each, and a list service in this process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -214,9 +219,9 @@
         clock = SystemClock()
         self.lists = StandInLists(clock, Recorder(clock, keep=False))
         addresses = []
-        for i in range(BOXES):
+        for i in range(SERVER_COUNT):
             config = folder / f"box-{i}.sexp"
-            config.write_text(BOX.format(i))
+            config.write_text(SERVER_SETTINGS.format(i))
             process = subprocess.Popen(
                 [sys.executable, "-m", "fennelcove", "box", str(config)], stdout=subprocess.PIPE
             )
@@ -226,7 +231,7 @@
         self.lists.publish(*[Known(address, "zone", "k", 0, 1.0) for address in addresses])
         self.lists.start()
         config = folder / "front.sexp"
-        config.write_text(FRONT.format(lists=self.lists.address))
+        config.write_text(FRONT_SETTINGS.format(lists=self.lists.address))
         self.log = folder / "front.log"
         self.front = subprocess.Popen(
             [sys.executable, "-m", "fennelcove", "front", str(config)], stderr=self.log.open("wb")
@@ -255,48 +260,54 @@
     parser.add_argument("--seconds", type=float, default=4.0)
     parser.add_argument("--connections", default="50,200,1000")
     options = parser.parse_args()
-    here, there = multiprocessing.Pipe()
-    baseline = multiprocessing.Process(target=echo, args=(there,), daemon=True)
+    parent_end, child_end = multiprocessing.Pipe()
+    baseline = multiprocessing.Process(target=run_echo_server, args=(child_end,), daemon=True)
     baseline.start()
-    echo_port = here.recv()
+    echo_port = parent_end.recv()
     assert baseline.pid is not None
     print(
-        f"{os.cpu_count()} cores, Python {sys.version.split()[0]}, {CLIENTS} client processes, {BOXES} boxes"
+        f"{os.cpu_count()} cores, Python {sys.version.split()[0]}, "
+        f"{CLIENT_PROCESS_COUNT} client processes, {SERVER_COUNT} servers"
     )
     with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(Path(folder))
-        idle = {"front": rss_kib(rig.front.pid), "echo": rss_kib(baseline.pid)}
-        servers = {"front": (rig.port, rig.front.pid), "echo": (echo_port, baseline.pid)}
+        system = System(Path(folder))
+        idle_rss = {"front": rss_kib(system.front.pid), "echo": rss_kib(baseline.pid)}
+        servers = {"front": (system.port, system.front.pid), "echo": (echo_port, baseline.pid)}
         for connections in map(int, options.connections.split(",")):
             for name, (port, pid) in servers.items():
-                paced = run(port, pid, connections, options.seconds, 200.0)
-                full = run(port, pid, connections, options.seconds)
-                each = (full["rss_kib"] - idle[name]) / connections
-                rates = f"{full['per_s']:7.0f} set-ups/s, {full['cpu_us']:6.0f} us CPU each"
+                paced = measure_load(port, pid, connections, options.seconds, 200.0)
+                closed_loop = measure_load(port, pid, connections, options.seconds)
+                rss_per_connection_kib = (closed_loop["rss_kib"] - idle_rss[name]) / connections
+                rates = f"{closed_loop['per_s']:7.0f} set-ups/s, {closed_loop['cpu_us']:6.0f} us CPU each"
                 delays = f"at 200/s p50 {paced['p50']:.2f} ms p99 {paced['p99']:.2f} ms"
-                answers = f"answers {full['statuses']} {paced['statuses']}, lost {full['lost']}"
+                responses = (
+                    f"responses {closed_loop['statuses']} {paced['statuses']}, lost {closed_loop['lost']}"
+                )
                 print(
-                    f"{name:5} {connections:5}: {rates}; {delays}; {each:.1f} KiB each; {answers}", flush=True
+                    f"{name:5} {connections:5}: {rates}; {delays}; "
+                    f"{rss_per_connection_kib:.1f} KiB each; {responses}",
+                    flush=True,
                 )
-        stopper = threading.Timer(1.5, lambda: rig.front.send_signal(signal.SIGTERM))
-        stopper.start()
-        ended = _stop_under_load(rig)
-        rig.front.wait(30)
-        last = json.loads(rig.log.read_bytes().splitlines()[-1])
+        shutdown_timer = threading.Timer(1.5, lambda: system.front.send_signal(signal.SIGTERM))
+        shutdown_timer.start()
+        shutdown_result = _run_load_during_shutdown(system)
+        system.front.wait(30)
+        last_event = json.loads(system.log.read_bytes().splitlines()[-1])
         print(
-            f"SIGTERM under 200 connections: ended in {last['took_ms']:.0f} ms; answers {ended['statuses']}, "
-            f"closed unanswered {ended['open']}"
+            f"SIGTERM under 200 connections: ended in {last_event['took_ms']:.0f} ms; "
+            f"responses {shutdown_result['statuses']}, "
+            f"closed without a response {shutdown_result['open']}"
         )
-        rig.stop()
+        system.stop()
 
 
-def _stop_under_load(rig: Rig) -> dict[str, Any]:
-    here, there = multiprocessing.Pipe()
-    process = multiprocessing.Process(target=load, args=(rig.port, 200, 6.0, 0.0, there))
+def _run_load_during_shutdown(system: System) -> dict[str, Any]:
+    parent_end, child_end = multiprocessing.Pipe()
+    process = multiprocessing.Process(target=run_client, args=(system.port, 200, 6.0, 0.0, child_end))
     process.start()
-    here.recv()
-    here.send("go")
-    result: dict[str, Any] = here.recv()
+    parent_end.recv()
+    parent_end.send("go")
+    result: dict[str, Any] = parent_end.recv()
     process.join()
     return result
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,6 +1,8 @@
-"""What one set-up costs in codec, hints and decisions, each alone on one thread, without sockets.
+"""Measures the CPU time of one session set-up in the HTTP codec, the hint parsers and the decisions.
 
-python benchmarks/parts.py
+Each part runs alone on one thread, without sockets.
+
+    python benchmarks/parts.py
 """
 
 from __future__ import annotations
@@ -38,11 +40,11 @@
     "cmcd-session": 'cid="t",sf=h,sid="6e2fb550-c457",v=1',
 }
 DYNAMIC = '"box-1";fennelcove-link=0.412;fennelcove-uplink=0.3, "front-1";mb=1600;rd=4'
-BODY = b'{"room_type":"free","title":"t","client_timeout_ms":9000}'
+SETUP_BODY = b'{"room_type":"free","title":"t","client_timeout_ms":9000}'
 
 
-class NoPorts:
-    """The sides towards boxes and list, which nothing reaches here."""
+class NullPorts:
+    """Ports of the core that do nothing: no command reaches a server or the list service."""
 
     def open_stream(self, server: str, generation: int) -> None: ...
 
@@ -58,19 +60,19 @@
     def watch(self) -> None: ...
 
 
-def timed(name: str, call: Callable[[], object], rounds: int = 5000) -> float:
-    best = float("inf")
+def measure(name: str, call: Callable[[], object], rounds: int = 5000) -> float:
+    best_us = float("inf")
     for _ in range(5):
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         for _ in range(rounds):
             call()
-        best = min(best, (time.perf_counter() - began) / rounds * 1e6)
-    print(f"{name:64} {best:8.2f} us")
-    return best
+        best_us = min(best_us, (time.perf_counter() - started_s) / rounds * 1e6)
+    print(f"{name:64} {best_us:8.2f} us")
+    return best_us
 
 
-def reading(raw: bytes, requests: bool) -> Callable[[], object]:
-    reader = Gatherer(Reader(requests, CodecLimits()))
+def make_reader(raw: bytes, is_request: bool) -> Callable[[], object]:
+    reader = Gatherer(Reader(is_request, CodecLimits()))
 
     def read() -> object:
         reader.reader.feed(raw)
@@ -79,59 +81,65 @@
     return read
 
 
-def deciding() -> Callable[[], object]:
+def make_decision_run() -> Callable[[], object]:
     clock = SystemClock()
-    ports = CorePorts(NoPorts(), NoPorts(), NoPorts())
+    ports = CorePorts(NullPorts(), NullPorts(), NullPorts())
     core = Core(parse(SETTINGS, FrontSettings, "bench"), clock, Timers(clock), log.silent, ports)
     entries = tuple(ListEntry(f"b{i}:1", "zone", "k", 0, ServerState.ACTIVE, 1.0, 0) for i in range(3))
     core.discovery.on_list(EndpointListUpdate(1, None, entries))
-    says = ServerHints(0.4, 0.3)
+    server_hints = ServerHints(0.4, 0.3)
 
-    def decide() -> None:
+    def run_session() -> None:
         outcome = core.request_session(SessionRequest("t", "free"))
         session, step = outcome.session, outcome.step
         assert session is not None and isinstance(step, SendAttempt)
-        core.on_attempt_completed(session, 0, AttemptResult(Outcome.SERVED, says, 1000))
+        core.on_attempt_completed(session, 0, AttemptResult(Outcome.SERVED, server_hints, 1000))
         core.on_response_ready(session)
         core.release(session.id, "done")
         while (command := core.commands.next_command()[0]) is not None:
             core.commands.on_command_completed(command, is_successful=True)
 
-    return decide
+    return run_session
 
 
 def main() -> None:
     print(f"Python {sys.version.split()[0]}, best of 5 x 5000")
     fields = [("Content-Type", "application/json"), *HEADERS.items()]
-    ask = writer.request("POST", "/v1/subscriptions", "front", fields, BODY)
-    answer = writer.response(201, [("CMSD-Dynamic", DYNAMIC)], BODY)
-    codec = timed("codec: read a viewer's request", reading(ask, True))
-    codec += timed("codec: read a box's answer", reading(answer, False))
-    codec += timed(
-        "codec: write a request", lambda: writer.request("PUT", "/v1/joins/1/0", "b", fields, BODY)
+    raw_request = writer.request("POST", "/v1/subscriptions", "front", fields, SETUP_BODY)
+    raw_response = writer.response(201, [("CMSD-Dynamic", DYNAMIC)], SETUP_BODY)
+    codec_us = measure("codec: read a client's request", make_reader(raw_request, True))
+    codec_us += measure("codec: read a server's response", make_reader(raw_response, False))
+    codec_us += measure(
+        "codec: write a request", lambda: writer.request("PUT", "/v1/joins/1/0", "b", fields, SETUP_BODY)
+    )
+    codec_us += measure(
+        "codec: write a response", lambda: writer.response(201, [("CMSD-Dynamic", DYNAMIC)], SETUP_BODY)
+    )
+    hints_us = measure("hints: a client's CMCD, three headers", lambda: cmcd.read(HEADERS, {}))
+    cache = cmsd.Memo()
+    measure("hints: a server's CMSD, not cached", lambda: cmsd.read(None, DYNAMIC))
+    hints_us += measure("hints: a server's CMSD, cached", lambda: cache.read(None, DYNAMIC))
+    hints_us += measure(
+        "hints: write the front's hop", lambda: cmsd.write_hop("front-1", {"mb": 1600, "rd": 4})
     )
-    codec += timed("codec: write an answer", lambda: writer.response(201, [("CMSD-Dynamic", DYNAMIC)], BODY))
-    hints = timed("hints: a viewer's CMCD, three headers", lambda: cmcd.read(HEADERS, {}))
-    memo = cmsd.Memo()
-    timed("hints: a box's CMSD, read anew", lambda: cmsd.read(None, DYNAMIC))
-    hints += timed("hints: a box's CMSD, out of memory", lambda: memo.read(None, DYNAMIC))
-    hints += timed("hints: write the front's hop", lambda: cmsd.write_hop("front-1", {"mb": 1600, "rd": 4}))
-    decisions = timed("decisions: ask, join over, release, with module and lock", deciding(), 2000)
-    print(f"together: codec {codec:.0f}, hints {hints:.0f}, decisions {decisions:.0f} us")
-
-    def theirs_list() -> object:
+    decisions_us = measure(
+        "decisions: request, attempt result, release, with policy and lock", make_decision_run(), 2000
+    )
+    print(f"total: codec {codec_us:.0f}, hints {hints_us:.0f}, decisions {decisions_us:.0f} us")
+
+    def parse_cmsd_with_http_sfv() -> object:
         found = http_sfv.List()
         found.parse(DYNAMIC.encode())
         return found
 
-    def theirs_dictionaries() -> object:
+    def parse_cmcd_with_http_sfv() -> object:
         for value in HEADERS.values():
             found = http_sfv.Dictionary()
             found.parse(value.encode())
         return found
 
-    timed("beside: http_sfv, the same CMSD list", theirs_list)
-    timed("beside: http_sfv, the same three CMCD dictionaries, untyped", theirs_dictionaries)
+    measure("comparison: http_sfv, the same CMSD list", parse_cmsd_with_http_sfv)
+    measure("comparison: http_sfv, the same three CMCD dictionaries, untyped", parse_cmcd_with_http_sfv)
 
 
 if __name__ == "__main__":
