--- a/packages/daemon/src/fennelcove/daemon/audit_file.py
+++ b/packages/daemon/src/fennelcove/daemon/audit_file.py
@@ -1,4 +1,7 @@
-"""What operators did, in a file that can't be edited unseen: each line holds the hash of all before it."""
+"""The audit file of operator commands: a hash chain, so that later edits can be detected.
+
+Each line begins with the hash of the previous line's hash and its own JSON object.
+"""
 
 from __future__ import annotations
 
@@ -13,45 +16,45 @@
 
 
 class AuditFile:
-    """One file; without a path nothing is written."""
+    """Appends records to one audit file; without a path nothing is written."""
 
     def __init__(self, path: str | None) -> None:
         self.path = Path(path) if path is not None else None
         self.lock = threading.Lock()
-        self.last = self._tail()
+        self.last = self._read_last_hash()
 
-    def _tail(self) -> str:
+    def _read_last_hash(self) -> str:
         if self.path is None or not self.path.exists():
             return ""
         lines = self.path.read_bytes().splitlines()
         return lines[-1][:HASH_CHARS].decode("ascii", "replace") if lines else ""
 
     def tell(self, **fields: object) -> None:
-        """One more line, on the disk before this returns.
+        """Append a record and sync it to the disk.
 
         Raises:
-            OSError: it could not be written.
+            OSError: the record could not be written.
         """
         if self.path is None:
             return
         with self.lock:
             body = msgspec.json.encode(fields)
-            mark = blake3.blake3(self.last.encode() + body).hexdigest()[:HASH_CHARS]
+            line_hash = blake3.blake3(self.last.encode() + body).hexdigest()[:HASH_CHARS]
             descriptor = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
             try:
-                os.write(descriptor, mark.encode() + b" " + body + b"\n")
+                os.write(descriptor, line_hash.encode() + b" " + body + b"\n")
                 os.fsync(descriptor)
             finally:
                 os.close(descriptor)
-            self.last = mark
+            self.last = line_hash
 
 
 def check(path: str) -> int | None:
-    """The first line that is not what was written, counted from 1; None where all are."""
+    """Verify an audit file; return the number of the first line that was altered, or None."""
     last = ""
     for number, line in enumerate(Path(path).read_bytes().splitlines(), 1):
-        mark, _, body = line.partition(b" ")
-        if blake3.blake3(last.encode() + body).hexdigest()[:HASH_CHARS].encode() != mark:
+        line_hash, _, body = line.partition(b" ")
+        if blake3.blake3(last.encode() + body).hexdigest()[:HASH_CHARS].encode() != line_hash:
             return number
-        last = mark.decode()
+        last = line_hash.decode()
     return None
--- a/packages/daemon/src/fennelcove/daemon/key_file.py
+++ b/packages/daemon/src/fennelcove/daemon/key_file.py
@@ -1,6 +1,7 @@
-"""Keys of places in a file: one a line, `hexadecimal milliseconds-since-1970`, the newest last.
+"""Files of signing keys: one key a line, `hexadecimal milliseconds-since-1970`, the newest last.
 
-A new key seals at once; older ones are known for an hour more, longer than any place lasts.
+The newest key signs. A key that it supersedes is accepted for one more hour, longer than any queue ticket
+is valid.
 """
 
 from __future__ import annotations
@@ -11,22 +12,22 @@
 
 from fennelcove.errors import OperatorError
 
-OVERLAP_MS = 3_600_000
+OVERLAP_MS = 3_600_000  # longer than the lifetime of a queue ticket
 KEY_BYTES = 32
 
 
 class KeyFileError(OperatorError):
-    """A file of keys can't be read or written, or holds none."""
+    """A key file can't be read or written, or contains no key."""
 
     code = "key-file-unusable"
-    advice = "Fronts that share keys need the same file; it must be readable for the front's user alone"
+    advice = "Give all fronts that share keys the same file, readable only by the user that the front runs as"
 
 
 def load(path: str, wall_ms: int) -> list[bytes]:
-    """The keys in use, the newest first.
+    """Read the keys that are in use, the newest first.
 
     Raises:
-        KeyFileError: unreadable, or a line that is no key.
+        KeyFileError: the file is unreadable, or a line is not a key.
     """
     try:
         lines = Path(path).read_text("ascii").splitlines()
@@ -34,48 +35,58 @@
         raise KeyFileError(
             f"found no readable key file ({error})", path, "fennelcove storm key makes one"
         ) from None
-    found: list[tuple[int, bytes]] = []
+    dated_keys: list[tuple[int, bytes]] = []
     for number, line in enumerate(lines, 1):
-        text, _, made = line.strip().partition(" ")
+        text, _, created = line.strip().partition(" ")
         try:
-            key, made_ms = bytes.fromhex(text), int(made)
+            key, created_ms = bytes.fromhex(text), int(created)
         except ValueError:
-            key, made_ms = b"", 0
+            key, created_ms = b"", 0
         if len(key) != KEY_BYTES:
             raise KeyFileError(
-                f"found no key of {KEY_BYTES} bytes and its time", f"{path}:{number}", "remove the line"
+                f"found no key of {KEY_BYTES} bytes with its creation time",
+                f"{path}:{number}",
+                "remove the line",
             )
-        found.append((made_ms, key))
-    found.sort(reverse=True)
+        dated_keys.append((created_ms, key))
+    dated_keys.sort(reverse=True)
     # A key is superseded when the next is made; the newest never expires.
-    kept = [key for i, (_, key) in enumerate(found) if i == 0 or wall_ms - found[i - 1][0] < OVERLAP_MS]
-    if not kept:
+    active_keys = [
+        key for i, (_, key) in enumerate(dated_keys) if i == 0 or wall_ms - dated_keys[i - 1][0] < OVERLAP_MS
+    ]
+    if not active_keys:
         raise KeyFileError("found no key", path, "fennelcove storm key makes one")
-    return kept
+    return active_keys
 
 
 def rotate(path: str, wall_ms: int) -> int:
-    """Add a new key and drop those whose overlap is over; how many there are now. Whole or not at all.
+    """Add a new key, remove keys that are no longer accepted, and return the number of keys.
+
+    The file is replaced atomically.
 
     Raises:
-        KeyFileError: a file that is there and is no key file, or can't be written.
+        KeyFileError: the existing file is not a key file, or the file can't be written.
     """
-    here = Path(path)
-    keys = load(path, wall_ms) if here.exists() else []
+    file_path = Path(path)
+    keys = load(path, wall_ms) if file_path.exists() else []
     lines = (
         []
         if not keys
-        else [line for line in here.read_text("ascii").splitlines() if bytes.fromhex(line.split()[0]) in keys]
+        else [
+            line
+            for line in file_path.read_text("ascii").splitlines()
+            if bytes.fromhex(line.split()[0]) in keys
+        ]
     )
     lines.append(f"{secrets.token_hex(KEY_BYTES)} {wall_ms}")
-    fresh = here.with_name(here.name + ".new")
+    temporary_path = file_path.with_name(file_path.name + ".new")
     try:
-        descriptor = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         with os.fdopen(descriptor, "w", encoding="ascii") as file:
             file.write("\n".join(lines) + "\n")
             file.flush()
             os.fsync(file.fileno())
-        fresh.replace(here)
+        temporary_path.replace(file_path)
     except OSError as error:
-        raise KeyFileError(f"found no writable place ({error.strerror})", path) from None
+        raise KeyFileError(f"found no way to write the key file ({error.strerror})", path) from None
     return len(lines)
