--- a/packages/store/src/fennelcove/store/base.py
+++ b/packages/store/src/fennelcove/store/base.py
@@ -21,7 +21,7 @@
 BASE_FILE_NAME = "base.lmdb"
 FILE_MODE = 0o600
 MAX_READERS = 8
-RECREATE_ADVICE = "move it away to begin anew"
+MOVE_AWAY_ADVICE = "move it away to begin anew"
 
 
 class BaseFileError(OperatorError):
@@ -60,7 +60,7 @@
                 mode=FILE_MODE,
             )
         except lmdb.Error as error:
-            raise BaseFileError(f"found no usable base ({error})", str(path), RECREATE_ADVICE) from None
+            raise BaseFileError(f"found no usable base ({error})", str(path), MOVE_AWAY_ADVICE) from None
         self.sequence = self._read_sequence(str(path))
 
     def _read_sequence(self, path: str) -> int:
@@ -71,7 +71,7 @@
         found = int.from_bytes(raw[:FORMAT_BYTES], "big")
         if found != FORMAT_VERSION:
             self.environment.close()
-            raise BaseFileError(f"found format {found}, this is {FORMAT_VERSION}", path, RECREATE_ADVICE)
+            raise BaseFileError(f"found format {found}, this is {FORMAT_VERSION}", path, MOVE_AWAY_ADVICE)
         return int.from_bytes(raw[FORMAT_BYTES : FORMAT_BYTES + SEQUENCE_BYTES], "big")
 
     def apply(self, entries: Iterable[Change], sequence: int) -> None:
@@ -101,8 +101,8 @@
                 if key == SEQUENCE_KEY:
                     continue
                 value = bytes(raw[CHECKSUM_BYTES:])
-                is_sound = checksum(bytes(key) + value) == raw[:CHECKSUM_BYTES]
-                yield bytes(key), value if is_sound else None
+                is_valid = checksum(bytes(key) + value) == raw[:CHECKSUM_BYTES]
+                yield bytes(key), value if is_valid else None
 
     def copy_to(self, path: str) -> None:
         """Write a compacted copy into one file.
--- a/packages/store/src/fennelcove/store/directory.py
+++ b/packages/store/src/fennelcove/store/directory.py
@@ -18,7 +18,7 @@
 LOCK_FILE_NAME = "lock"
 LOCK_FILE_MODE = 0o600
 MAX_HOLDER_BYTES = 200
-JOURNAL_FOLD_BYTES = 4_000_000  # a journal of this size is folded into the base
+CHECKPOINT_JOURNAL_BYTES = 4_000_000  # a journal of this size is folded into the base
 MEGABYTE = 1_000_000
 
 
@@ -97,7 +97,7 @@
         try:
             self.recovered = self._load()
             self.journal = Journal(self.files, self.base.sequence)
-            self._fold_recovered()
+            self._checkpoint_recovered()
         except OSError as error:
             self.close()
             raise StoreError(f"found it not writable ({error.strerror})", folder) from None
@@ -131,7 +131,7 @@
             else:
                 self.values[key] = value
 
-    def _fold_recovered(self) -> None:
+    def _checkpoint_recovered(self) -> None:
         """Fold the recovered batches into the base, and start an empty journal."""
         batches = self.recovered.batches
         merged = _merge(batches)
@@ -142,12 +142,12 @@
 
     def _start_journal(self, sequence: int) -> None:
         """Create an empty journal file, and then delete the others."""
-        fresh = Journal(self.files, sequence)
-        fresh.create()
-        self.journal = fresh
+        new_journal = Journal(self.files, sequence)
+        new_journal.create()
+        self.journal = new_journal
         for file in self.files.list_names():
             is_journal = journal.preceding_sequence(file) is not None
-            if is_journal and file != fresh.file_name:
+            if is_journal and file != new_journal.file_name:
                 self.files.remove(file)
         self.files.sync_folder()
 
@@ -167,7 +167,7 @@
     @property
     def needs_checkpoint(self) -> bool:
         """Whether the journal should be folded."""
-        return self.journal.byte_count >= JOURNAL_FOLD_BYTES
+        return self.journal.byte_count >= CHECKPOINT_JOURNAL_BYTES
 
     def checkpoint(self) -> None:
         """Apply the journal to the base, and start an empty one.
@@ -222,6 +222,6 @@
     description = damage.fault.value
     if damage.detail:
         description += f" ({damage.detail})"
-    if damage.fault is FrameFault.CUT_SHORT:
+    if damage.fault is FrameFault.TRUNCATED:
         description += "; the end of a write that never was whole"
     return description
--- a/packages/store/src/fennelcove/store/journal.py
+++ b/packages/store/src/fennelcove/store/journal.py
@@ -21,19 +21,19 @@
     encode_frame,
 )
 
-PREFIX, SUFFIX = "journal-", ".log"
+FILE_NAME_PREFIX, FILE_NAME_SUFFIX = "journal-", ".log"
 SEQUENCE_DIGITS = 20
 
 
 def file_name(after: int) -> str:
     """The name of the file whose first batch follows this sequence number."""
-    return f"{PREFIX}{after:0{SEQUENCE_DIGITS}d}{SUFFIX}"
+    return f"{FILE_NAME_PREFIX}{after:0{SEQUENCE_DIGITS}d}{FILE_NAME_SUFFIX}"
 
 
 def preceding_sequence(file: str) -> int | None:
     """The sequence number before a file's first batch; None for what is no journal file."""
-    digits = file.removeprefix(PREFIX).removesuffix(SUFFIX)
-    has_affixes = file == f"{PREFIX}{digits}{SUFFIX}"
+    digits = file.removeprefix(FILE_NAME_PREFIX).removesuffix(FILE_NAME_SUFFIX)
+    has_affixes = file == f"{FILE_NAME_PREFIX}{digits}{FILE_NAME_SUFFIX}"
     is_number = digits.isdigit() and len(digits) == SEQUENCE_DIGITS
     return int(digits) if has_affixes and is_number else None
 
@@ -76,7 +76,7 @@
             continue
         recovered.damages.append(FileDamage(file, damage))
         # A frame that is cut short is the end of a write that was never acknowledged.
-        if damage.fault is not FrameFault.CUT_SHORT:
+        if damage.fault is not FrameFault.TRUNCATED:
             break
     return recovered
 
--- a/packages/store/src/fennelcove/store/records.py
+++ b/packages/store/src/fennelcove/store/records.py
@@ -37,9 +37,9 @@
 class FrameFault(Enum):
     """What is wrong with a frame; reports show the values."""
 
-    CUT_SHORT = "cut short"
-    ALTERED = "altered"
-    OTHER_FORMAT = "of another format"
+    TRUNCATED = "cut short"
+    CORRUPT = "altered"
+    UNSUPPORTED_FORMAT = "of another format"
     OUT_OF_ORDER = "out of order"
 
 
@@ -67,17 +67,17 @@
 def _decode_body(raw: bytes, start: int) -> bytes | Damage:
     """The body of the frame that starts there, once its length and checksum are verified."""
     if len(raw) - start < HEADER_BYTES:
-        return Damage(start, FrameFault.CUT_SHORT, "in a head")
+        return Damage(start, FrameFault.TRUNCATED, "in a head")
     length_field = raw[start : start + LENGTH_BYTES]
     length = int.from_bytes(length_field, "big")
     body_start = start + HEADER_BYTES
     if length > MAX_FRAME_BYTES:
-        return Damage(start, FrameFault.ALTERED, f"a length of {length}")
+        return Damage(start, FrameFault.CORRUPT, f"a length of {length}")
     if body_start + length > len(raw):
-        return Damage(start, FrameFault.CUT_SHORT, "in a body")
+        return Damage(start, FrameFault.TRUNCATED, "in a body")
     body = raw[body_start : body_start + length]
     if checksum(length_field + body) != raw[start + LENGTH_BYTES : body_start]:
-        return Damage(start, FrameFault.ALTERED)
+        return Damage(start, FrameFault.CORRUPT)
     return body
 
 
@@ -86,9 +86,9 @@
     try:
         batch = _DECODER.decode(body)
     except msgspec.MsgspecError as error:
-        return Damage(start, FrameFault.OTHER_FORMAT, str(error))
+        return Damage(start, FrameFault.UNSUPPORTED_FORMAT, str(error))
     if batch.format != FORMAT_VERSION:
-        return Damage(start, FrameFault.OTHER_FORMAT, f"{batch.format}, this is {FORMAT_VERSION}")
+        return Damage(start, FrameFault.UNSUPPORTED_FORMAT, f"{batch.format}, this is {FORMAT_VERSION}")
     if batch.number != sequence:
         return Damage(start, FrameFault.OUT_OF_ORDER, f"{batch.number} after {sequence - 1}")
     return batch
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -151,7 +151,7 @@
 
     def test_another_format_and_a_gap_are_told(self) -> None:
         for batch, fault in (
-            (Batch(2, 1, []), FrameFault.OTHER_FORMAT),
+            (Batch(2, 1, []), FrameFault.UNSUPPORTED_FORMAT),
             (Batch(1, 3, []), FrameFault.OUT_OF_ORDER),
         ):
             (found,) = records.decode_frames(records.encode_frame(batch), 0)
