--- a/packages/store/src/fennelcove/store/__init__.py
+++ b/packages/store/src/fennelcove/store/__init__.py
@@ -1,1 +1,1 @@
-"""State that a front persists across restarts: a journal, and a base file that it is folded into."""
+"""The state that a front persists across restarts: a journal, and the base file that it is merged into."""
--- a/packages/store/src/fennelcove/store/directory.py
+++ b/packages/store/src/fennelcove/store/directory.py
@@ -1,4 +1,4 @@
-"""A store's folder: locked by one process, its base and journal read together and folded together in time."""
+"""The folder of a store, locked by one process: recovery of base file and journal, commits, checkpoints."""
 
 from __future__ import annotations
 
@@ -18,24 +18,25 @@
 LOCK_FILE_NAME = "lock"
 LOCK_FILE_MODE = 0o600
 MAX_HOLDER_BYTES = 200
-CHECKPOINT_JOURNAL_BYTES = 4_000_000  # a journal of this size is folded into the base
+CHECKPOINT_JOURNAL_BYTES = 4_000_000  # a checkpoint is due at this size
 MEGABYTE = 1_000_000
 
 
 class StoreError(OperatorError):
-    """A store's folder can't be used: held by another, not writable, or not ours."""
+    """The folder of a store is locked by another process, not writable, or has no usable base file."""
 
     code = "store-unusable"
     advice = (
-        "Check the folder's rights and who holds it; a front without `store` in its settings keeps nothing"
+        "Check the folder's permissions and which process locks it; "
+        "a front without `store` in its settings persists nothing"
     )
 
 
 class FolderLock:
-    """An exclusive lock on a folder, by a lock file that names its holder."""
+    """An exclusive lock on a folder; the lock file names the holder."""
 
     def __init__(self, folder: str) -> None:
-        """Create the folder where there is none, and lock it.
+        """Create the folder if it does not exist, and lock it.
 
         Raises:
             StoreError: the folder is not writable, or locked by another process.
@@ -46,14 +47,14 @@
             flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
             self.descriptor = os.open(path / LOCK_FILE_NAME, flags, LOCK_FILE_MODE)
         except OSError as error:
-            raise StoreError(f"found no folder that can be written ({error.strerror})", folder) from None
+            raise StoreError(f"found no writable folder ({error.strerror})", folder) from None
         try:
             fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             holder = self._holder()
             self.release()
             raise StoreError(
-                f"found it held by {holder}", folder, "give each front a folder of its own"
+                f"found it locked by {holder}", folder, "configure a separate folder for each front"
             ) from None
 
     def _holder(self) -> str:
@@ -61,7 +62,7 @@
         return raw.decode("utf-8", "replace").strip() or "another process"
 
     def write_holder(self, holder: str) -> None:
-        """Name the holder in the lock file.
+        """Write the holder's name and process id to the lock file.
 
         Raises:
             OSError: the file can't be written.
@@ -75,18 +76,22 @@
 
 
 class Store:
-    """An open folder. It belongs to one thread at a time."""
+    """An open store; not thread-safe.
+
+    `values` is the current content, also of batches that only the journal contains.
+    """
 
     def __init__(self, folder: str, max_mb: int, holder: str) -> None:
-        """Lock a folder, and recover what it holds.
+        """Lock a folder, recover its content, and make a checkpoint.
 
         Args:
-            folder: its path; it is created where there is none.
+            folder: its path; the folder is created if it does not exist.
             max_mb: the largest size of the base file, in megabytes.
             holder: the name of this front, for the lock file.
 
         Raises:
-            StoreError: it is held by another, not a folder, not writable, or not ours.
+            StoreError: the path is not a folder, or the folder is locked by another process, is not writable,
+                or has no usable base file.
         """
         self.folder = folder
         self.lock = FolderLock(folder)
@@ -100,7 +105,7 @@
             self._checkpoint_recovered()
         except OSError as error:
             self.close()
-            raise StoreError(f"found it not writable ({error.strerror})", folder) from None
+            raise StoreError(f"found the folder not writable ({error.strerror})", folder) from None
 
     def _open_base(self, max_mb: int, holder: str) -> BaseFile:
         try:
@@ -132,7 +137,7 @@
                 self.values[key] = value
 
     def _checkpoint_recovered(self) -> None:
-        """Fold the recovered batches into the base, and start an empty journal."""
+        """Apply the recovered batches to the base file, and start an empty journal."""
         batches = self.recovered.batches
         merged = _merge(batches)
         sequence = batches[-1].number if batches else self.base.sequence
@@ -141,7 +146,7 @@
         self._start_journal(sequence)
 
     def _start_journal(self, sequence: int) -> None:
-        """Create an empty journal file, and then delete the others."""
+        """Create an empty journal file, then delete the others."""
         new_journal = Journal(self.files, sequence)
         new_journal.create()
         self.journal = new_journal
@@ -152,13 +157,13 @@
         self.files.sync_folder()
 
     def commit(self, entries: Sequence[Change]) -> int:
-        """Make changes together; once this returns they are durable.
+        """Commit changes atomically; they are durable once this returns.
 
         Returns:
             The sequence number of their batch.
 
         Raises:
-            OSError: none of them is in force.
+            OSError: none of the changes was committed.
         """
         sequence = self.journal.commit(entries)
         self._apply_entries(entries)
@@ -166,14 +171,14 @@
 
     @property
     def needs_checkpoint(self) -> bool:
-        """Whether the journal should be folded."""
+        """Whether the journal is large enough for a checkpoint."""
         return self.journal.byte_count >= CHECKPOINT_JOURNAL_BYTES
 
     def checkpoint(self) -> None:
-        """Apply the journal to the base, and start an empty one.
+        """Apply the journal to the base file, and start an empty journal.
 
         Raises:
-            OSError: the journal is as it was.
+            OSError: the checkpoint failed; the current journal stays in use.
         """
         sequence = self.journal.sequence
         batches = journal.recover(self.files, self.base.sequence).batches
@@ -181,14 +186,14 @@
         self._start_journal(sequence)
 
     def close(self) -> None:
-        """Close all files and unlock the folder; a store that is not closed loses nothing."""
+        """Close all files and unlock the folder; committed changes are durable even without this call."""
         self.base.close()
         self.files.close()
         self.lock.release()
 
 
 def _merge(batches: Iterable[Batch]) -> dict[bytes, bytes | None]:
-    """The newest value of each key."""
+    """The newest value of each key in the batches; None for a deleted key."""
     merged: dict[bytes, bytes | None] = {}
     for batch in batches:
         merged.update(batch.entries)
@@ -196,13 +201,13 @@
 
 
 def verify_folder(folder: str) -> list[str]:
-    """Each bad record of a folder that no process holds, with its place.
+    """List the corrupt records of a folder, each with its location. No process may have the store open.
 
     Raises:
-        StoreError: there is no store, or it can't be read.
+        StoreError: the folder contains no store, or the store can't be read.
     """
     if not (Path(folder) / BASE_FILE_NAME).exists():
-        raise StoreError("found no store there", folder)
+        raise StoreError("found no store in this folder", folder)
     try:
         base = BaseFile(folder, MEGABYTE, read_only=True)
     except BaseFileError as error:
@@ -223,5 +228,5 @@
     if damage.detail:
         description += f" ({damage.detail})"
     if damage.fault is FrameFault.TRUNCATED:
-        description += "; the end of a write that never was whole"
+        description += "; the write was interrupted and never acknowledged"
     return description
--- a/packages/store/src/fennelcove/store/files.py
+++ b/packages/store/src/fennelcove/store/files.py
@@ -1,4 +1,4 @@
-"""The files below the journal: the interface, which a simulated disk implements as well, and real files."""
+"""File operations of the journal: the interface, which an emulated disk implements too, and local files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Files(Protocol):
-    """The files of one folder. What is not synced may be lost, in part and in any order."""
+    """The files of one folder. Writes that are not synced may be lost, in part and in any order."""
 
     def list_names(self) -> list[str]:
         """The names of all files, sorted."""
@@ -20,30 +20,30 @@
         """The content of a file."""
 
     def append(self, name: str, raw: bytes) -> None:
-        """Write bytes at the end of a file, which is created where there is none."""
+        """Append bytes to a file, which is created if it does not exist."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Truncate a file to so many bytes."""
+        """Truncate a file to `size` bytes."""
 
     def sync(self, name: str) -> None:
         """Flush the content of a file to the disk."""
 
     def sync_folder(self) -> None:
-        """Flush the names of all files to the disk."""
+        """Flush the folder to the disk, so that created and removed file names are durable."""
 
     def remove(self, name: str) -> None:
         """Delete a file."""
 
 
 class LocalFiles:
-    """The files of a local folder; see `Files`.
+    """The files of a local folder, as described at `Files`.
 
     Raises:
         OSError: from every method, as the operating system reports it.
     """
 
     def __init__(self, folder: str) -> None:
-        """Use the files of a folder, which exists."""
+        """Use the files of an existing folder."""
         self.folder = Path(folder)
         self.descriptors: dict[str, int] = {}
 
@@ -62,14 +62,14 @@
         return self.descriptors[name]
 
     def append(self, name: str, raw: bytes) -> None:
-        """Write bytes at the end of a file, which is created where there is none."""
+        """Append bytes to a file, which is created if it does not exist."""
         remaining = memoryview(raw)
         while remaining:
             written = os.write(self._descriptor(name), remaining)
             remaining = remaining[written:]
 
     def truncate(self, name: str, size: int) -> None:
-        """Truncate a file to so many bytes."""
+        """Truncate a file to `size` bytes."""
         os.ftruncate(self._descriptor(name), size)
 
     def sync(self, name: str) -> None:
@@ -77,7 +77,7 @@
         os.fsync(self._descriptor(name))
 
     def sync_folder(self) -> None:
-        """Flush the names of all files to the disk."""
+        """Flush the folder to the disk, so that created and removed file names are durable."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
--- a/packages/store/src/fennelcove/store/journal.py
+++ b/packages/store/src/fennelcove/store/journal.py
@@ -1,7 +1,7 @@
-"""The journal: batches appended and synced to files, each named by the sequence number that precedes it.
+"""The journal: files of synced batches, each file named by the sequence number before its first batch.
 
-A new file is created once the base has applied all before it; the old one is deleted only after that. So at
-every moment base and journal together hold everything that was acknowledged.
+A checkpoint applies all batches to the base file, then creates a new journal file, and only then deletes the
+old one. So the base and the journal together contain every acknowledged batch at any time.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 
 def file_name(after: int) -> str:
-    """The name of the file whose first batch follows this sequence number."""
+    """The name of the journal file whose first batch follows the sequence number `after`."""
     return f"{FILE_NAME_PREFIX}{after:0{SEQUENCE_DIGITS}d}{FILE_NAME_SUFFIX}"
 
 
 def preceding_sequence(file: str) -> int | None:
-    """The sequence number before a file's first batch; None for what is no journal file."""
+    """The sequence number before a file's first batch; None if it is not a journal file."""
     digits = file.removeprefix(FILE_NAME_PREFIX).removesuffix(FILE_NAME_SUFFIX)
     has_affixes = file == f"{FILE_NAME_PREFIX}{digits}{FILE_NAME_SUFFIX}"
     is_number = digits.isdigit() and len(digits) == SEQUENCE_DIGITS
@@ -39,7 +39,7 @@
 
 
 class FileDamage(NamedTuple):
-    """What stopped the reading of a journal file."""
+    """The damage at which the reading of a journal file stopped."""
 
     file: str
     damage: Damage
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredJournal:
-    """The batches that a folder's journal files hold past a sequence number, and the damage found."""
+    """The batches in a folder's journal files after a sequence number, and the damage found."""
 
     batches: list[Batch]
     damages: list[FileDamage] = field(default_factory=list)
 
 
 def recover(files: Files, after: int) -> RecoveredJournal:
-    """Read every whole batch past the sequence number `after`, without a gap."""
+    """Read all complete batches after the sequence number `after`, up to the first gap or damage."""
     recovered = RecoveredJournal([])
     last = after
     for file in files.list_names():
@@ -62,7 +62,7 @@
         if preceding is None:
             continue
         if preceding > last:
-            gap = f"begins after {preceding}, found up to {last}"
+            gap = f"begins after batch {preceding}, but the last batch found is {last}"
             recovered.damages.append(FileDamage(file, Damage(0, FrameFault.OUT_OF_ORDER, gap)))
             break
         damage: Damage | None = None
@@ -75,27 +75,29 @@
         if damage is None:
             continue
         recovered.damages.append(FileDamage(file, damage))
-        # A frame that is cut short is the end of a write that was never acknowledged.
+        # A truncated frame is an interrupted write that was never acknowledged: the next file may continue.
         if damage.fault is not FrameFault.TRUNCATED:
             break
     return recovered
 
 
 class Journal:
-    """The journal file that is written now."""
+    """The journal file that new batches are appended to."""
 
     def __init__(self, files: Files, after: int) -> None:
-        """Use the file whose first batch follows a sequence number; `create` it before the first commit."""
+        """Use the file whose first batch follows the sequence number `after`; call `create` first."""
         self.files = files
         self.sequence = after  # the sequence number of the newest batch
         self.file_name = file_name(after)
         self.byte_count = 0
 
     def create(self) -> None:
-        """Create the file, empty; a file that has its name already was never acknowledged.
+        """Create an empty file.
+
+        An existing file of this name is truncated: none of its batches was acknowledged.
 
         Raises:
-            OSError: the disk failed.
+            OSError: the file could not be created or synced.
         """
         if self.file_name in self.files.list_names():
             self.files.truncate(self.file_name, 0)
@@ -104,14 +106,14 @@
         self.files.sync_folder()
 
     def commit(self, entries: Sequence[Change]) -> int:
-        """Append one batch and sync it: once this returns it is durable.
+        """Append one batch and sync the file; the batch is durable once this returns.
 
         Returns:
-            Its sequence number.
+            The sequence number of the batch.
 
         Raises:
-            OSError: it is not in force. What was written of it is truncated, so that the next batch does not
-                follow a torn one.
+            OSError: the batch was not committed. The file is truncated to its size before, so that the next
+                batch does not follow a partial one.
         """
         raw = encode_frame(Batch(FORMAT_VERSION, self.sequence + 1, list(entries)))
         try:
--- a/packages/store/src/fennelcove/store/records.py
+++ b/packages/store/src/fennelcove/store/records.py
@@ -1,7 +1,7 @@
-"""Frames of the journal: one batch of changes each, with its length and checksum; free of I/O.
+"""Encoding of journal frames, each with the length, the checksum and the body of one batch; no I/O.
 
-A frame is read whole or not at all, so a batch is in force whole or not at all. Nothing after the first frame
-that is cut short or altered is used: what is recovered is always a prefix of what was committed.
+A batch is applied only if its frame is complete, so batches are atomic. Nothing after the first truncated or
+corrupt frame of a file is used, so the recovered batches are always a prefix of the committed ones.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Batch(Struct, frozen=True, array_like=True):
-    """Changes that are made together, with sequence numbers from 1; stored by position."""
+    """Changes that are committed atomically, numbered from 1; its fields are stored by position."""
 
     format: int
     number: int
@@ -35,7 +35,7 @@
 
 
 class FrameFault(Enum):
-    """What is wrong with a frame; reports show the values."""
+    """Why a frame can't be used; the values appear in the output of `fennelcove store verify`."""
 
     TRUNCATED = "cut short"
     CORRUPT = "altered"
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Where reading had to stop, in bytes from the file's start, and why."""
+    """Where the reading of a file stopped, in bytes from its start, and why."""
 
     offset: int
     fault: FrameFault
@@ -53,28 +53,28 @@
 
 
 def checksum(raw: bytes) -> bytes:
-    """A checksum that no accidental change passes."""
+    """A truncated BLAKE3 hash, which detects any accidental change."""
     return blake3.blake3(raw).digest(CHECKSUM_BYTES)
 
 
 def encode_frame(batch: Batch) -> bytes:
-    """The bytes of a batch as it is written."""
+    """Encode a batch as a frame."""
     body = _ENCODER.encode(batch)
     length = len(body).to_bytes(LENGTH_BYTES, "big")
     return length + checksum(length + body) + body
 
 
 def _decode_body(raw: bytes, start: int) -> bytes | Damage:
-    """The body of the frame that starts there, once its length and checksum are verified."""
+    """The body of the frame at offset `start`, if its length and checksum are valid."""
     if len(raw) - start < HEADER_BYTES:
-        return Damage(start, FrameFault.TRUNCATED, "in a head")
+        return Damage(start, FrameFault.TRUNCATED, "in the header")
     length_field = raw[start : start + LENGTH_BYTES]
     length = int.from_bytes(length_field, "big")
     body_start = start + HEADER_BYTES
     if length > MAX_FRAME_BYTES:
-        return Damage(start, FrameFault.CORRUPT, f"a length of {length}")
+        return Damage(start, FrameFault.CORRUPT, f"length field is {length}")
     if body_start + length > len(raw):
-        return Damage(start, FrameFault.TRUNCATED, "in a body")
+        return Damage(start, FrameFault.TRUNCATED, "in the body")
     body = raw[body_start : body_start + length]
     if checksum(length_field + body) != raw[start + LENGTH_BYTES : body_start]:
         return Damage(start, FrameFault.CORRUPT)
@@ -82,15 +82,17 @@
 
 
 def _decode_batch(body: bytes, start: int, sequence: int) -> Batch | Damage:
-    """The batch of a verified body, where it has the expected format and sequence number."""
+    """The batch in a verified body, if it has the expected format and sequence number."""
     try:
         batch = _DECODER.decode(body)
     except msgspec.MsgspecError as error:
         return Damage(start, FrameFault.UNSUPPORTED_FORMAT, str(error))
     if batch.format != FORMAT_VERSION:
-        return Damage(start, FrameFault.UNSUPPORTED_FORMAT, f"{batch.format}, this is {FORMAT_VERSION}")
+        return Damage(
+            start, FrameFault.UNSUPPORTED_FORMAT, f"found {batch.format}, expected {FORMAT_VERSION}"
+        )
     if batch.number != sequence:
-        return Damage(start, FrameFault.OUT_OF_ORDER, f"{batch.number} after {sequence - 1}")
+        return Damage(start, FrameFault.OUT_OF_ORDER, f"batch {batch.number} after {sequence - 1}")
     return batch
 
 
@@ -102,7 +104,7 @@
         after: the sequence number before the first batch.
 
     Yields:
-        The batches in order; last, the damage that stopped the reading, if there is one.
+        The batches in order; then the damage that stopped the reading, if there is any.
     """
     start = 0
     sequence = after
--- a/packages/store/src/fennelcove/store/writer.py
+++ b/packages/store/src/fennelcove/store/writer.py
@@ -1,4 +1,4 @@
-"""The one thread that writes to a store, so that no answer waits for a disk."""
+"""The thread that writes to a store, so that no response waits for the disk."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StoreWriter:
-    """The thread that owns an open store."""
+    """Writes queued changes to a store in a thread of its own."""
 
     def __init__(self, store: Store, clock: Clock, log_event: EventLogger) -> None:
         """Take over an open store; `start` runs the thread."""
@@ -33,7 +33,7 @@
             WriterAction.LOG_DISK_FULL: lambda: self._log("store_space_exhausted"),
             WriterAction.LOG_WRITE_FAILED: lambda: self._log("store_write_failed"),
             WriterAction.LOG_RECOVERED: lambda: self._log("store_write_recovered"),
-            WriterAction.BACK_OFF: lambda: None,  # the queue holds back the next batch
+            WriterAction.BACK_OFF: lambda: None,  # the queue itself delays the next batch
         }
 
     def _log(self, event: str) -> None:
@@ -44,7 +44,7 @@
         self.thread.start()
 
     def enqueue(self, entries: list[Change]) -> None:
-        """Queue changes; never waits for the disk."""
+        """Queue changes without waiting for the disk."""
         with self.condition:
             now_us = self.clock.now_us()
             for key, value in entries:
@@ -52,7 +52,7 @@
             self.condition.notify()
 
     def stop(self, timeout_us: int) -> None:
-        """Write what is queued and close the store; a disk that hangs is left after the timeout."""
+        """Write the queued changes and close the store; gives up after the timeout if the disk hangs."""
         with self.condition:
             self.is_stopping = True
             self.condition.notify()
@@ -79,7 +79,7 @@
                 self.action_handlers[action]()
 
     def _next_batch(self) -> list[Change] | None:
-        """Wait for the next batch; None once the writer is stopping and nothing is queued."""
+        """Wait for the next batch; None if the writer is stopping and nothing is queued."""
         with self.condition:
             while not self.is_stopping:
                 wait_us = self.queue.wait_us(self.clock.now_us())
