--- a/packages/playback/src/fennelcove/decisions/playback/migration.py
+++ b/packages/playback/src/fennelcove/decisions/playback/migration.py
@@ -139,7 +139,7 @@
         if transition is None:
             return ()
         self._record_server_state(event)
-        if self._has_nothing_to_play(event):
+        if self._must_end_session(event):
             self.state = MigrationState.CLOSED
             return (MigrationAction.END_SESSION,)
         self.state = transition.state
@@ -156,7 +156,7 @@
         elif event in (MigrationEvent.ESTABLISHED, MigrationEvent.SERVER_IN_SERVICE):
             self.is_server_delisted = False
 
-    def _has_nothing_to_play(self, event: MigrationEvent) -> bool:
+    def _must_end_session(self, event: MigrationEvent) -> bool:
         """Whether the session must end, as no server is left that its player may be sent to."""
         if event is MigrationEvent.NO_SERVER_FOUND:
             return (
@@ -217,10 +217,10 @@
             migration = entry.migration
             if migration.state is not MigrationState.PENDING:
                 continue
-            is_full = self.active_count + len(ready) >= self.max_concurrent
+            is_at_limit = self.active_count + len(ready) >= self.max_concurrent
             if migration.deadline_us <= now_us:
                 expired.append(migration)
-            elif is_full or migration.retry_at_us > now_us:
+            elif is_at_limit or migration.retry_at_us > now_us:
                 deferred.append(entry)
             else:
                 ready.append(migration)
--- a/packages/playback/src/fennelcove/decisions/playback/playlist_cursor.py
+++ b/packages/playback/src/fennelcove/decisions/playback/playlist_cursor.py
@@ -106,8 +106,8 @@
 ) -> tuple[PlaylistCursor, ListedSegment]:
     clip = context.media[progress.clip]
     segment = _next_segment(cursor, clip, progress.next_segment, progress.change_id, context)
-    following = progress.next_segment + 1
-    remaining = replace(progress, next_segment=following) if following < progress.segment_count else None
+    next_number = progress.next_segment + 1
+    remaining = replace(progress, next_segment=next_number) if next_number < progress.segment_count else None
     return replace(_cursor_after(cursor, segment), clip_progress=remaining), segment
 
 
@@ -121,12 +121,12 @@
         for change in context.changes
         if change.id in cursor.applied_change_ids and change.first_segment(title_media) is None
     )
-    moved = replace(
+    next_cursor = replace(
         _cursor_after(cursor, segment),
         next_title_segment=cursor.next_title_segment + 1,
         applied_change_ids=applied_by_wall_time,
     )
-    return moved, segment
+    return next_cursor, segment
 
 
 def _apply_due_changes(cursor: PlaylistCursor, context: SelectionContext) -> PlaylistCursor:
@@ -308,9 +308,13 @@
         # A playlist of under three segments would let a player fall off its end (RFC 8216, section 6.2.2).
         first = min(first, max(0, self.cursor.next_sequence_number - LOOKAHEAD_SEGMENTS))
         listed = [segment for segment in self.segments if segment.sequence_number >= first]
-        before = sum(segment.is_discontinuity for segment in self.segments if segment.sequence_number < first)
-        own = int(bool(listed) and listed[0].is_discontinuity)
-        return PlaylistWindow(listed, self.dropped_discontinuities + before + own)
+        earlier_discontinuities = sum(
+            segment.is_discontinuity for segment in self.segments if segment.sequence_number < first
+        )
+        first_discontinuity = int(bool(listed) and listed[0].is_discontinuity)
+        return PlaylistWindow(
+            listed, self.dropped_discontinuities + earlier_discontinuities + first_discontinuity
+        )
 
     def on_segment_requested(self, sequence_number: int) -> ListedSegment | None:
         """Records that a player fetches a segment; None for one that was never listed or was dropped."""
@@ -330,7 +334,7 @@
         )
 
     def interstitial_rung(
-        self, change_id: str, clip: Media, rung: int, floor: int, withdrawn: bool
+        self, change_id: str, clip: Media, rung: int, floor_rung: int, is_withdrawn: bool
     ) -> int | None:
         """The rung at which a player is given an interstitial's clip; None if it was not listed for it.
 
@@ -339,12 +343,12 @@
         """
         if change_id in self.interstitial_rungs:
             return self.interstitial_rungs[change_id]
-        if withdrawn or not self.lists_change(change_id):
+        if is_withdrawn or not self.lists_change(change_id):
             return None
         while len(self.interstitial_rungs) >= RETAINED_SEGMENTS:
             oldest = next(iter(self.interstitial_rungs))
             del self.interstitial_rungs[oldest]
-        self.interstitial_rungs[change_id] = fitting_rung(clip, rung, floor)
+        self.interstitial_rungs[change_id] = fitting_rung(clip, rung, floor_rung)
         return self.interstitial_rungs[change_id]
 
 
@@ -353,15 +357,15 @@
     return max(0, media.available_segments(wall_us) - LIVE_DELAY_SEGMENTS)
 
 
-def new_track(media: Media, wall_us: int, apart: bool = False) -> PlaylistTrack:
+def new_track(media: Media, wall_us: int, uses_interstitials: bool = False) -> PlaylistTrack:
     """The track of a new player.
 
     Args:
         media: the title's media.
         wall_us: now.
-        apart: clips are listed as interstitials rather than spliced into the title.
+        uses_interstitials: clips are listed as interstitials rather than spliced into the title.
     """
-    track = PlaylistTrack(wall_us, uses_interstitials=apart)
+    track = PlaylistTrack(wall_us, uses_interstitials=uses_interstitials)
     if media.is_live:
         track.cursor = PlaylistCursor(next_title_segment=live_start_segment(media, wall_us))
     return track
--- a/packages/playback/src/fennelcove/decisions/playback/resume_tokens.py
+++ b/packages/playback/src/fennelcove/decisions/playback/resume_tokens.py
@@ -66,7 +66,7 @@
     """Encodes a track as a token; segments that have left the playlist's window are left out."""
     cursor = track.cursor
     oldest = track.last_fetched - WINDOW_SEGMENTS
-    kept = [segment for segment in track.segments if segment.sequence_number > oldest]
+    window_segments = [segment for segment in track.segments if segment.sequence_number > oldest]
     dropped = sum(segment.is_discontinuity for segment in track.segments if segment.sequence_number <= oldest)
     record = _TrackRecord(
         ledger_version=track.ledger_version,
@@ -82,7 +82,7 @@
         rung=cursor.rung,
         period=_encode_period(cursor.period),
         applied_change_ids=sorted(cursor.applied_change_ids),
-        segments=[_encode_segment(segment) for segment in kept],
+        segments=[_encode_segment(segment) for segment in window_segments],
         uses_interstitials=track.uses_interstitials,
         interstitial_rungs=track.interstitial_rungs,
         interstitial_ids=cursor.interstitial_ids,
--- a/tests/test_stitch.py
+++ b/tests/test_stitch.py
@@ -320,7 +320,11 @@
     def test_clips_told_apart_leave_the_lesson_whole_and_come_once(
         self, script: list[tuple[str, Any, Any]]
     ) -> None:
-        ledger, track, rung = ChangeLedger(), playlist_cursor.new_track(LESSON, WALL, apart=True), 1
+        ledger, track, rung = (
+            ChangeLedger(),
+            playlist_cursor.new_track(LESSON, WALL, uses_interstitials=True),
+            1,
+        )
         numbers: dict[int, int] = {}
         told: dict[str, tuple[str, ...]] = {}
         begun: dict[str, int] = {}
@@ -361,7 +365,7 @@
         ledger = ChangeLedger()
         ledger.add(change("a", at=4))
         ledger.add(change("b", at=4 * 2.002, kind=ChangeKind.REPLACE, until=8 * 2.002, clip="note"))
-        track = playlist_cursor.new_track(LESSON, WALL, apart=True)
+        track = playlist_cursor.new_track(LESSON, WALL, uses_interstitials=True)
         track.extend(view(ledger, uses_interstitials=True), 1)
         track.on_segment_requested(2)
         track.extend(view(ledger, uses_interstitials=True), 1)
