--- a/packages/playback/src/fennelcove/decisions/playback/__init__.py
+++ b/packages/playback/src/fennelcove/decisions/playback/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on what is listed for each player, and from which server it is fetched."""
+"""Decisions about which segments are listed for each player, and which server they are fetched from."""
--- a/packages/playback/src/fennelcove/decisions/playback/migration.py
+++ b/packages/playback/src/fennelcove/decisions/playback/migration.py
@@ -1,9 +1,9 @@
-"""Migration of an established session to another server, and what happens where none is found.
+"""Migration of an established session to another server, also if its own server fails or none is available.
 
-Make before break: the new server is set up while the old one plays, then the player's next segment comes from
-the new one. The placement policy selects the server and keeps every guard of a retry; this module keeps the
-order of migrations, their number at once, and their deadline: after the drain grace the front sends nothing
-more to the old server.
+Make before break: the session is set up on the new server while the old one serves it; then the player's
+next segment comes from the new one. The placement policy selects the server, under the same limits as for a
+retry. This module decides the order of the migrations, how many run at once, and their deadline: after the
+drain grace the front sends nothing more to the old server.
 """
 
 from __future__ import annotations
@@ -18,33 +18,32 @@
 
 
 class MigrationState(Enum):
-    """Whether a session is being moved to another server."""
+    """The progress of a session's migration to another server."""
 
-    SETTLED = auto()
-    PENDING = auto()  # it should move and waits for its turn
+    SETTLED = auto()  # no migration is needed
+    PENDING = auto()  # it should be migrated and waits for its turn
     ESTABLISHING = auto()  # an attempt on another server is under way
-    CLOSED = auto()
+    CLOSED = auto()  # the session has ended
 
 
 class MigrationEvent(Enum):
-    """What happens to a session or its server."""
+    """An event of a session or its server."""
 
     SERVER_DRAINING = auto()  # the endpoint list: its server is draining
-    SERVER_DELISTED = (
-        auto()
-    )  # the endpoint list: its server was removed; no player may be sent there any more
+    # The endpoint list: its server was removed, and no player may be sent there any more.
+    SERVER_DELISTED = auto()
     SERVER_IN_SERVICE = auto()  # the endpoint list: its server is in service again
-    SERVER_LOST = auto()  # its server failed, and the session's playback with it
-    TURN_GRANTED = auto()  # the queue gave it a turn
+    SERVER_LOST = auto()  # its server failed, so the session's playback stopped
+    TURN_GRANTED = auto()  # the queue allows it to start
     ESTABLISHED = auto()  # it is established on another server
-    ATTEMPT_FAILED = auto()  # the attempt failed; the policy decides what follows
-    NO_SERVER_FOUND = auto()  # the policy finds no server now
-    GRACE_EXPIRED = auto()  # the grace has expired
-    SESSION_ENDED = auto()  # the session ended meanwhile
+    ATTEMPT_FAILED = auto()  # the attempt failed; the policy decides on the next one
+    NO_SERVER_FOUND = auto()  # the policy finds no suitable server now
+    GRACE_EXPIRED = auto()  # the drain grace has expired
+    SESSION_ENDED = auto()  # the session ended during the migration or before
 
 
 class MigrationAction(Enum):
-    """What the caller must do."""
+    """An action for the caller to carry out."""
 
     ENQUEUE = auto()  # add it to the queue
     SELECT_SERVER = auto()  # have the policy select a server
@@ -52,8 +51,8 @@
     REPORT_ATTEMPT_FAILED = auto()  # notify the policy of the failed attempt
     REPORT_SERVER_LOST = auto()  # notify the policy of the lost server
     RETRY_LATER = auto()  # add it to the queue again for a later retry
-    KEEP_SERVER = auto()  # it plays on where it is; the server will end it when it stops
-    END_SESSION = auto()  # end the session: nothing plays and no server was found
+    KEEP_SERVER = auto()  # leave it on its server, which ends it when it shuts down
+    END_SESSION = auto()  # end the session: no server is left that may serve it
 
 
 TRANSITIONS: TransitionTable[MigrationState, MigrationEvent, MigrationAction] = TransitionTable(
@@ -61,9 +60,9 @@
         (MigrationState.SETTLED, MigrationEvent.SERVER_DRAINING): Transition(
             MigrationState.PENDING, (MigrationAction.ENQUEUE,)
         ),
-        # The policy selects a server first and is notified of the loss second: it copies the session's state
-        # before it discards it. Both happen in the same instant, or the policy would take a server that
-        # restarts under its old address for a warmed-up one.
+        # The policy selects a server before it is notified of the loss, as it discards the session's state on
+        # that notification and has to copy it first. Both happen at the same time: otherwise the policy would
+        # treat a server that restarts under its old address as warmed up.
         (MigrationState.SETTLED, MigrationEvent.SERVER_LOST): Transition(
             MigrationState.ESTABLISHING, (MigrationAction.SELECT_SERVER, MigrationAction.REPORT_SERVER_LOST)
         ),
@@ -98,22 +97,22 @@
         (MigrationState.ESTABLISHING, MigrationEvent.NO_SERVER_FOUND): Transition(
             MigrationState.PENDING, (MigrationAction.RETRY_LATER,)
         ),
-        # The attempt under way is cancelled by whoever receives its result.
+        # The caller that receives the result of the attempt under way cancels it.
         (MigrationState.ESTABLISHING, MigrationEvent.SESSION_ENDED): Transition(MigrationState.CLOSED),
     }
 )
 
 RETRY_DELAY_US = 200_000
-GRACE_FRACTION = 0.9  # the rest of the drain grace is left for the last attempt to complete in
+GRACE_FRACTION = 0.9  # the rest of the drain grace is left for the last attempt to complete
 
 
 def may_reestablish(effect: Effect, *, is_adopted: bool = False) -> bool:
-    """Whether a session lost with its server may be established on another one.
+    """Whether a session whose server was lost may be established on another one.
 
     Args:
-        effect: what a repeated set-up of its service class does; a single-shot one must not be repeated.
-        adopted: the session was recovered after a restart of the front. Its set-up time is unknown then, so
-            its idempotency key may have expired.
+        effect: the effect of a repeated set-up in its service class; a single-shot one must not be repeated.
+        is_adopted: the session was recovered after a restart of the front. Its set-up time is then unknown,
+            so its idempotency key may have expired.
     """
     if effect is Effect.FREE:
         return True
@@ -134,7 +133,7 @@
     enqueued_at_us: int = 0
 
     def apply(self, event: MigrationEvent) -> tuple[MigrationAction, ...]:
-        """Moves to the next state; returns the actions to carry out, in order."""
+        """Moves to the next state, and returns the actions for the caller in order."""
         transition = TRANSITIONS.find(self.state, event)
         if transition is None:
             return ()
@@ -157,20 +156,18 @@
             self.is_server_delisted = False
 
     def _must_end_session(self, event: MigrationEvent) -> bool:
-        """Whether the session must end, as no server is left that its player may be sent to."""
+        """Whether the session must end because no server is left that may serve its player."""
         if event is MigrationEvent.NO_SERVER_FOUND:
-            return (
-                self.is_server_lost
-            )  # nothing plays any more: to wait for a server would only look like playing
+            # Playback has stopped: a session that waits for a server would falsely count as playing.
+            return self.is_server_lost
         if event is MigrationEvent.GRACE_EXPIRED:
-            return (
-                self.is_server_delisted
-            )  # its player would request segments that no server may be named for
+            # Its player would request segments for which no server may be named.
+            return self.is_server_delisted
         return False
 
 
 class _QueueEntry(NamedTuple):
-    """Ordered by deadline, then by falling priority weight, then by time of entry."""
+    """An entry of the queue; sorts by deadline, then by descending priority weight, then by time of entry."""
 
     deadline_us: int
     negative_weight: float
@@ -179,17 +176,17 @@
 
 
 class ReadyMigrations(NamedTuple):
-    """The migrations that may start now, and those whose grace has expired."""
+    """The migrations that may start now, and those whose drain grace has expired."""
 
     ready: list[SessionMigration]
     expired: list[SessionMigration]
 
 
 class MigrationQueue:
-    """The pending migrations, earliest deadline first, of which a limited number run at once."""
+    """The pending migrations in order of their deadlines; limits how many run at once."""
 
     def __init__(self, max_concurrent: int, grace_us: int) -> None:
-        """A queue of which up to `max_concurrent` migrations run at once, each within `grace_us` of entry."""
+        """Lets up to `max_concurrent` migrations run at once, each within `grace_us` of its entry."""
         self.max_concurrent = max_concurrent
         self.grace_us = round(grace_us * GRACE_FRACTION)
         self.active_count = 0
@@ -197,18 +194,18 @@
         self._entries: list[_QueueEntry] = []
 
     def add(self, migration: SessionMigration, now_us: int) -> None:
-        """Adds a migration, whose grace begins now."""
+        """Adds a migration, whose drain grace begins now."""
         migration.deadline_us = now_us + self.grace_us
         migration.enqueued_at_us = now_us
         self._push(migration)
 
     def retry_later(self, migration: SessionMigration, now_us: int) -> None:
-        """Adds a migration again that found no server, for a retry a little later; its deadline stays."""
+        """Re-adds a migration that found no server, for a retry after a delay; its deadline is unchanged."""
         migration.retry_at_us = now_us + RETRY_DELAY_US
         self._push(migration)
 
     def take_ready(self, now_us: int) -> ReadyMigrations:
-        """Removes and returns the migrations that may start now and those whose grace has expired."""
+        """Removes and returns the migrations that may start now, and those whose drain grace has expired."""
         ready: list[SessionMigration] = []
         expired: list[SessionMigration] = []
         deferred: list[_QueueEntry] = []
@@ -230,7 +227,7 @@
         return ReadyMigrations(ready, expired)
 
     def on_turn_finished(self) -> None:
-        """Ends the turn of one migration that was returned as ready."""
+        """Frees the place of a migration that was returned as ready."""
         self.active_count -= 1
 
     def _push(self, migration: SessionMigration) -> None:
--- a/packages/playback/src/fennelcove/decisions/playback/playlist_cursor.py
+++ b/packages/playback/src/fennelcove/decisions/playback/playlist_cursor.py
@@ -1,9 +1,9 @@
-"""One player's timeline, segment by segment: a cursor that only moves forward over a title and its changes.
+"""The timeline of one player, built segment by segment by a cursor that moves forward over a title.
 
-A segment that a manifest has listed never changes. A change applies only where the cursor has not been yet;
-one that is withdrawn while its clip plays is played to its end. So sequence numbers never go back, no fetched
-segment is denied later, and each segment begins exactly where the one before it ends, whatever authors do
-meanwhile.
+A listed segment never changes. A change applies only ahead of the cursor, and a clip whose change is
+withdrawn while it is being listed is listed to its end. So sequence numbers never decrease, no fetched
+segment is denied later, and each segment begins exactly where the one before it ends, whatever changes
+authors submit or withdraw meanwhile.
 """
 
 from __future__ import annotations
@@ -23,20 +23,21 @@
     PeriodStart,
 )
 
-# Segments listed beyond the last one fetched: what a player needs to keep its buffer (RFC 8216, 6.3.3).
+# Segments listed after the last one fetched, so that a player can fill its buffer (RFC 8216, section 6.3.3).
 LOOKAHEAD_SEGMENTS = 3
-WINDOW_SEGMENTS = 6  # segments listed behind the last one fetched
-# Segments that may have been listed after the newest resume token: one token late, and one lost.
+WINDOW_SEGMENTS = 6  # segments listed up to and including the last one fetched
+# Segments that may have been listed since the newest stored resume token: one token late, and one lost.
 MAX_REPLAYED_SEGMENTS = 2 * LOOKAHEAD_SEGMENTS
-RETAINED_SEGMENTS = 64  # segments that a late player may still fetch
-LIVE_DELAY_SEGMENTS = 3  # target durations behind the edge at which a live player begins (RFC 8216, 6.3.3)
+RETAINED_SEGMENTS = 64  # segments that remain available to a player that lags behind
+# Distance from the live edge at which a player begins, in segments (RFC 8216, section 6.3.3).
+LIVE_DELAY_SEGMENTS = 3
 
 FIRST_PERIOD = PeriodStart(0, 0, Fraction(0))
 
 
 @dataclass(frozen=True, slots=True)
 class ClipProgress:
-    """A spliced clip of which some segments are still to be listed."""
+    """A spliced clip that is not yet listed completely."""
 
     change_id: str
     clip: str
@@ -46,22 +47,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaylistCursor:
-    """The position from which a player's timeline continues."""
+    """The position at which a player's timeline continues."""
 
     next_sequence_number: int = 0
-    next_title_segment: int = 0  # the title's next segment
-    start_s: Fraction = Fraction(0)  # seconds on the player's own timeline
+    next_title_segment: int = 0  # number of the title's next segment
+    start_s: Fraction = Fraction(0)  # start of the next segment on the player's timeline, in seconds
     clip_progress: ClipProgress | None = None
-    continuation_key: str = ""  # key of the one segment that would follow without a discontinuity
-    rung: int = -1
-    period: PeriodStart = FIRST_PERIOD
-    applied_change_ids: frozenset[str] = frozenset()  # those at this segment, and all applied by wall time
-    interstitial_ids: tuple[str, ...] = ()  # of those, the interstitials to be listed before the next segment
+    continuation_key: str = ""  # key of the only segment that can follow without a discontinuity
+    rung: int = -1  # of the last segment
+    period: PeriodStart = FIRST_PERIOD  # of the last segment
+    applied_change_ids: frozenset[str] = frozenset()  # applied before this segment, or at a wall time
+    interstitial_ids: tuple[str, ...] = ()  # changes whose interstitials are listed before the next segment
 
 
 @dataclass(frozen=True, slots=True)
 class SelectionContext:
-    """What the next segment is chosen by, beside the cursor."""
+    """The inputs, other than the cursor, by which the next segment is selected."""
 
     media: Mapping[str, Media]
     title: str
@@ -72,25 +73,27 @@
     floor_rung: int
     wall_us: int
     began_wall_us: int
-    is_clip_available: Callable[[str], bool]  # whether a server, or the slate, can serve this clip
+    is_clip_available: Callable[
+        [str], bool
+    ]  # whether a server can serve this clip, or the slate in its place
     uses_interstitials: bool = False  # clips are listed as interstitials rather than spliced in
 
 
 def fitting_rung(media: Media, rung: int, floor_rung: int) -> int:
-    """The rung at which media is listed: the session's, or the next lower one that the media has.
+    """The rung at which media is listed: the session's rung, or the next lower one at which the media exists.
 
-    Where the media has none from the floor up to the session's rung, the higher of these two is listed.
+    If the media exists at none from the floor to the session's rung, the higher of these two is returned.
     """
     fitting = [available for available in media.rungs if floor_rung <= available <= rung]
     return max(fitting) if fitting else max(rung, floor_rung)
 
 
 def advance(cursor: PlaylistCursor, context: SelectionContext) -> tuple[PlaylistCursor, ListedSegment | None]:
-    """Chooses the next segment.
+    """Selects the next segment.
 
     Returns:
-        The cursor after it, and the segment; None at the title's end or at the live edge. The cursor may have
-        moved then all the same: a range that is cut out at the title's end leaves no segment to list.
+        The cursor after the segment, and the segment, or None at the title's end or at the live edge. The
+        cursor may have moved even then: after a cut at the title's end, no segment is left to list.
     """
     cursor = _apply_due_changes(cursor, context)
     if cursor.clip_progress is not None:
@@ -115,7 +118,7 @@
     cursor: PlaylistCursor, title_media: Media, context: SelectionContext
 ) -> tuple[PlaylistCursor, ListedSegment]:
     segment = _next_segment(cursor, title_media, cursor.next_title_segment, "", context)
-    # A change by wall time stays due at later segments: those applied are kept, so that none applies twice.
+    # A change at a wall time stays due at later segments, so its id is retained, so that none applies twice.
     applied_by_wall_time = frozenset(
         change.id
         for change in context.changes
@@ -139,7 +142,7 @@
 
 
 def _due_change(cursor: PlaylistCursor, context: SelectionContext) -> Change | None:
-    """The change that applies before the title's next segment, the narrowest target first."""
+    """The next change that applies before the title's next segment; the narrowest target takes precedence."""
     due = [change for change in context.changes if _is_due(change, cursor, context)]
     return min(due, key=_precedence) if due else None
 
@@ -164,7 +167,7 @@
 
 
 def _apply_change(cursor: PlaylistCursor, change: Change, context: SelectionContext) -> PlaylistCursor:
-    """Starts a change's clip and skips the range of the title that it takes out."""
+    """Starts the clip of a change, and skips the range of the title that the change removes."""
     resume = change.resume_segment(context.media[context.title])
     title_segment = cursor.next_title_segment if resume is None else max(cursor.next_title_segment, resume)
     applied = replace(cursor, applied_change_ids=cursor.applied_change_ids | {change.id})
@@ -172,10 +175,10 @@
         return replace(applied, next_title_segment=title_segment)
     clip = context.media.get(change.clip or "")
     if clip is None or clip.segment_count is None or not context.is_clip_available(clip.name):
-        return applied  # no server can serve the clip: the title without the change is better than a gap
+        return applied  # no server can serve the clip: the title continues without a gap
     if context.uses_interstitials:
-        # The range that a clip replaces is left out of the title: a player that had to skip it would stop
-        # fetching, and its manifest would wait for the fetch.
+        # The range that a clip replaces is not listed. If the player had to skip it, it would not fetch those
+        # segments, and the manifest is only extended as the player fetches.
         return replace(
             applied, next_title_segment=title_segment, interstitial_ids=(*cursor.interstitial_ids, change.id)
         )
@@ -184,14 +187,14 @@
 
 
 def _segment_key(change_id: str, media_name: str, segment_number: int) -> str:
-    """Identifies a segment of one source; part of resume tokens, so its form is fixed."""
+    """Identifies a segment of one source; resume tokens contain it, so its format must not change."""
     return f"{change_id}/{media_name}@{segment_number}"
 
 
 def _next_segment(
     cursor: PlaylistCursor, media: Media, number: int, change_id: str, context: SelectionContext
 ) -> ListedSegment:
-    # A title that continues after a range was taken out jumps in its own time: a discontinuity as well.
+    # A title that continues after a removed range is a discontinuity as well, as its media time jumps.
     is_continuous = cursor.continuation_key == _segment_key(change_id, media.name, number)
     rung = fitting_rung(media, context.rung, context.floor_rung)
     is_same_period = is_continuous and rung == cursor.rung
@@ -224,10 +227,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayLimit:
-    """Up to where a restored track must be extended by the changes of an earlier ledger version.
+    """The limit up to which a restored track is extended by the changes of an earlier ledger version.
 
-    Segments listed after the resume token was written are unknown to the front, but there were at most
-    MAX_REPLAYED_SEGMENTS of them, and the same changes give the same segments again.
+    Segments that were listed after the resume token was written are unknown to the front. There are at most
+    MAX_REPLAYED_SEGMENTS of them, and the same changes result in the same segments again.
     """
 
     next_sequence_number: int
@@ -235,7 +238,7 @@
 
 
 class PlaylistWindow(NamedTuple):
-    """The segments that a manifest lists, and the discontinuity sequence number of the first."""
+    """The segments that a manifest lists, and the discontinuity sequence number of the first one."""
 
     segments: list[ListedSegment]
     discontinuity_sequence: int
@@ -243,7 +246,7 @@
 
 @dataclass(slots=True)
 class PlaylistTrack:
-    """One player's timeline: the segments that were listed for it, and how far it has fetched them."""
+    """The timeline of one player: the segments listed for it, and the last one that it fetched."""
 
     began_wall_us: int
     cursor: PlaylistCursor = field(default_factory=PlaylistCursor)
@@ -253,13 +256,12 @@
     is_ended: bool = False
     ledger_version: int = 0
     replay: ReplayLimit | None = None
-    uses_interstitials: bool = False  # constant for a track: a player can't change timelines in the middle
-    interstitial_rungs: dict[str, int] = field(
-        default_factory=dict
-    )  # rung of each interstitial requested, by change
+    uses_interstitials: bool = False  # constant, as a player can't switch between the two timelines
+    # The rung of each interstitial that was requested, by change.
+    interstitial_rungs: dict[str, int] = field(default_factory=dict)
 
     def replay_version(self) -> int | None:
-        """The ledger version that the next segment must be chosen by; None for the newest."""
+        """The ledger version by which the next segment must be selected; None for the newest."""
         if self.replay is None:
             return None
         if self.cursor.next_sequence_number >= self.replay.next_sequence_number + MAX_REPLAYED_SEGMENTS:
@@ -267,11 +269,11 @@
         return self.replay.ledger_version
 
     def extend(self, context: SelectionContext, ledger_version: int) -> int:
-        """Lists segments as far ahead as a player may fetch.
+        """Lists further segments, up to LOOKAHEAD_SEGMENTS after the last one fetched.
 
         Args:
-            context: what the segments are chosen by; while a track is replayed, its changes must be those of
-                the replayed ledger version.
+            context: the inputs of the selection; while a track is replayed, its changes must be those of the
+                replayed ledger version.
             ledger_version: the ledger's newest version.
 
         Returns:
@@ -284,7 +286,7 @@
             not self.is_ended and self.cursor.next_sequence_number <= self.last_fetched + LOOKAHEAD_SEGMENTS
         ):
             if was_replaying and self.replay_version() is None:
-                break  # from here on the newest changes apply: the caller extends again with them
+                break  # from here on, the newest changes apply: the caller extends again with them
             self.cursor, segment = advance(self.cursor, context)
             if segment is None:
                 title_media = context.media[context.title]
@@ -303,9 +305,9 @@
         self.dropped_discontinuities += dropped.is_discontinuity
 
     def window(self) -> PlaylistWindow:
-        """The part of the track that manifests list now."""
+        """The part of the track that manifests list at present."""
         first = max(0, self.last_fetched + 1 - WINDOW_SEGMENTS)
-        # A playlist of under three segments would let a player fall off its end (RFC 8216, section 6.2.2).
+        # With fewer than three segments a player could fall off the playlist (RFC 8216, section 6.2.2).
         first = min(first, max(0, self.cursor.next_sequence_number - LOOKAHEAD_SEGMENTS))
         listed = [segment for segment in self.segments if segment.sequence_number >= first]
         earlier_discontinuities = sum(
@@ -317,7 +319,7 @@
         )
 
     def on_segment_requested(self, sequence_number: int) -> ListedSegment | None:
-        """Records that a player fetches a segment; None for one that was never listed or was dropped."""
+        """Records a fetch and returns the segment; None if it was never listed, or has been dropped."""
         for segment in self.segments:
             if segment.sequence_number == sequence_number:
                 self.last_fetched = max(self.last_fetched, sequence_number)
@@ -325,7 +327,7 @@
         return None
 
     def lists_change(self, change_id: str) -> bool:
-        """Whether a retained segment belongs to this change, or has it as an interstitial before it."""
+        """Whether a retained segment belongs to this change or follows its interstitial."""
         if change_id in self.cursor.interstitial_ids:
             return True
         return any(
@@ -336,10 +338,10 @@
     def interstitial_rung(
         self, change_id: str, clip: Media, rung: int, floor_rung: int, is_withdrawn: bool
     ) -> int | None:
-        """The rung at which a player is given an interstitial's clip; None if it was not listed for it.
+        """The rung at which an interstitial's clip is served; None if it was not listed for this player.
 
-        A clip that was withdrawn before the player requested it is not started. One that was started is
-        played to its end, at the rung that its playlist named first.
+        A clip that was withdrawn before the player requested it is not started. A clip that was started is
+        served to its end, at the rung that its playlist listed first.
         """
         if change_id in self.interstitial_rungs:
             return self.interstitial_rungs[change_id]
@@ -353,7 +355,7 @@
 
 
 def live_start_segment(media: Media, wall_us: int) -> int:
-    """The segment at which a player that joins a live title begins."""
+    """The number of the segment at which a new player of a live title begins."""
     return max(0, media.available_segments(wall_us) - LIVE_DELAY_SEGMENTS)
 
 
@@ -362,7 +364,7 @@
 
     Args:
         media: the title's media.
-        wall_us: now.
+        wall_us: the current wall time.
         uses_interstitials: clips are listed as interstitials rather than spliced into the title.
     """
     track = PlaylistTrack(wall_us, uses_interstitials=uses_interstitials)
--- a/packages/playback/src/fennelcove/decisions/playback/resume_tokens.py
+++ b/packages/playback/src/fennelcove/decisions/playback/resume_tokens.py
@@ -1,7 +1,7 @@
 """Resume tokens: a player's track as a short text that a media server stores for the front.
 
-A front that restarts reads the token back and continues the player's timeline without a break. A token is a
-JSON array, so the order of the fields below is part of the stored format; their names are not.
+After a restart, the front gets the token back and continues the player's timeline where it was. A token is a
+JSON array: the order of the fields below is part of the stored format, their names are not.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 
 def encode(track: PlaylistTrack) -> str:
-    """Encodes a track as a token; segments that have left the playlist's window are left out."""
+    """Encodes a track as a token, without the segments that have left the playlist's window."""
     cursor = track.cursor
     oldest = track.last_fetched - WINDOW_SEGMENTS
     window_segments = [segment for segment in track.segments if segment.sequence_number > oldest]
@@ -91,7 +91,7 @@
 
 
 def decode(text: str) -> PlaylistTrack | None:
-    """Decodes a token; None for an empty or malformed one, so that no server can make a front fail."""
+    """Decodes a token; None if it is empty or malformed, so that no server can make a front fail."""
     if not text or len(text) > MAX_TOKEN_CHARS:
         return None
     try:
--- a/packages/playback/src/fennelcove/decisions/playback/segment_routing.py
+++ b/packages/playback/src/fennelcove/decisions/playback/segment_routing.py
@@ -1,8 +1,8 @@
-"""Which server a listed segment is fetched from, and the fallbacks where that server can't serve it.
+"""Selects the server that a listed segment is fetched from, with fallbacks.
 
-A segment of the title comes from the session's own server. A segment of a spliced clip comes from there too
-if that server stores the clip; else from another replica, then at a lower rung, then from the slate. That a
-clip is skipped altogether can only be decided before its segment is listed (`playlist_cursor.advance`).
+A segment of the title comes from the session's own server. A segment of a spliced clip comes from that server
+if it stores the clip; else from another replica, then from a replica at a lower rung, then from the slate. A
+clip can only be skipped as a whole before its segments are listed (`playlist_cursor.advance`).
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 
 class SegmentSource(Enum):
-    """Where a segment comes from, the most preferred first.
+    """The source of a segment, the most preferred first.
 
-    The members' names are part of the names of counters in the status.
+    Counter names in the status contain the names of the members.
     """
 
     HOME = auto()  # the session's own server
     OTHER = auto()  # another replica, at the listed rung
     LOWER = auto()  # a replica at a lower rung
-    SLATE = auto()
+    SLATE = auto()  # the slate, a clip that stands in for any other
     WAIT = auto()  # the session has no server at the moment; the player should retry
-    NONE = auto()
+    NONE = auto()  # no server can serve the segment
 
 
 FALLBACK_ORDER = (SegmentSource.HOME, SegmentSource.OTHER, SegmentSource.LOWER, SegmentSource.SLATE)
@@ -33,11 +33,11 @@
 class SegmentCandidates:
     """The servers that could serve a segment now, by address."""
 
-    home_server: str | None  # None while the session is being moved
-    home_has_media: bool
+    home_server: str | None  # None while the session is being migrated
+    home_has_media: bool  # the session's server stores the clip
     replicas: Sequence[str]  # usable replicas at this rung, in order of preference
-    lower_rung_replicas: Sequence[str]  # usable replicas at a lower rung that the clip has
-    slate_server: str | None  # a usable server for the slate, where there is a slate
+    lower_rung_replicas: Sequence[str]  # usable replicas at a lower rung at which the clip exists
+    slate_server: str | None  # a usable server that stores the slate; None if there is none
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
     Args:
         candidates: the servers that could serve it.
-        failed_servers: those from which the player has tried to fetch this segment without success.
+        failed_servers: the servers from which the player failed to fetch this segment.
     """
     for source in FALLBACK_ORDER:
         server = _find_server(source, candidates, failed_servers)
@@ -73,7 +73,7 @@
     source: SegmentSource, candidates: SegmentCandidates, failed_servers: Sequence[str]
 ) -> str | None:
     if source is SegmentSource.SLATE:
-        return candidates.slate_server  # also where it failed before: there is nothing behind it
+        return candidates.slate_server  # also if it failed before, as there is no further fallback
     if source is SegmentSource.HOME:
         servers = _home_servers(candidates)
     elif source is SegmentSource.OTHER:
--- a/packages/playback/src/fennelcove/decisions/playback/splices.py
+++ b/packages/playback/src/fennelcove/decisions/playback/splices.py
@@ -1,7 +1,7 @@
-"""Which changes to a title are accepted, and which are rejected, each with its reason.
+"""The ledger of changes to titles, and the checks by which a submitted change is accepted or rejected.
 
-A change is accepted or rejected as a whole, by the title's media and the changes in force. What each player
-has been listed is a matter of its track (`playlist_cursor`), where no change applies in retrospect.
+A change is accepted or rejected as a whole, by the title's media and the active changes. The segments listed
+for a player are part of its track (`playlist_cursor`), where no change applies retroactively.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from fennelcove.timeline.model import Change, ChangeKind, Media
 
 MAX_CHANGES_PER_TITLE = 1000
-MAX_LEDGER_ENTRIES = 20_000  # withdrawn ones included: a repeated submission must find the first one
+MAX_LEDGER_ENTRIES = 20_000  # includes withdrawn ones, as a repeated submission must find the first
 MAX_TIME_CHARS = 40
 MAX_TIME_PARTS = 3  # hours, minutes, seconds
 SECONDS_PER_MINUTE = 60
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """What became of a change; where it was rejected, the reason and what the author can do."""
+    """The result of a submission or withdrawal; if rejected, the reason and what the author can do."""
 
     status: ChangeStatus
     version: int
@@ -59,18 +59,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidationContext:
-    """What a change is checked against, beside the ledger."""
+    """The inputs of the checks, other than the ledger."""
 
     media: Mapping[str, Media]
-    floor_rung: int  # the highest floor of the service classes concerned
+    floor_rung: int  # the highest floor of the service classes that the change applies to
     wall_us: int
-    next_title_segment: int | None = None  # of the target session, where there is one
+    next_title_segment: int | None = None  # of the target session, if the change has one
     is_session_known: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The reason for which a check rejects a change, and what the author can do."""
+    """The reason why a check rejects a change, and what the author can do."""
 
     reason: RejectionReason
     remedy: str
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class LedgerEntry:
-    """One change, and the ledger versions at which it was accepted and withdrawn."""
+    """A change, and the ledger versions at which it was accepted and withdrawn."""
 
     change: Change
     version: int
@@ -87,14 +87,14 @@
 
 @dataclass(slots=True)
 class ChangeLedger:
-    """All changes, by id, with a version that grows by one at each step; state in memory alone."""
+    """All changes by id, in memory; each accepted or withdrawn change increments the version."""
 
     entries: dict[str, LedgerEntry] = field(default_factory=dict)
     version: int = 0
     by_title: dict[str, dict[str, LedgerEntry]] = field(default_factory=dict)
 
     def submit(self, change: Change, context: ValidationContext) -> ChangeResult:
-        """Accepts a change, finds that it was accepted before, or rejects it as a whole."""
+        """Accepts a change, or rejects it; a repeated submission of an active change has no effect."""
         entry = self.entries.get(change.id)
         if entry is not None:
             return self._resubmit(entry, change)
@@ -112,14 +112,14 @@
         return ChangeResult(ChangeStatus.REJECTED, self.version, RejectionReason.ID_TAKEN, remedy)
 
     def add(self, change: Change) -> None:
-        """Adds a change without any check."""
+        """Adds a change without checking it."""
         self.version += 1
         entry = LedgerEntry(change, self.version)
         self.entries[change.id] = entry
         self.by_title.setdefault(change.target.title, {})[change.id] = entry
 
     def withdraw(self, change_id: str) -> ChangeResult:
-        """Withdraws a change. Players for which its first segment was listed play it to its end."""
+        """Withdraws a change; players for which its first segment was listed still play it to its end."""
         entry = self.entries.get(change_id)
         if entry is None:
             return ChangeResult(ChangeStatus.UNKNOWN, self.version)
@@ -130,7 +130,7 @@
         return ChangeResult(ChangeStatus.WITHDRAWN, self.version)
 
     def active_changes(self, title: str, at_version: int | None = None) -> Iterable[Change]:
-        """The changes to a title in force, now or as of an earlier version of the ledger."""
+        """The active changes to a title, at present or as of an earlier version of the ledger."""
         if at_version is None:
             return [entry.change for entry in self.by_title.get(title, {}).values()]
         return [
@@ -200,7 +200,7 @@
             return Rejection(RejectionReason.BEFORE_LIVE_EDGE, "that moment has passed")
         return None
     if media.is_live:
-        # The segment at the edge is being written and may be listed at any instant: one more is kept clear.
+        # The segment at the live edge is being written and may be listed at any time, so it is excluded too.
         earliest = media.available_segments(context.wall_us) + 1
         if first < earliest:
             return Rejection(
@@ -231,7 +231,7 @@
     if first is None or resume is None or other_first is None or other_resume is None:
         return change.wall_us is not None and change.wall_us == other.wall_us
     if first == other_first:
-        return True  # which of them applies first would be arbitrary
+        return True  # their order would be arbitrary
     return first < other_resume and other_first < resume
 
 
@@ -274,10 +274,10 @@
 
 
 def parse_media_time(text: str) -> Fraction:
-    """Parses a media time as authors write it: `12.5`, `37/3`, `1:02:03.25`.
+    """Parses a media time in one of the forms `12.5`, `37/3` and `1:02:03.25`.
 
     Raises:
-        ValueError: the text has another form.
+        ValueError: the text has none of these forms.
     """
     if len(text) > MAX_TIME_CHARS:
         raise ValueError(f"a time of more than {MAX_TIME_CHARS} characters")
--- a/packages/playback/src/fennelcove/manifests/__init__.py
+++ b/packages/playback/src/fennelcove/manifests/__init__.py
@@ -1,1 +1,1 @@
-"""Writers of HLS playlists and MPEG-DASH manifests for one player; no I/O."""
+"""Generates the HLS playlists and MPEG-DASH manifests of one player; no I/O."""
--- a/packages/playback/src/fennelcove/manifests/dash.py
+++ b/packages/playback/src/fennelcove/manifests/dash.py
@@ -17,13 +17,13 @@
 def media_presentation(
     listing: MediaListing, target_duration_s: int, rung_kbit: dict[int, int], buffer_s: int
 ) -> str:
-    """The MPD of one player: without a duration while it may grow, with its duration once it has ended.
+    """The MPD of one player; it has a duration once the timeline has ended, and is to be updated until then.
 
     Args:
-        listing: what is listed for the player.
-        target_duration_s: seconds that no segment exceeds.
-        rung_kbit: each rung's rate, in kilobits a second.
-        buffer_s: seconds of media that players should buffer at least.
+        listing: the content to list.
+        target_duration_s: an upper bound of the segment durations, in seconds.
+        rung_kbit: the bitrate of each rung, in kilobits per second.
+        buffer_s: the minimum that players should buffer, in seconds of media.
     """
     segments = listing.segments
     end_us = to_microseconds(segments[-1].end_s) if segments else 0
@@ -39,7 +39,7 @@
         lines.append(f' mediaPresentationDuration="{format_duration(end_us)}">')
     else:
         lines.append(f' minimumUpdatePeriod="PT{target_duration_s}S">')
-    # An absolute start for each Period, and ticks inside it: neither is a sum that could drift.
+    # Each Period has an absolute start and counts ticks from there, so that rounding errors don't add up.
     periods = _group_by_period(segments)
     for index, period_segments in enumerate(periods):
         is_last = index + 1 == len(periods)
@@ -57,7 +57,7 @@
 ) -> str:
     first = segments[0]
     media, period_start = listing.media[first.media], first.period
-    # Named by where the period began, also once its first segments have left the window.
+    # Id and start stay those of the period's first segment, even after it has left the window.
     start_us = to_microseconds(period_start.start_s)
     length = (
         f' duration="{format_duration(to_microseconds(last_segment.end_s) - start_us)}"'
--- a/packages/playback/src/fennelcove/manifests/exact_time.py
+++ b/packages/playback/src/fennelcove/manifests/exact_time.py
@@ -1,4 +1,4 @@
-"""Exact times as the decimals of manifests, rounded so that rounding errors never add up."""
+"""Formats exact times as decimals for manifests, without accumulating rounding errors."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def to_microseconds(time_s: Fraction) -> int:
-    """Rounds a point in time, in seconds, to whole microseconds, halves to even."""
+    """Converts a time in seconds to microseconds, rounding halves to even."""
     return round(time_s * MICROSECONDS_PER_SECOND)
 
 
@@ -21,7 +21,7 @@
 def duration_between(start_s: Fraction, end_s: Fraction) -> str:
     """Formats the duration between two times as the difference of the rounded times.
 
-    So the durations of adjacent segments sum to the rounded whole, however many there are.
+    So the durations of adjacent segments add up to the rounded total duration.
     """
     return to_decimal_seconds(to_microseconds(end_s) - to_microseconds(start_s))
 
--- a/packages/playback/src/fennelcove/manifests/hls.py
+++ b/packages/playback/src/fennelcove/manifests/hls.py
@@ -1,8 +1,8 @@
 """HLS playlists (RFC 8216 and its successor draft) of a single variant.
 
-The front chooses the rung of the session, so a player is offered no variants: each segment is listed at the
-session's rung of the moment, with EXT-X-MAP where the rendition changes and EXT-X-DISCONTINUITY where the
-source does.
+The front selects the rung of the session, so a player is offered no other variants: each segment is listed
+at the session's current rung, with EXT-X-MAP where the rendition changes and EXT-X-DISCONTINUITY where the
+source changes.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Interstitial:
-    """A clip that is played as an interstitial, after which the title continues where it was left."""
+    """A clip that is played as an interstitial; the title continues afterwards where it was interrupted."""
 
     change_id: str
     clip: Media
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MediaListing:
-    """What a manifest is written from."""
+    """The content of a manifest."""
 
     segments: list[ListedSegment]  # the segments to list
     discontinuity_sequence: int  # the discontinuity sequence number of the first segment
@@ -37,22 +37,21 @@
     is_live: bool  # the title is live
     began_wall_us: int  # the wall time at which the player's timeline began
     media: Mapping[str, Media]  # by title
-    interstitials: Mapping[str, Interstitial] = field(default_factory=dict)  # the interstitials, by change
-    trailing_interstitial_ids: tuple[
-        str, ...
-    ] = ()  # ids of the changes whose interstitials are played after the last segment
+    interstitials: Mapping[str, Interstitial] = field(default_factory=dict)  # by change
+    # The ids of the changes whose interstitials are played after the last segment.
+    trailing_interstitial_ids: tuple[str, ...] = ()
 
 
 def target_duration(media: Iterable[Media]) -> int:
-    """Whole seconds that no segment of any media exceeds.
+    """The longest segment duration of all media, rounded up to whole seconds.
 
-    It covers all media, as EXT-X-TARGETDURATION must never change (RFC 8216, section 4.3.3.1).
+    It includes media not listed yet, as EXT-X-TARGETDURATION must never change (RFC 8216, section 4.3.3.1).
     """
     return max((ceil(item.segment_duration_s) for item in media), default=1)
 
 
 def multivariant_playlist(bandwidth: int, average_bandwidth: int, codecs: str) -> str:
-    """The multivariant playlist; bandwidths in bits a second."""
+    """The multivariant playlist; bandwidths are in bits per second."""
     return (
         "#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-INDEPENDENT-SEGMENTS\n"
         f'#EXT-X-STREAM-INF:BANDWIDTH={bandwidth},AVERAGE-BANDWIDTH={average_bandwidth},CODECS="{codecs}"\n'
@@ -61,7 +60,7 @@
 
 
 def media_playlist(listing: MediaListing, target_duration_s: int) -> str:
-    """The media playlist of one player; `target_duration_s` as of `target_duration`."""
+    """The media playlist of one player; `target_duration_s` is the result of `target_duration`."""
     segments = listing.segments
     lines = ["#EXTM3U", "#EXT-X-VERSION:7", f"#EXT-X-TARGETDURATION:{target_duration_s}"]
     lines.append(f"#EXT-X-MEDIA-SEQUENCE:{segments[0].sequence_number if segments else 0}")
@@ -95,7 +94,7 @@
 
 
 def _date_range(segment: ListedSegment, listing: MediaListing) -> str:
-    """EXT-X-DATERANGE of a spliced clip, for players that mark it (RFC 8216, section 4.3.2.7)."""
+    """The EXT-X-DATERANGE tag of a spliced clip, for players that indicate it (RFC 8216, section 4.3.2.7)."""
     clip = listing.media[segment.media]
     start_s = segment.start_s - clip.segment_start_s(segment.segment_number)
     end_s = start_s + clip.segment_start_s(clip.segment_count or 0)
@@ -108,7 +107,7 @@
 
 
 def _interstitials(change_ids: Iterable[str], start_s: Fraction, listing: MediaListing) -> list[str]:
-    """EXT-X-DATERANGE of each interstitial (the successor draft of RFC 8216, appendix D)."""
+    """The EXT-X-DATERANGE tag of each interstitial (the successor draft of RFC 8216, appendix D)."""
     start_date = format_wall_time(listing.began_wall_us + to_microseconds(start_s))
     return [
         f'#EXT-X-DATERANGE:ID="{item.change_id}",CLASS="{INTERSTITIAL_CLASS}",START-DATE="{start_date}",'
@@ -120,7 +119,7 @@
 
 
 def interstitial_playlist(change_id: str, clip: Media, rung: int) -> str:
-    """The complete media playlist of an interstitial's clip; its URIs are relative to its own."""
+    """The complete media playlist of an interstitial's clip; the URIs are relative to the playlist's URI."""
     lines = ["#EXTM3U", "#EXT-X-VERSION:7", f"#EXT-X-TARGETDURATION:{ceil(clip.segment_duration_s)}"]
     lines += ["#EXT-X-PLAYLIST-TYPE:VOD", "#EXT-X-INDEPENDENT-SEGMENTS"]
     lines.append(f'#EXT-X-MAP:URI="../init/{clip.name}/{rung}.mp4"')
--- a/packages/playback/src/fennelcove/timeline/__init__.py
+++ b/packages/playback/src/fennelcove/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""The model of a timeline: media cut into segments, changes to it, and the segments listed for one player."""
+"""The model of a timeline: media divided into segments, changes to them, and segments listed for a player."""
--- a/packages/playback/src/fennelcove/timeline/model.py
+++ b/packages/playback/src/fennelcove/timeline/model.py
@@ -13,30 +13,30 @@
 class Media:
     """A title's segments, all of one duration."""
 
-    name: str  # the title
-    timescale: int  # ticks a second
-    segment_ticks: int  # a segment's duration
+    name: str  # the name of the title
+    timescale: int  # ticks per second
+    segment_ticks: int  # the duration of a segment, in ticks
     segment_count: int | None  # the number of segments; None for a live title
-    rungs: tuple[int, ...]  # the rungs of the bitrate ladder that it is available at
+    rungs: tuple[int, ...]  # the rungs of the bitrate ladder at which it is available
     codecs: str  # as in RFC 6381
-    live_from_us: int = 0  # wall time at which a live title began
+    live_from_us: int = 0  # the wall time at which a live title began
 
     @property
     def is_live(self) -> bool:
-        """Whether segments are added as time passes."""
+        """Whether the title is live: its segments become available as time passes."""
         return self.segment_count is None
 
     @property
     def segment_duration_s(self) -> Fraction:
-        """A segment's duration, in seconds."""
+        """The duration of a segment, in seconds."""
         return Fraction(self.segment_ticks, self.timescale)
 
     def segment_start_s(self, number: int) -> Fraction:
-        """Where a segment begins, in seconds of media time."""
+        """The start of a segment, in seconds of media time."""
         return Fraction(number * self.segment_ticks, self.timescale)
 
     def first_segment_at_or_after(self, media_time_s: Fraction) -> int:
-        """The first segment that begins at or after a media time."""
+        """The number of the first segment that begins at or after a media time."""
         return -(-media_time_s // self.segment_duration_s)
 
     def available_segments(self, wall_us: int) -> int:
@@ -52,11 +52,11 @@
 
 
 class ChangeKind(Enum):
-    """What a change does; the values are part of the HTTP interface and of the ledger."""
+    """The effect of a change; the values are part of the HTTP interface and of the ledger."""
 
-    INSERT = "insert"  # splice the clip in between two segments
+    INSERT = "insert"  # splice the clip in between two segments of the title
     REPLACE = "replace"  # splice the clip in place of a range of the title
-    CUT = "cut"  # leave a range of the title out
+    CUT = "cut"  # leave out a range of the title
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,21 +90,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One author's change to a title."""
+    """A change to a title, submitted by an author."""
 
-    id: str  # chosen by the author, never used twice
-    author: str  # the name that belongs to the author's key
-    target: ChangeTarget  # the sessions that it applies to
+    id: str  # chosen by the author and never reused
+    author: str  # the author's name in the settings, found by the key of the request
+    target: ChangeTarget  # the sessions to which it applies
     kind: ChangeKind  # what it does
     clip: str | None  # the title that is spliced in; None for a cut
-    # Media time from which on it applies, in seconds; None where a wall time is given.
+    # The media time at which it begins to apply, in seconds; None if a wall time is given.
     start_s: Fraction | None = None
-    # Media time at which the title continues, in seconds; None for an insertion.
+    # The media time at which the title continues, in seconds; None for an insertion.
     end_s: Fraction | None = None
-    wall_us: int | None = None  # wall time at which it applies, to each player where it is then
+    wall_us: int | None = None  # the wall time at which it applies, at the current position of each player
 
     def first_segment(self, media: Media) -> int | None:
-        """The title's segment before which it applies; None where that differs between players."""
+        """The title's segment before which it applies; None if that differs between players."""
         if self.start_s is not None:
             return media.first_segment_at_or_after(self.start_s)
         if media.is_live and self.wall_us is not None:
@@ -112,7 +112,7 @@
         return None
 
     def resume_segment(self, media: Media) -> int | None:
-        """The title's segment with which it continues; None where that differs between players."""
+        """The segment with which the title continues; None if that differs between players."""
         first = self.first_segment(media)
         if first is None or self.end_s is None:
             return first
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeriodStart:
-    """Where a period began: a run of segments of one source at one rung. Manifests name the period by it."""
+    """The start of a period: a run of segments of one source at one rung. It identifies the period."""
 
     sequence_number: int
     segment_number: int
@@ -130,22 +130,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedSegment:
-    """One segment as it was listed for a player."""
+    """A segment as it was listed for a player."""
 
-    sequence_number: int  # its number in the player's manifests
-    media: str  # the title that it is a segment of
-    segment_number: int  # its number in that title
-    rung: int  # the rung of the bitrate ladder that it is listed at
-    start_s: Fraction  # its start on the player's own timeline, in seconds from 0
+    sequence_number: int  # the segment's number in the player's manifests
+    media: str  # the title that the segment belongs to
+    segment_number: int  # the segment's number in that title
+    rung: int  # the rung of the bitrate ladder at which it is listed
+    start_s: Fraction  # the start on the player's timeline, which begins at 0, in seconds
     duration_s: Fraction  # in seconds
-    period: PeriodStart  # where the run of segments that it belongs to began
-    change_id: str = ""  # the id of the change that spliced it in; empty for a segment of the session's title
-    is_discontinuity: bool = False  # it comes from another source than the segment before
-    interstitial_ids: tuple[
-        str, ...
-    ] = ()  # ids of the changes whose clips are played as interstitials before it
+    period: PeriodStart  # the start of the period that it belongs to
+    change_id: str = ""  # the change that spliced it in; empty for a segment of the session's title
+    is_discontinuity: bool = False  # its source differs from that of the segment before
+    # The ids of the changes whose clips are played as interstitials before it.
+    interstitial_ids: tuple[str, ...] = ()
 
     @property
     def end_s(self) -> Fraction:
-        """Where the next segment begins, in seconds."""
+        """The end, in seconds, at which the next segment begins."""
         return self.start_s + self.duration_s
