--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -26,7 +26,7 @@
 
 from tests.generated import GeneratedHttp, GeneratedSocket, Undescribed
 from tests.rig import FrontTestCase
-from tests.test_lessons import hashed
+from tests.test_content_insertion import hashed
 
 KEPT = Path(__file__).parent.parent / "docs" / "api"
 Document = dict[str, Any]
--- a/tests/test_lessons.py
+++ b/tests/test_content_insertion.py
@@ -258,7 +258,7 @@
 
 class LedgerFileTest(unittest.TestCase):
     def test_a_line_cut_short_or_changed_is_passed_over_and_told(self) -> None:
-        from tests.test_stitch import change
+        from tests.test_playback import change
 
         told: list[str] = []
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_websocket_sessions.py
+++ b/tests/test_websocket_sessions.py
@@ -34,7 +34,7 @@
 from websockets.sync.client import connect
 
 from tests.rig import FrontTestCase, wait_for
-from tests.test_lessons import hashed
+from tests.test_content_insertion import hashed
 
 
 class WebSocketTestCase(FrontTestCase):
