--- a/tests/test_playback.py
+++ b/tests/test_playback.py
@@ -1,5 +1,7 @@
-"""Stitched timelines: any mix of changes, withdrawals, rungs, fetches and polls, read by parsers that are not
-ours."""
+"""Player timelines and their manifests, under random changes, withdrawals, rung switches, fetches and polls.
+
+The manifests are read by third-party parsers.
+"""
 
 from __future__ import annotations
 
@@ -57,11 +59,13 @@
     )
 
 
-def scene(**changes: Any) -> ValidationContext:
+def validation_context(**changes: Any) -> ValidationContext:
     return replace(ValidationContext(MEDIA, 0, WALL), **changes)
 
 
-def view(ledger: ChangeLedger, title: str = "lesson", rung: int = 1, **changes: Any) -> SelectionContext:
+def selection_context(
+    ledger: ChangeLedger, title: str = "lesson", rung: int = 1, **changes: Any
+) -> SelectionContext:
     base = SelectionContext(
         MEDIA,
         title,
@@ -77,34 +81,36 @@
     return replace(base, **changes)
 
 
-def whole(ledger: ChangeLedger, track: PlaylistTrack | None = None, **changes: Any) -> list[ListedSegment]:
-    """Everything a player is shown that fetches as it goes."""
+def play_to_end(
+    ledger: ChangeLedger, track: PlaylistTrack | None = None, **changes: Any
+) -> list[ListedSegment]:
+    """All segments listed for a player that fetches each segment as soon as it is listed."""
     track = track or playlist_cursor.new_track(LESSON, WALL)
     found: list[ListedSegment] = []
     for _ in range(400):
-        track.extend(view(ledger, **changes), ledger.version)
+        track.extend(selection_context(ledger, **changes), ledger.version)
         found += [item for item in track.segments if item.sequence_number == len(found)][:1]
         if track.is_ended and len(found) == track.cursor.next_sequence_number:
             return found
         track.on_segment_requested(len(found) - 1)
-    raise AssertionError("never ended")
+    raise AssertionError("the track did not end within 400 segments")
 
 
-class SeamsTest(unittest.TestCase):
+class ChangeLedgerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.ledger = ChangeLedger()
 
-    def refused(self, made: Change, **changes: Any) -> RejectionReason | None:
-        verdict = self.ledger.submit(made, scene(**changes))
-        if verdict.status is ChangeStatus.REJECTED:
-            assert verdict.remedy
-            if verdict.reason is not RejectionReason.ID_TAKEN:
-                assert made.id not in [item.id for item in self.ledger.active_changes("lesson")]
-        return verdict.reason
+    def rejection_reason(self, submitted: Change, **changes: Any) -> RejectionReason | None:
+        result = self.ledger.submit(submitted, validation_context(**changes))
+        if result.status is ChangeStatus.REJECTED:
+            assert result.remedy
+            if result.reason is not RejectionReason.ID_TAKEN:
+                assert submitted.id not in [item.id for item in self.ledger.active_changes("lesson")]
+        return result.reason
 
-    def test_each_refusal_has_its_reason_and_leaves_nothing(self) -> None:
+    def test_each_rejection_has_its_reason_and_leaves_the_ledger_unchanged(self) -> None:
         live = ChangeTarget("live")
-        for made, refusal in (
+        for submitted, expected_reason in (
             (change("a", target=ChangeTarget("nowhere")), RejectionReason.UNKNOWN_TITLE),
             (change("a", clip="nothing"), RejectionReason.UNKNOWN_CLIP),
             (change("a", clip="live"), RejectionReason.UNKNOWN_CLIP),
@@ -121,48 +127,52 @@
             (change("a", clip="odd"), RejectionReason.INCOMPATIBLE_RENDITIONS),
             (change("a", clip="high"), RejectionReason.INCOMPATIBLE_RENDITIONS),
         ):
-            assert self.refused(made) is refusal, made
+            assert self.rejection_reason(submitted) is expected_reason, submitted
         assert self.ledger.version == 0
-        assert self.refused(change("a"), next_title_segment=6) is RejectionReason.ALREADY_LISTED
-        assert self.refused(change("a"), is_session_known=False) is RejectionReason.UNKNOWN_SESSION
+        assert self.rejection_reason(change("a"), next_title_segment=6) is RejectionReason.ALREADY_LISTED
+        assert self.rejection_reason(change("a"), is_session_known=False) is RejectionReason.UNKNOWN_SESSION
 
-    def test_a_live_change_keeps_one_whole_segment_clear_of_the_edge(self) -> None:
-        # Fifty segments are ready at 100 s; the one now being written must not be touched either.
+    def test_a_live_change_must_start_a_complete_segment_after_the_live_edge(self) -> None:
+        # Fifty segments are available at 100 s; the one that is being written must not be changed either.
         target = ChangeTarget("live")
-        assert self.refused(change("a", at=102 - Fraction(1, 10**9), target=target)) is None
-        assert self.refused(change("b", at=100, target=target)) is RejectionReason.BEFORE_LIVE_EDGE
-
-    def test_a_repeat_stands_and_an_id_is_never_given_twice(self) -> None:
-        assert self.refused(change("a")) is None
-        again = self.ledger.submit(change("a"), scene())
-        assert (again.status, again.version, self.ledger.version) == (ChangeStatus.UNCHANGED, 1, 1)
-        assert self.refused(change("a", at=30)) is RejectionReason.ID_TAKEN
+        assert self.rejection_reason(change("a", at=102 - Fraction(1, 10**9), target=target)) is None
+        assert self.rejection_reason(change("b", at=100, target=target)) is RejectionReason.BEFORE_LIVE_EDGE
+
+    def test_a_repeated_submission_has_no_effect_and_an_id_is_never_reused(self) -> None:
+        assert self.rejection_reason(change("a")) is None
+        resubmitted = self.ledger.submit(change("a"), validation_context())
+        assert (resubmitted.status, resubmitted.version, self.ledger.version) == (
+            ChangeStatus.UNCHANGED,
+            1,
+            1,
+        )
+        assert self.rejection_reason(change("a", at=30)) is RejectionReason.ID_TAKEN
         self.ledger.withdraw("a")
-        assert self.refused(change("a")) is RejectionReason.ID_TAKEN
+        assert self.rejection_reason(change("a")) is RejectionReason.ID_TAKEN
         assert self.ledger.withdraw("a").status is ChangeStatus.WITHDRAWN
         assert self.ledger.version == 2
         assert self.ledger.withdraw("zz").status is ChangeStatus.UNKNOWN
 
-    def test_two_authors_whose_changes_meet(self) -> None:
-        assert self.refused(change("a", at=20, until=30, kind=ChangeKind.REPLACE)) is None
-        for other, refusal in (
+    def test_overlapping_changes_are_rejected(self) -> None:
+        assert self.rejection_reason(change("a", at=20, until=30, kind=ChangeKind.REPLACE)) is None
+        for other, expected_reason in (
             (change("b", at=20), RejectionReason.OVERLAPS),
             (change("b", at=25), RejectionReason.OVERLAPS),
             (change("b", at=28, until=40, kind=ChangeKind.CUT), RejectionReason.OVERLAPS),
             (change("b", at=25, target=ChangeTarget("lesson", "room")), RejectionReason.OVERLAPS),
             (change("b", at=25, target=ChangeTarget("lesson", None, "s9")), RejectionReason.OVERLAPS),
         ):
-            assert self.refused(other) is refusal, other
-        assert self.refused(change("c", at="30.03")) is None
-        assert self.refused(change("d", at=50, target=ChangeTarget("lesson", "one"))) is None
-        assert self.refused(change("e", at=50, target=ChangeTarget("lesson", "two"))) is None
+            assert self.rejection_reason(other) is expected_reason, other
+        assert self.rejection_reason(change("c", at="30.03")) is None
+        assert self.rejection_reason(change("d", at=50, target=ChangeTarget("lesson", "one"))) is None
+        assert self.rejection_reason(change("e", at=50, target=ChangeTarget("lesson", "two"))) is None
 
-    def test_bounded(self) -> None:
+    def test_the_number_of_changes_is_bounded(self) -> None:
         for i in range(splices.MAX_CHANGES_PER_TITLE):
             self.ledger.add(change(f"x{i}", at=None, wall_us=WALL + i))
-        assert self.refused(change("a")) is RejectionReason.TOO_MANY
+        assert self.rejection_reason(change("a")) is RejectionReason.TOO_MANY
 
-    def test_times_as_authors_write_them(self) -> None:
+    def test_media_times_are_parsed(self) -> None:
         for text, value in (
             ("12.5", Fraction(25, 2)),
             ("37/3", Fraction(37, 3)),
@@ -174,7 +184,7 @@
                 splices.parse_media_time(text)
 
 
-class TracksTest(unittest.TestCase):
+class PlaylistTrackTest(unittest.TestCase):
     def setUp(self) -> None:
         self.ledger = ChangeLedger()
 
@@ -182,11 +192,11 @@
         self.ledger.add(change("a", at=4, clip="note"))
         self.ledger.add(change("b", at=20, until=30, kind=ChangeKind.REPLACE))
         self.ledger.add(change("c", at=40, until=60, kind=ChangeKind.CUT, clip=None))
-        shown = whole(self.ledger)
-        lesson = [item.segment_number for item in shown if not item.change_id]
+        listed = play_to_end(self.ledger)
+        lesson = [item.segment_number for item in listed if not item.change_id]
         assert lesson == [*range(10), *range(15, 20), *range(30, 40)]
-        assert [item.change_id for item in shown[:4]] == ["", "", "a", ""]
-        assert [item.media for item in shown if item.is_discontinuity] == [
+        assert [item.change_id for item in listed[:4]] == ["", "", "a", ""]
+        assert [item.media for item in listed if item.is_discontinuity] == [
             "note",
             "lesson",
             "rest",
@@ -194,51 +204,53 @@
             "lesson",
         ]
 
-    def test_a_change_taken_back_while_half_the_players_watch_its_clip(self) -> None:
+    def test_a_clip_withdrawn_while_playing_is_played_to_its_end_but_not_started(self) -> None:
         self.ledger.add(change("a", at=4))
         ahead, behind = playlist_cursor.new_track(LESSON, WALL), playlist_cursor.new_track(LESSON, WALL)
-        ahead.extend(view(self.ledger), 1)
+        ahead.extend(selection_context(self.ledger), 1)
         assert [item.change_id for item in ahead.segments] == ["", "", "a"]
         self.ledger.withdraw("a")
-        assert [item.change_id for item in whole(self.ledger, ahead)][:6] == ["", "", "a", "a", "a", ""]
-        assert all(not item.change_id for item in whole(self.ledger, behind))
+        assert [item.change_id for item in play_to_end(self.ledger, ahead)][:6] == ["", "", "a", "a", "a", ""]
+        assert all(not item.change_id for item in play_to_end(self.ledger, behind))
 
-    def test_a_rendition_that_the_clip_lacks_falls_to_the_next_lower(self) -> None:
+    def test_a_clip_without_the_rung_is_listed_at_the_next_lower_rung(self) -> None:
         self.ledger.add(change("a", at=4))
-        assert {item.rung for item in whole(self.ledger, rung=1) if item.change_id} == {0}
-        assert {item.rung for item in whole(self.ledger, rung=2) if item.change_id} == {2}
+        assert {item.rung for item in play_to_end(self.ledger, rung=1) if item.change_id} == {0}
+        assert {item.rung for item in play_to_end(self.ledger, rung=2) if item.change_id} == {2}
         assert playlist_cursor.fitting_rung(HIGH, 1, 1) == 1
 
-    def test_a_clip_that_nothing_can_serve_leaves_the_lesson_unstitched(self) -> None:
+    def test_a_clip_that_no_server_can_serve_is_not_spliced_in(self) -> None:
         self.ledger.add(change("a", at=4))
-        shown = whole(self.ledger, is_clip_available=lambda name: False)
-        assert [item.segment_number for item in shown] == list(range(40))
-        assert not any(item.is_discontinuity for item in shown)
+        listed = play_to_end(self.ledger, is_clip_available=lambda name: False)
+        assert [item.segment_number for item in listed] == list(range(40))
+        assert not any(item.is_discontinuity for item in listed)
 
-    def test_a_moment_meets_each_player_where_it_is_and_once(self) -> None:
+    def test_a_change_at_a_wall_time_applies_once_at_each_players_position(self) -> None:
         self.ledger.add(change("a", at=None, clip="note", wall_us=WALL + 10_000_000))
-        shown = whole(self.ledger)
-        assert [item.sequence_number for item in shown if item.change_id] == [5]
+        listed = play_to_end(self.ledger)
+        assert [item.sequence_number for item in listed if item.change_id] == [5]
         late = playlist_cursor.new_track(LESSON, WALL + 11_000_000)
-        assert not any(item.change_id for item in whole(self.ledger, late, began_wall_us=late.began_wall_us))
+        assert not any(
+            item.change_id for item in play_to_end(self.ledger, late, began_wall_us=late.began_wall_us)
+        )
 
-    def test_a_live_player_begins_near_the_edge_and_waits_there(self) -> None:
+    def test_a_live_player_begins_near_the_live_edge_and_waits_there(self) -> None:
         track = playlist_cursor.new_track(LIVE, WALL)
-        track.extend(view(self.ledger, "live"), 0)
+        track.extend(selection_context(self.ledger, "live"), 0)
         assert [item.segment_number for item in track.segments] == [47, 48, 49]
         for seq in range(3):
             track.on_segment_requested(seq)
-        assert track.extend(view(self.ledger, "live"), 0) == 0
+        assert track.extend(selection_context(self.ledger, "live"), 0) == 0
         assert not track.is_ended
-        assert track.extend(view(self.ledger, "live", wall_us=WALL + 2000000), 0) == 1
+        assert track.extend(selection_context(self.ledger, "live", wall_us=WALL + 2000000), 0) == 1
 
-    def test_the_narrowest_target_wins_where_two_meet_by_moment_and_time(self) -> None:
+    def test_of_two_changes_at_one_segment_the_narrowest_target_applies_first(self) -> None:
         self.ledger.add(change("wide", at=4))
         self.ledger.add(change("own", at=4, clip="note", target=ChangeTarget("lesson", None, "s1")))
-        assert [item.change_id for item in whole(self.ledger)][2:6] == ["own", "wide", "wide", "wide"]
+        assert [item.change_id for item in play_to_end(self.ledger)][2:6] == ["own", "wide", "wide", "wide"]
 
 
-steps = st.lists(
+step_lists = st.lists(
     st.one_of(
         st.tuples(st.just("insert"), st.integers(0, 85), st.sampled_from(["rest", "note"])),
         st.tuples(st.just("replace"), st.integers(0, 85), st.integers(1, 20)),
@@ -253,71 +265,80 @@
 
 
 class ManifestsTest(unittest.TestCase):
-    @given(steps)
+    @given(step_lists)
     @settings(max_examples=120, deadline=None)
-    def test_whatever_happens_each_manifest_goes_on_from_the_last(
+    def test_each_manifest_is_consistent_with_the_one_before(
         self, script: list[tuple[str, Any, Any]]
     ) -> None:
         ledger, track, rung = ChangeLedger(), playlist_cursor.new_track(LESSON, WALL), 1
-        seen: dict[int, tuple[str, str]] = {}
-        before = (0, 0)
-        for i, (what, one, two) in enumerate([*script, *[("fetch", 3, 0)] * 60]):
-            rung = self.happens(ledger, track, i, what, one, two, rung)
-            track.extend(view(ledger, rung=rung), ledger.version)
-            before = self.check(track, seen, before)
+        listed_before: dict[int, tuple[str, str]] = {}
+        sequence_numbers_before = (0, 0)
+        for i, (step, argument, clip_or_length) in enumerate([*script, *[("fetch", 3, 0)] * 60]):
+            rung = self.apply_step(ledger, track, i, step, argument, clip_or_length, rung)
+            track.extend(selection_context(ledger, rung=rung), ledger.version)
+            sequence_numbers_before = self.check_manifests(track, listed_before, sequence_numbers_before)
         assert track.is_ended
         for seq in range(max(0, track.last_fetched - 20), track.last_fetched + 1):
-            assert track.on_segment_requested(seq) is not None, "a segment fetched is denied later"
+            assert track.on_segment_requested(seq) is not None, "a fetched segment is denied later"
 
-    def happens(
+    def apply_step(
         self,
         ledger: ChangeLedger,
         track: PlaylistTrack,
         number: int,
-        what: str,
-        one: Any,
-        two: Any,
+        step: str,
+        argument: Any,
+        clip_or_length: Any,
         rung: int,
     ) -> int:
-        """One step of a script; the rung from then on."""
-        if what == "insert":
-            ledger.submit(change(f"c{number}", at=one, clip=two), scene())
-        elif what in ("replace", "cut"):
-            ledger.submit(change(f"c{number}", one, kind=ChangeKind(what), until=one + two), scene())
-        elif what == "withdraw":
-            ledger.withdraw(f"c{one}")
-        elif what == "fetch":
+        """Apply one step of a script; returns the rung from then on."""
+        if step == "insert":
+            ledger.submit(change(f"c{number}", at=argument, clip=clip_or_length), validation_context())
+        elif step in ("replace", "cut"):
+            ledger.submit(
+                change(f"c{number}", argument, kind=ChangeKind(step), until=argument + clip_or_length),
+                validation_context(),
+            )
+        elif step == "withdraw":
+            ledger.withdraw(f"c{argument}")
+        elif step == "fetch":
             for seq in range(
-                track.last_fetched + 1, min(track.cursor.next_sequence_number, track.last_fetched + 1 + one)
+                track.last_fetched + 1,
+                min(track.cursor.next_sequence_number, track.last_fetched + 1 + argument),
             ):
                 assert track.on_segment_requested(seq) is not None
-        return one if what == "rung" else rung
+        return argument if step == "rung" else rung
 
-    def check(
-        self, track: PlaylistTrack, seen: dict[int, tuple[str, str]], before: tuple[int, int]
+    def check_manifests(
+        self,
+        track: PlaylistTrack,
+        listed_before: dict[int, tuple[str, str]],
+        sequence_numbers_before: tuple[int, int],
     ) -> tuple[int, int]:
-        shown, joints = track.window()
-        listing = hls.MediaListing(shown, joints, track.is_ended, False, WALL, MEDIA)
+        listed, discontinuity_sequence = track.window()
+        listing = hls.MediaListing(listed, discontinuity_sequence, track.is_ended, False, WALL, MEDIA)
         text = hls.media_playlist(listing, TARGET)
         parsed = m3u8.loads(text)
         assert parsed.target_duration == TARGET
         assert parsed.is_endlist == track.is_ended
         first, discontinuity = parsed.media_sequence, parsed.discontinuity_sequence or 0
-        assert first >= before[0]
-        assert discontinuity >= before[1]
+        assert first >= sequence_numbers_before[0]
+        assert discontinuity >= sequence_numbers_before[1]
         for i, segment in enumerate(parsed.segments):
             assert segment.duration <= TARGET
-            now = (segment.uri, str(segment.init_section.uri))
-            assert seen.setdefault(first + i, now) == now, "a listed segment changed"
-        for one, two in pairwise(shown):
-            assert one.end_s == two.start_s
-        self.sums(text, shown)
-        self.periods(dash.media_presentation(listing, TARGET, {0: 800, 1: 1600, 2: 3200}, 4), shown)
+            uri_and_init = (segment.uri, str(segment.init_section.uri))
+            assert (
+                listed_before.setdefault(first + i, uri_and_init) == uri_and_init
+            ), "a listed segment changed"
+        for segment_before, segment_after in pairwise(listed):
+            assert segment_before.end_s == segment_after.start_s
+        self.check_durations(text, listed)
+        self.check_periods(dash.media_presentation(listing, TARGET, {0: 800, 1: 1600, 2: 3200}, 4), listed)
         return first, discontinuity
 
-    @given(steps)
+    @given(step_lists)
     @settings(max_examples=120, deadline=None)
-    def test_clips_told_apart_leave_the_lesson_whole_and_come_once(
+    def test_interstitials_leave_the_title_complete_and_are_listed_once(
         self, script: list[tuple[str, Any, Any]]
     ) -> None:
         ledger, track, rung = (
@@ -326,29 +347,34 @@
             1,
         )
         numbers: dict[int, int] = {}
-        told: dict[str, tuple[str, ...]] = {}
-        begun: dict[str, int] = {}
-        for i, (what, one, two) in enumerate([*script, *[("fetch", 3, 0)] * 60]):
-            rung = self.happens(ledger, track, i, what, one, two, rung)
-            track.extend(view(ledger, rung=rung, uses_interstitials=True), ledger.version)
+        first_positions: dict[str, tuple[str, ...]] = {}
+        first_rungs: dict[str, int] = {}
+        for i, (step, argument, clip_or_length) in enumerate([*script, *[("fetch", 3, 0)] * 60]):
+            rung = self.apply_step(ledger, track, i, step, argument, clip_or_length, rung)
+            track.extend(selection_context(ledger, rung=rung, uses_interstitials=True), ledger.version)
             track = resume_tokens.decode(resume_tokens.encode(track)) or self.fail(
-                "a mark that can't be read"
+                "a resume token that can't be decoded"
             )
             track.replay = None
             for item in track.segments:
                 numbers[item.sequence_number] = item.segment_number
                 assert (item.media, item.change_id) == ("lesson", "")
                 for id in item.interstitial_ids:
-                    at = told.setdefault(id, (str(item.start_s), str(item.segment_number)))
-                    assert at == (str(item.start_s), str(item.segment_number)), "told at two places"
+                    at = first_positions.setdefault(id, (str(item.start_s), str(item.segment_number)))
+                    assert at == (
+                        str(item.start_s),
+                        str(item.segment_number),
+                    ), "an interstitial is listed at two positions"
                     clip = MEDIA[ledger.entries[id].change.clip or ""]
-                    gone = ledger.entries[id].withdrawn_version is not None
-                    had = track.interstitial_rung(id, clip, rung, 0, gone)
-                    assert (had is None) == (gone and id not in begun), "a clip begun is denied later"
-                    if had is not None:
-                        assert begun.setdefault(id, had) == had
+                    is_withdrawn = ledger.entries[id].withdrawn_version is not None
+                    rung_served = track.interstitial_rung(id, clip, rung, 0, is_withdrawn)
+                    assert (rung_served is None) == (
+                        is_withdrawn and id not in first_rungs
+                    ), "a clip that was started is denied later"
+                    if rung_served is not None:
+                        assert first_rungs.setdefault(id, rung_served) == rung_served
         assert track.is_ended
-        shown = [numbers[seq] for seq in sorted(numbers)]
+        listed = [numbers[seq] for seq in sorted(numbers)]
         left_out = {
             number
             for entry in ledger.entries.values()
@@ -357,85 +383,89 @@
                 entry.change.first_segment(LESSON) or 0, entry.change.resume_segment(LESSON) or 0
             )
         }
-        assert shown == sorted(set(shown))
-        assert set(range(40)) - set(shown) <= left_out
-        assert track.interstitial_rung("never-told", REST, 1, 0, False) is None
+        assert listed == sorted(set(listed))
+        assert set(range(40)) - set(listed) <= left_out
+        assert track.interstitial_rung("never-listed", REST, 1, 0, False) is None
 
-    def test_an_interstitial_is_read_by_a_parser_that_is_not_ours(self) -> None:
+    def test_an_interstitial_is_read_by_a_third_party_parser(self) -> None:
         ledger = ChangeLedger()
         ledger.add(change("a", at=4))
         ledger.add(change("b", at=4 * 2.002, kind=ChangeKind.REPLACE, until=8 * 2.002, clip="note"))
         track = playlist_cursor.new_track(LESSON, WALL, uses_interstitials=True)
-        track.extend(view(ledger, uses_interstitials=True), 1)
+        track.extend(selection_context(ledger, uses_interstitials=True), 1)
         track.on_segment_requested(2)
-        track.extend(view(ledger, uses_interstitials=True), 1)
-        shown, joints = track.window()
-        breaks = {"a": hls.Interstitial("a", REST), "b": hls.Interstitial("b", NOTE)}
-        listing = hls.MediaListing(shown, joints, False, False, WALL, MEDIA, breaks)
+        track.extend(selection_context(ledger, uses_interstitials=True), 1)
+        listed, discontinuity_sequence = track.window()
+        interstitials = {"a": hls.Interstitial("a", REST), "b": hls.Interstitial("b", NOTE)}
+        listing = hls.MediaListing(listed, discontinuity_sequence, False, False, WALL, MEDIA, interstitials)
         parsed = m3u8.loads(hls.media_playlist(listing, TARGET))
         found = {
-            told.id: (i, told) for i, item in enumerate(parsed.segments) for told in item.dateranges or ()
+            date_range.id: (i, date_range)
+            for i, item in enumerate(parsed.segments)
+            for date_range in item.dateranges or ()
         }
         assert {id: at for id, (at, _) in found.items()} == {"a": 2, "b": 4}
-        told = found["a"][1]
-        assert told.class_ == "com.apple.hls.interstitial"
-        assert dict(told.x_client_attrs)["x_asset_uri"] == '"asset/a.m3u8"'
-        self.assertAlmostEqual(float(told.duration), 3 * 120_007 / 90_000, places=5)
-        assert parsed.segments[4].discontinuity, "what a clip replaces is left out"
+        date_range = found["a"][1]
+        assert date_range.class_ == "com.apple.hls.interstitial"
+        assert dict(date_range.x_client_attrs)["x_asset_uri"] == '"asset/a.m3u8"'
+        self.assertAlmostEqual(float(date_range.duration), 3 * 120_007 / 90_000, places=5)
+        assert parsed.segments[4].discontinuity, "the replaced range is not listed"
         asset = m3u8.loads(hls.interstitial_playlist("a", REST, 2))
         assert [item.uri for item in asset.segments] == ["a/0.m4s", "a/1.m4s", "a/2.m4s"]
         assert asset.is_endlist
         assert max(item.duration for item in asset.segments) <= asset.target_duration
 
-    def sums(self, text: str, shown: list[ListedSegment]) -> None:
-        """The decimals add up to the rounded ends, however many there are."""
+    def check_durations(self, text: str, listed: list[ListedSegment]) -> None:
+        """Check that the decimal durations add up to the difference of the rounded times."""
         total = sum(Fraction(line[8:-1]) for line in text.splitlines() if line.startswith("#EXTINF:"))
-        if shown:
-            assert total * 1000000 == to_microseconds(shown[-1].end_s) - to_microseconds(shown[0].start_s)
+        if listed:
+            assert total * 1000000 == to_microseconds(listed[-1].end_s) - to_microseconds(listed[0].start_s)
 
-    def periods(self, text: str, shown: list[ListedSegment]) -> None:
+    def check_periods(self, text: str, listed: list[ListedSegment]) -> None:
         mpd = MPEGDASHParser.parse(text)
         numbers: list[int] = []
-        ends: str | None = None
+        period_end: str | None = None
         for period in mpd.periods:
             template = period.adaptation_sets[0].segment_templates[0]
             timeline = template.segment_timelines[0].Ss[0]
             numbers += range(template.start_number, template.start_number + timeline.r + 1)
-            if ends is not None:
-                assert ends == period.start, "a period does not begin where the one before ends"
+            if period_end is not None:
+                assert period_end == period.start, "a period does not begin where the one before it ends"
             if period.duration:
-                start, length = Fraction(period.start[2:-1]), Fraction(period.duration[2:-1])
-                ends = f"PT{float(start + length):.6f}S"
-        assert numbers == [item.sequence_number for item in shown]
+                start, duration = Fraction(period.start[2:-1]), Fraction(period.duration[2:-1])
+                period_end = f"PT{float(start + duration):.6f}S"
+        assert numbers == [item.sequence_number for item in listed]
 
-    def test_periods_keep_their_names_as_the_window_slides(self) -> None:
+    def test_periods_keep_their_ids_as_the_window_moves(self) -> None:
         ledger = ChangeLedger()
         ledger.add(change("a", at=10))
         track = playlist_cursor.new_track(LESSON, WALL)
-        names: dict[str, str] = {}
+        period_starts: dict[str, str] = {}
         for _ in range(30):
-            track.extend(view(ledger), 1)
-            shown, joints = track.window()
-            listing = hls.MediaListing(shown, joints, track.is_ended, False, WALL, MEDIA)
+            track.extend(selection_context(ledger), 1)
+            listed, discontinuity_sequence = track.window()
+            listing = hls.MediaListing(listed, discontinuity_sequence, track.is_ended, False, WALL, MEDIA)
             for period in MPEGDASHParser.parse(
                 dash.media_presentation(listing, TARGET, {0: 1, 1: 1}, 4)
             ).periods:
-                assert names.setdefault(period.id, period.start) == period.start
+                assert period_starts.setdefault(period.id, period.start) == period.start
             track.on_segment_requested(track.cursor.next_sequence_number - 1)
-        assert list(names) == ["p0", "p5", "p8"]
+        assert list(period_starts) == ["p0", "p5", "p8"]
 
-    def test_clips_are_told_and_interstitials_have_their_own_form(self) -> None:
+    def test_spliced_clips_have_date_ranges_of_their_own_class(self) -> None:
         ledger = ChangeLedger()
         ledger.add(change("a", at=4))
         track = playlist_cursor.new_track(LESSON, WALL)
-        track.extend(view(ledger), 1)
-        shown, joints = track.window()
+        track.extend(selection_context(ledger), 1)
+        listed, discontinuity_sequence = track.window()
         parsed = m3u8.loads(
-            hls.media_playlist(hls.MediaListing(shown, joints, False, False, WALL, MEDIA), TARGET)
+            hls.media_playlist(
+                hls.MediaListing(listed, discontinuity_sequence, False, False, WALL, MEDIA), TARGET
+            )
         )
-        marked = [item for segment in parsed.segments for item in segment.dateranges]
-        assert [(item.id, item.class_) for item in marked] == [("a", hls.SPLICE_CLASS)]
-        self.assertAlmostEqual(float(marked[0].duration), 3 * 120_007 / 90_000, places=5)
+        date_ranges = [item for segment in parsed.segments for item in segment.dateranges]
+        assert [(item.id, item.class_) for item in date_ranges] == [("a", hls.SPLICE_CLASS)]
+        self.assertAlmostEqual(float(date_ranges[0].duration), 3 * 120_007 / 90_000, places=5)
         variants = m3u8.loads(hls.multivariant_playlist(2_000_000, 1_600_000, "avc1.64001f,mp4a.40.2"))
         assert variants.playlists[0].stream_info.bandwidth == 2000000
 
