--- a/benchmarks/manifests.py
+++ b/benchmarks/manifests.py
@@ -1,4 +1,4 @@
-"""Manifests a second and their bytes at 1, 20 and 200 insertions, one thread, no sockets.
+"""Measures manifests per second and their sizes at 1, 20 and 200 insertions, in one thread without sockets.
 
 python benchmarks/manifests.py
 """
@@ -22,37 +22,39 @@
 
 
 def main() -> None:
-    print(f"Python {sys.version.split()[0]}; a lesson of 450 segments of 2.002 s, clips of 3")
+    """Run a player through the title for each number of insertions, and print the mean costs."""
+    print(f"Python {sys.version.split()[0]}; a title of 450 segments of 2.002 s, clips of 3")
     for count in (1, 20, 200):
         ledger = ChangeLedger()
         for i in range(count):
             at = Fraction(450 * (2 * i + 1), 2 * count) * LESSON.segment_duration_s
             ledger.add(Change(f"c{i}", "a", ChangeTarget("lesson"), ChangeKind.INSERT, "rest", at))
-        track, rounds, size, mpd_size, mark_size = playlist_cursor.new_track(LESSON, 0), 0, 0, 0, 0
-        spent = {"extend": 0.0, "hls": 0.0, "dash": 0.0}
+        track, rounds, hls_bytes, mpd_bytes, token_bytes = playlist_cursor.new_track(LESSON, 0), 0, 0, 0, 0
+        elapsed_s = {"extend": 0.0, "hls": 0.0, "dash": 0.0}
         while not track.is_ended:
-            began = time.perf_counter()
+            started_s = time.perf_counter()
             changes = tuple(ledger.active_changes("lesson"))
-            view = SelectionContext(MEDIA, "lesson", "room", "s", changes, 1, 0, 0, 0, lambda name: True)
-            track.extend(view, ledger.version)
-            shown, joints = track.window()
-            listing = hls.MediaListing(shown, joints, track.is_ended, False, 0, MEDIA)
-            extended = time.perf_counter()
-            size += len(hls.media_playlist(listing, 3))
-            written = time.perf_counter()
-            mpd_size += len(dash.media_presentation(listing, 3, KBIT, 4))
-            spent["dash"] += time.perf_counter() - written
-            spent["hls"] += written - extended
-            spent["extend"] += extended - began
-            mark_size = max(mark_size, len(resume_tokens.encode(track)))
+            context = SelectionContext(MEDIA, "lesson", "room", "s", changes, 1, 0, 0, 0, lambda name: True)
+            track.extend(context, ledger.version)
+            listed, discontinuity_sequence = track.window()
+            listing = hls.MediaListing(listed, discontinuity_sequence, track.is_ended, False, 0, MEDIA)
+            extended_s = time.perf_counter()
+            hls_bytes += len(hls.media_playlist(listing, 3))
+            written_s = time.perf_counter()
+            mpd_bytes += len(dash.media_presentation(listing, 3, KBIT, 4))
+            elapsed_s["dash"] += time.perf_counter() - written_s
+            elapsed_s["hls"] += written_s - extended_s
+            elapsed_s["extend"] += extended_s - started_s
+            token_bytes = max(token_bytes, len(resume_tokens.encode(track)))
             track.on_segment_requested(track.last_fetched + 1)
             rounds += 1
-        each = {name: seconds / rounds * 1e6 for name, seconds in spent.items()}
-        both = 1e6 / (each["extend"] + each["hls"])
+        mean_us = {name: seconds / rounds * 1e6 for name, seconds in elapsed_s.items()}
+        hls_rate = 1e6 / (mean_us["extend"] + mean_us["hls"])
         print(
-            f"{count:3} insertions: {both:6.0f} HLS manifests/s (track {each['extend']:.0f} us, HLS "
-            f"{each['hls']:.0f} us, DASH {each['dash']:.0f} us); bytes HLS {size / rounds:.0f}, "
-            f"DASH {mpd_size / rounds:.0f}, mark at most {mark_size}"
+            f"{count:3} insertions: {hls_rate:6.0f} HLS manifests/s (track {mean_us['extend']:.0f} us, "
+            f"HLS {mean_us['hls']:.0f} us, DASH {mean_us['dash']:.0f} us); "
+            f"bytes HLS {hls_bytes / rounds:.0f}, DASH {mpd_bytes / rounds:.0f}, "
+            f"resume token at most {token_bytes}"
         )
 
 
