--- a/packages/playback/src/fennelcove/decisions/playback/playlist_cursor.py
+++ b/packages/playback/src/fennelcove/decisions/playback/playlist_cursor.py
@@ -73,9 +73,8 @@
     floor_rung: int
     wall_us: int
     began_wall_us: int
-    is_clip_available: Callable[
-        [str], bool
-    ]  # whether a server can serve this clip, or the slate in its place
+    # Whether a server can serve this clip, or the slate in its place.
+    is_clip_available: Callable[[str], bool]
     uses_interstitials: bool = False  # clips are listed as interstitials rather than spliced in
 
 
@@ -118,7 +117,7 @@
     cursor: PlaylistCursor, title_media: Media, context: SelectionContext
 ) -> tuple[PlaylistCursor, ListedSegment]:
     segment = _next_segment(cursor, title_media, cursor.next_title_segment, "", context)
-    # A change at a wall time stays due at later segments, so its id is retained, so that none applies twice.
+    # A change at a wall time stays due at later segments: its id is retained, so that it never applies twice.
     applied_by_wall_time = frozenset(
         change.id
         for change in context.changes
@@ -175,7 +174,7 @@
         return replace(applied, next_title_segment=title_segment)
     clip = context.media.get(change.clip or "")
     if clip is None or clip.segment_count is None or not context.is_clip_available(clip.name):
-        return applied  # no server can serve the clip: the title continues without a gap
+        return applied  # no server can serve the clip: to skip the change is better than a gap
     if context.uses_interstitials:
         # The range that a clip replaces is not listed. If the player had to skip it, it would not fetch those
         # segments, and the manifest is only extended as the player fetches.
--- a/packages/playback/src/fennelcove/timeline/model.py
+++ b/packages/playback/src/fennelcove/timeline/model.py
@@ -140,7 +140,7 @@
     duration_s: Fraction  # in seconds
     period: PeriodStart  # the start of the period that it belongs to
     change_id: str = ""  # the change that spliced it in; empty for a segment of the session's title
-    is_discontinuity: bool = False  # its source differs from that of the segment before
+    is_discontinuity: bool = False  # it does not continue the media of the segment before
     # The ids of the changes whose clips are played as interstitials before it.
     interstitial_ids: tuple[str, ...] = ()
 
--- a/packages/store/src/fennelcove/store/directory.py
+++ b/packages/store/src/fennelcove/store/directory.py
@@ -76,7 +76,7 @@
 
 
 class Store:
-    """An open store; not thread-safe.
+    """An open store, for use by one thread at a time.
 
     `values` is the current content, also of batches that only the journal contains.
     """
--- a/tests/test_content_insertion.py
+++ b/tests/test_content_insertion.py
@@ -133,14 +133,14 @@
             for step in steps if change_first else reversed(steps):
                 step()
             self.wait_for_records("released", subscription=id, box=old_server.address)
-            clip_or_title = []
+            media_names = []
             for seq in range(20):
                 listed = self.manifest(id)
                 assert f"seg/{seq}.m4s" in [segment.uri for segment in listed.segments]
                 location = self.segment_location(id, seq)
                 assert not location.startswith(old_server.address), "redirected to a drained server"
-                clip_or_title.append(location.split("/")[2])
-            assert clip_or_title.count("rest") == 3 * (number + 1)
+                media_names.append(location.split("/")[2])
+            assert media_names.count("rest") == 3 * (number + 1)
             self.lists.publish(
                 ListedServer(old_server.address, "zone", "k", self.boxes.index(old_server), 1.0)
             )
@@ -155,7 +155,7 @@
         id = self.ask().body["id"]
         self.manifest(id)
         self.segment_location(id, 0)
-        before = self.manifest(id)
+        manifest_before = self.manifest(id)
         assert self.front.core.content.players[id].track.cursor.clip_progress is not None
         wait_for(
             lambda: any(self.has_newest_token(server, id) for server in self.boxes),
@@ -164,16 +164,18 @@
         wait_for(lambda: self.front.core.commands.queue.count == 0, "the last command to be sent")
         self.front.stop()
         self.front = self.start_front()
-        after = self.manifest(id)
-        assert after.media_sequence == before.media_sequence
-        listed_after = [(segment.uri, segment.duration, segment.discontinuity) for segment in after.segments]
-        for i, segment in enumerate(before.segments):
+        manifest_after = self.manifest(id)
+        assert manifest_after.media_sequence == manifest_before.media_sequence
+        listed_after = [
+            (segment.uri, segment.duration, segment.discontinuity) for segment in manifest_after.segments
+        ]
+        for i, segment in enumerate(manifest_before.segments):
             assert listed_after[i] == (segment.uri, segment.duration, segment.discontinuity)
-        clip_or_title = [self.segment_location(id, 3).split("/")[2]]
+        media_names = [self.segment_location(id, 3).split("/")[2]]
         for seq in range(4, 8):
             self.manifest(id)
-            clip_or_title.append(self.segment_location(id, seq).split("/")[2])
-        assert clip_or_title == ["rest", "rest", "t1", "t1", "t1"]
+            media_names.append(self.segment_location(id, seq).split("/")[2])
+        assert media_names == ["rest", "rest", "t1", "t1", "t1"]
         assert self.send_request("GET", "/v1/changes/c1").body["state"] == "made"
 
     def test_a_started_interstitial_is_served_after_withdrawal_and_restart(self) -> None:
@@ -191,14 +193,14 @@
         self.send_request("DELETE", "/v1/changes/c1")
         self.send_request("DELETE", "/v1/changes/c2")
         replicas = {self.boxes[1].address, self.boxes[2].address}
-        clip_or_title = []
+        media_names = []
         for segment in clip.segments:
             response = self.get(f"{path}/asset/{segment.uri}")
             assert response.status == 307, response.text
             address, _, rest = (response.head.get(b"location") or b"").decode()[7:].partition("/")
             assert address in replicas
-            clip_or_title.append(rest.split("/")[1])
-        assert clip_or_title == ["rest"] * 3
+            media_names.append(rest.split("/")[1])
+        assert media_names == ["rest"] * 3
         assert self.get(f"{path}/init/rest/{self.interstitial_rung(id)}.mp4").status == 307
         for seq in (0, 1, 2):
             self.segment_location(id, seq)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -87,9 +87,9 @@
             The last acknowledged sequence number, files that may be found afterwards, and the base's sequence
             number.
         """
-        total = EmulatedDisk(files)
-        WriterRun(total, [base]).run(steps)
-        for cut_at in range(total.calls + 1):
+        full_run_disk = EmulatedDisk(files)
+        WriterRun(full_run_disk, [base]).run(steps)
+        for cut_at in range(full_run_disk.calls + 1):
             disk, number = EmulatedDisk(files, cut_at), [base]
             writer_run = WriterRun(disk, number)
             with suppress(PowerCut):
@@ -141,20 +141,20 @@
 
 
 class RecordsTest(unittest.TestCase):
-    def raw(self, count: int) -> bytes:
+    def encode_batches(self, count: int) -> bytes:
         return b"".join(records.encode_frame(Batch(1, n, [(b"k%d" % n, b"v")])) for n in range(1, count + 1))
 
     @given(st.integers(0, 2000), st.integers(1, 255))
     @settings(max_examples=200, deadline=None)
     def test_a_corrupt_byte_is_located_and_nothing_after_it_is_used(self, at: int, flip: int) -> None:
-        raw = bytearray(self.raw(8))
+        raw = bytearray(self.encode_batches(8))
         at %= len(raw)
         raw[at] ^= flip
         *good, damage = records.decode_frames(bytes(raw), 0)
         assert isinstance(damage, Damage)
         assert damage.offset <= at
         assert [item.number for item in good if isinstance(item, Batch)] == list(range(1, len(good) + 1))
-        assert len(good) == sum(1 for n in range(1, 9) if len(self.raw(n)) <= at)
+        assert len(good) == sum(1 for n in range(1, 9) if len(self.encode_batches(n)) <= at)
 
     @given(st.binary(max_size=300))
     @settings(max_examples=200, deadline=None)
