--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -30,7 +30,7 @@
 
 from tests.generated_clients import GeneratedHttp, GeneratedSocket, UndescribedError
 from tests.rig import FrontTestCase
-from tests.test_lessons import hashed
+from tests.test_content_insertion import hashed
 
 PUBLISHED_FOLDER = Path(__file__).parent.parent / "docs" / "api"
 Document = dict[str, Any]
