--- a/benchmarks/seats.py
+++ b/benchmarks/seats.py
@@ -141,7 +141,7 @@
     seats = daemon.core.seat_leases.leases
     while daemon.core.endpoint_tracker.version is None:
         time.sleep(0.01)
-    clients = Clients(daemon.door.address, clock, steps)
+    clients = Clients(daemon.http_server.address, clock, steps)
     threads = [threading.Thread(target=clients.run, args=(i,)) for i in range(CLIENTS)]
     started_s = time.perf_counter()
     for thread in threads:
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -53,15 +53,17 @@
     )
     rig.start()
     daemon = FrontDaemon(front, log.silent, clock)
-    if has_slow_sync and daemon.keeper is not None:
-        daemon.keeper.store.journal.files = daemon.keeper.store.files = SlowSyncFiles(folder or "")
+    if has_slow_sync and daemon.store_writer is not None:
+        daemon.store_writer.store.journal.files = daemon.store_writer.store.files = SlowSyncFiles(
+            folder or ""
+        )
     daemon.start()
     while daemon.core.endpoint_tracker.version is None:
         time.sleep(0.01)
     times_ms: list[float] = []
 
     def client() -> None:
-        http_client, due_s = HttpClient(daemon.door.address, clock), time.perf_counter()
+        http_client, due_s = HttpClient(daemon.http_server.address, clock), time.perf_counter()
         end_s = due_s + seconds
         body = msgspec.json.encode({"room_type": "recorded", "title": "knee-1"})
         while due_s < end_s:
--- a/packages/cli/src/fennelcove/cli/client.py
+++ b/packages/cli/src/fennelcove/cli/client.py
@@ -38,7 +38,7 @@
         with connection.sock as sock:
             sock.settimeout(TIMEOUT_S)
             sock.sendall(writer.request(method, path, address, headers, body))
-            message = connection.answer()
+            message = connection.read_response()
     except TimeoutError:
         raise FrontCallError(f"got no response within {TIMEOUT_S:g} s", address) from None
     except (OSError, ValueError) as error:
--- a/packages/cli/src/fennelcove/cli/serve.py
+++ b/packages/cli/src/fennelcove/cli/serve.py
@@ -66,7 +66,7 @@
     stop_requested = _stop_event_on_signals(shutdown_shortened)
     try:
         front_process = FrontDaemon(
-            settings, log_event, SystemClock(round(wall_offset_s * 1e6)), end=stop_requested.set
+            settings, log_event, SystemClock(round(wall_offset_s * 1e6)), request_shutdown=stop_requested.set
         )
     except (KeyFileError, StoreError, TlsError) as error:
         print_error(error)
@@ -84,7 +84,7 @@
     while stop_thread.is_alive():
         stop_thread.join(0.1)
         if shutdown_shortened.is_set():
-            front_process.hurry()
+            front_process.cancel_pending_attempts()
     return 0
 
 
--- a/packages/daemon/src/fennelcove/daemon/audit_file.py
+++ b/packages/daemon/src/fennelcove/daemon/audit_file.py
@@ -29,7 +29,7 @@
         lines = self.path.read_bytes().splitlines()
         return lines[-1][:HASH_CHARS].decode("ascii", "replace") if lines else ""
 
-    def tell(self, **fields: object) -> None:
+    def append(self, **fields: object) -> None:
         """Append a record and sync it to the disk.
 
         Raises:
--- a/packages/daemon/src/fennelcove/daemon/front_daemon.py
+++ b/packages/daemon/src/fennelcove/daemon/front_daemon.py
@@ -78,7 +78,7 @@
         log_event: EventLogger,
         clock: Clock | None = None,
         session_ids: SessionIds | None = None,
-        end: Callable[[], None] = lambda: None,
+        request_shutdown: Callable[[], None] = lambda: None,
     ) -> None:
         self.settings = settings
         self.log_event = log_event
@@ -97,7 +97,7 @@
         self.command_senders = CommandSenders(self.clock, self.pool, dial_limits)
         self.migration_workers = MigrationWorkers(self.attempt_sender, settings.stitch.moves_at_once)
         self.server_event_streams = self._make_server_event_streams(dial_limits)
-        self.list_side = EndpointListClient(
+        self.endpoint_list_client = EndpointListClient(
             self.clock,
             settings.lists.address,
             settings.lists.must_ask,
@@ -105,7 +105,7 @@
             log_event,
             settings.source,
         )
-        ports = CorePorts(self.server_event_streams, self.list_side, self.migration_workers)
+        ports = CorePorts(self.server_event_streams, self.endpoint_list_client, self.migration_workers)
         self.core = Core(settings, self.clock, self.timers, log_event, ports, session_ids)
         self.server_event_streams.attach(self.core.server_registry)
         self.ledger = LedgerFile(settings.stitch.ledger, log_event)
@@ -115,7 +115,7 @@
         if settings.viewers.key_file is not None:
             keys = load(settings.viewers.key_file, self.clock.wall_us() // 1000)
             self.core.token_keys = [keyed_mac(key) for key in keys]
-        self.keeper: StoreWriter | None = None
+        self.store_writer: StoreWriter | None = None
         if settings.store is not None:
             store = Store(settings.store.folder, settings.store.most_mb, settings.name)
             for file, damage in store.recovered.damages:
@@ -129,7 +129,7 @@
             for key in store.corrupt_keys:
                 log_event("store_damaged", file="base.lmdb", key=repr(key), fault="altered")
             self.core.snapshots.restore(store.values)
-            self.keeper = StoreWriter(store, self.clock, log_event)
+            self.store_writer = StoreWriter(store, self.clock, log_event)
         self.recovery = self._make_recovery()
         self.background = Background(self.clock, log_event)
         self.core.status_reporter.add_section("background", self.background.status)
@@ -161,29 +161,29 @@
         self.server_filters: list[Callable[[str, str], bool]] = []
         core = self.core
         core.policy.may_use = lambda id, server: all(may_use(id, server) for may_use in self.server_filters)
-        self.rollouts = self._make_rollouts(end)
+        self.rollouts = self._make_rollouts(request_shutdown)
         self.watch_health_checker: HealthChecker | None = None
         self.health_coordinator = self._make_health_coordinator(dial_limits)
         self.limit_service = self._make_limit_service()
         self.slot_scheduler = self._make_slot_scheduler()
         timeouts_us = [round(ms * 1000) for ms in (limits.idle_ms, limits.head_ms, limits.write_ms)]
         self.setups = SessionSetups(self.core, self.clock, self.attempt_sender, log_event)
-        self.sockets = WebSocketServer(
+        self.websocket_server = WebSocketServer(
             self.core, self.clock, self.setups, settings.name, ConnectionLimits(*timeouts_us), log_event
         )
         self.tls = TlsKeys(settings.tls, log_event) if settings.tls is not None else None
-        self.door = HttpServer(
+        self.http_server = HttpServer(
             self.core,
             self.clock,
             self.setups,
-            self.sockets,
+            self.websocket_server,
             self.tls,
             settings.name,
             settings.listen,
             dial_limits,
             ConnectionLimits(*timeouts_us),
             log_event,
-            self.ledger.keep,
+            self.ledger.append,
             self._make_operator_commands(),
         )
         self.timer_thread = threading.Thread(target=self.timers.run, name="timers")
@@ -276,7 +276,7 @@
         )
         core.use_retry_budget(lambda: shared_quotas.try_acquire(Resource.FURTHER_JOIN))
         core.probes.may_probe = lambda: shared_quotas.try_acquire(Resource.PROBE)
-        self.list_side.turn_wait_us = lambda: shared_quotas.acquire_wait_us(Resource.LIST_CALL)
+        self.endpoint_list_client.turn_wait_us = lambda: shared_quotas.acquire_wait_us(Resource.LIST_CALL)
         core.status_reporter.add_section("budgets", shared_quotas.status)
         if self.front_messaging is not None:
             shared_quotas.send, self.front_messaging.on_quota_message = (
@@ -378,8 +378,8 @@
             limit_service.learned_limits,
             limit_service.learned_limits.target_connection_count,
         )
-        if self.keeper is not None:
-            limit_service.learned_limits.restore(self.keeper.store.values)
+        if self.store_writer is not None:
+            limit_service.learned_limits.restore(self.store_writer.store.values)
         if self.front_messaging is not None:
             limit_service.learned_limits.send, self.front_messaging.on_limit_message = (
                 self.front_messaging.send_limit_message,
@@ -477,7 +477,7 @@
             self.core,
             self.clock,
             CommandAuthorizer(self.settings.name, keys),
-            AuditFile(control_settings.audit).tell,
+            AuditFile(control_settings.audit).append,
         )
         if self.rollouts is not None:
             operator_commands.rollout_commands = OperatorRoutes(self.settings.name, self.rollouts.coordinator)
@@ -486,8 +486,8 @@
     def start(self) -> None:
         """Start every thread and accept client connections."""
         self.timer_thread.start()
-        if self.keeper is not None:
-            self.keeper.start()
+        if self.store_writer is not None:
+            self.store_writer.start()
         for component in (self.health_checker, self.watch_health_checker, self.front_messaging):
             if component is not None:
                 component.start()
@@ -507,9 +507,9 @@
             self.timers.after(slot_scheduler.WINDOW_US, self._close_usage_window)
         self.command_senders.start(self.core.commands, self.core.lifecycle)
         self.migration_workers.start(self.core.migrations)
-        self.list_side.start(self.core.discovery)
+        self.endpoint_list_client.start(self.core.discovery)
         if self.settings.lists.must_ask:
-            self.list_side.watch()
+            self.endpoint_list_client.watch()
         self._add_background_tasks()
         self.background.start()
         if self.recovery is None:
@@ -517,10 +517,10 @@
             self.core.seat_leases.on_recovered()
         else:
             self.timers.after(recovery_admission.SAVED_LIST_FALLBACK_US, self._use_stored_list)
-        self.door.start()
+        self.http_server.start()
         if self.rollouts is not None:
             self.rollouts.is_open = True
-        self.log_event("front_started", address=self.door.address, boot=self.core.session_ids.boot_id)
+        self.log_event("front_started", address=self.http_server.address, boot=self.core.session_ids.boot_id)
 
     def _use_stored_list(self) -> None:
         assert self.recovery is not None
@@ -546,7 +546,7 @@
                 SWEEP_INTERVAL_US,
                 self._advance_recovery,
             )
-        if self.keeper is not None:
+        if self.store_writer is not None:
             add(
                 "memories",
                 TaskPriority.SNAPSHOT,
@@ -565,8 +565,8 @@
             )
 
     def _store_snapshot(self) -> None:
-        assert self.keeper is not None
-        self.keeper.enqueue(self.core.snapshots.collect_changes())
+        assert self.store_writer is not None
+        self.store_writer.enqueue(self.core.snapshots.collect_changes())
 
     def _sweep_sessions(self) -> None:
         self.core.client_reports.close_silent_sessions()
@@ -585,7 +585,7 @@
         while self.shutdown.state is not ShutdownState.STOPPED:
             for action in self.shutdown.apply(event, self.clock.now_us()):
                 actions[action]()
-            idle = self.door.wait_idle(self.shutdown.remaining_us(self.clock.now_us()))
+            idle = self.http_server.wait_idle(self.shutdown.remaining_us(self.clock.now_us()))
             event = ShutdownEvent.IDLE if idle else ShutdownEvent.DEADLINE_REACHED
         self.log_event(
             "front_stopped", took_ms=(self.clock.now_us() - started_us) / 1000, counts=self.core.counts
@@ -595,19 +595,19 @@
         if self.membership is not None:
             self.membership.announce_leave()
         self.core.admission.stop()
-        self.door.stop_accepting()
+        self.http_server.stop_accepting()
 
     def _close(self) -> None:
         self.halt.set()
-        self.door.close()
-        self.list_side.stop()
+        self.http_server.close()
+        self.endpoint_list_client.stop()
         self.background.stop()
         self.timers.stop()
         self.timer_thread.join()
         self.migration_workers.stop()
-        if self.keeper is not None:
-            self.keeper.enqueue(self.core.snapshots.collect_changes())
-            self.keeper.stop(
+        if self.store_writer is not None:
+            self.store_writer.enqueue(self.core.snapshots.collect_changes())
+            self.store_writer.stop(
                 max(0, self.shutdown.requested_us + self.shutdown.time_limit_us - self.clock.now_us())
             )
         for component in (
@@ -623,6 +623,6 @@
         self.pool.close()
         self.halt.close()
 
-    def hurry(self) -> None:
+    def cancel_pending_attempts(self) -> None:
         """Cancel the pending attempts, which speeds up a `stop` that is in progress."""
         self.halt.set()
--- a/packages/daemon/src/fennelcove/daemon/ledger_file.py
+++ b/packages/daemon/src/fennelcove/daemon/ledger_file.py
@@ -70,7 +70,7 @@
             (_change(record), record.made) for record in sorted(records, key=lambda record: record.version)
         ]
 
-    def keep(self, change: Change, made: bool, version: int) -> None:
+    def append(self, change: Change, made: bool, version: int) -> None:
         """Append a change or a withdrawal and sync it to the disk.
 
         Raises:
--- a/packages/daemon/src/fennelcove/daemon/rollouts.py
+++ b/packages/daemon/src/fennelcove/daemon/rollouts.py
@@ -54,7 +54,7 @@
     return crc32(name.encode()) & MAX_PLACE_NUMBER
 
 
-class Promises:
+class RolloutStateStore:
     """The persisted rollout state of one front: the promises that it has made to other fronts.
 
     Without a store nothing is persisted, and the next incarnation waits until old promises have expired.
@@ -63,8 +63,8 @@
     def __init__(self, settings: FrontSettings, wall_us: int, log_event: EventLogger) -> None:
         self.log_event = log_event
         self.store: Store | None = None
-        self.memory: PersistedState | None = None
-        self.life = wall_us // 1000
+        self.state: PersistedState | None = None
+        self.incarnation = wall_us // 1000
         if settings.store is None:
             return
         self.store = Store(f"{settings.store.folder}/{STORE_FOLDER}", MAX_STORE_MB, settings.name)
@@ -77,14 +77,14 @@
             log_event("promises_unread", reason=str(error))
             return
         # After a clock step backwards the incarnation must still increase: the others ignore older ones.
-        self.life, self.memory = max(self.life, stored.incarnation + 1), stored.state
+        self.incarnation, self.state = max(self.incarnation, stored.incarnation + 1), stored.state
 
-    def keep(self, memory: PersistedState) -> bool:
+    def persist(self, state: PersistedState) -> bool:
         """Persist the state; return whether it is on disk."""
         if self.store is None:
             return True
         try:
-            self.store.commit([(KEY, _ENCODER.encode(StoredRollouts(self.life, memory)))])
+            self.store.commit([(KEY, _ENCODER.encode(StoredRollouts(self.incarnation, state)))])
             if self.store.needs_checkpoint:
                 self.store.checkpoint()
         except OSError as error:
@@ -123,13 +123,13 @@
         self.serving_since_us: int | None = None
         # When the last successful attempt at each server was sent.
         self.served_attempt_us: dict[str, int] = {}
-        self.promises = Promises(settings, clock.wall_us(), log_event)
+        self.state_store = RolloutStateStore(settings, clock.wall_us(), log_event)
         self.coordinator = RolloutCoordinator(
             self._agreement(settings, release_settings),
             round(release_settings.beat_ms * 1000),
             self.own_status,
             self.observe_servers,
-            self.promises.keep,
+            self.state_store.persist,
             clock,
             Random(f"{settings.seed}/releases"),
             log_event,
@@ -180,7 +180,7 @@
         )
         now_us = self.clock.now_us()
         return RolloutAgreement(
-            rollout_settings, limits, locations, self.promises.life, now_us, self.promises.memory
+            rollout_settings, limits, locations, self.state_store.incarnation, now_us, self.state_store.state
         )
 
     def start(self) -> None:
@@ -191,7 +191,7 @@
         """End the thread and close the store."""
         self.coordinator.stop()
         self.thread.join()
-        self.promises.close()
+        self.state_store.close()
 
     def status(self) -> dict[str, object]:
         """The version and the rollout's state, for the status that operators read."""
--- a/packages/ingress/src/fennelcove/ingress/connection.py
+++ b/packages/ingress/src/fennelcove/ingress/connection.py
@@ -109,11 +109,11 @@
                 left_us = (
                     started_us + self.core.admission.effective_timeout_us(self.limits.message_us) - now_us
                 )
-            wake_reason = WakeReason.TIME if left_us <= 0 else wait(self.sock, left_us, self.closing)
+            wake_reason = WakeReason.TIMEOUT if left_us <= 0 else wait(self.sock, left_us, self.closing)
             if wake_reason is not WakeReason.READY:
-                if started and wake_reason is WakeReason.TIME:
+                if started and wake_reason is WakeReason.TIMEOUT:
                     raise TooSlow
-                if wake_reason is WakeReason.TIME or (
+                if wake_reason is WakeReason.TIMEOUT or (
                     not started and wait(self.sock, CLOSE_GRACE_US, None) is not WakeReason.READY
                 ):
                     return None
--- a/packages/ingress/src/fennelcove/ingress/session_setups.py
+++ b/packages/ingress/src/fennelcove/ingress/session_setups.py
@@ -19,7 +19,7 @@
 from fennelcove.fair_queueing.waiter import WaiterEvent
 from fennelcove.interface import Outcome
 from fennelcove.upstream.attempts import AttemptSender
-from fennelcove.upstream.wakeups import WakeReason, wait_bell
+from fennelcove.upstream.wakeups import WakeReason, wait_for_descriptor
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
             elif run.interrupted is WakeReason.LATCH:
                 shutdown_step = self.core.on_shutdown(session)
                 response = shutdown_step if isinstance(shutdown_step, SessionResponse) else None
-            completion = run.end
+            completion = run.result
             hops, timed_out = run.hops, completion.outcome is Outcome.NO_ANSWER
             next_step = self.core.on_attempt_completed(session, step.attempt, completion)
             self.log_event(
@@ -136,11 +136,13 @@
     def _wait_for_slot(self, step: WaitForSlot, client_socket: socket.socket) -> NextStep | None:
         """Wait for an attempt slot; nothing has been sent, so a disconnect ends the set-up at once."""
         left_us = step.deadline_us - self.clock.now_us()
-        wake_reason = wait_bell(step.wakeup.reader, left_us, self.attempt_sender.halt, client_socket)
+        wake_reason = wait_for_descriptor(
+            step.wakeup.reader, left_us, self.attempt_sender.halt, client_socket
+        )
         event = {
             WakeReason.HUNG_UP: WaiterEvent.HUNG_UP,
             WakeReason.LATCH: WaiterEvent.STOPPED,
-            WakeReason.TIME: WaiterEvent.NO_TIME,
+            WakeReason.TIMEOUT: WaiterEvent.NO_TIME,
         }.get(wake_reason)
         return self.core.slots.on_wait_ended(step, event)
 
--- a/packages/upstream/src/fennelcove/upstream/attempts.py
+++ b/packages/upstream/src/fennelcove/upstream/attempts.py
@@ -34,7 +34,7 @@
 class CompletedAttempt:
     """The result of an attempt; `interrupted` is set if the client's disconnect or the shutdown ended it."""
 
-    end: AttemptResult
+    result: AttemptResult
     interrupted: WakeReason | None = None
     hops: str = ""  # the server's CMSD-Dynamic header, to which the front appends its own hop
 
@@ -124,7 +124,7 @@
         started_us = self.clock.now_us()
         try:
             run = self._send_with_reservation(step, client_socket)
-            answered = ANSWERED_BY_OUTCOME.get(run.end.outcome)
+            answered = ANSWERED_BY_OUTCOME.get(run.result.outcome)
             return run
         finally:
             self.slots.on_attempt_ended(step.server, shape, self.clock.now_us() - started_us, answered)
@@ -206,9 +206,9 @@
         while True:
             wake_reason = wait(connection.sock, deadline_us - self.clock.now_us(), self.halt, client_socket)
             if wake_reason in (WakeReason.HUNG_UP, WakeReason.LATCH):
-                end = AttemptResult(Outcome.CANCELLED, None, self.clock.now_us() - started_us)
-                return CompletedAttempt(end, wake_reason), connection, False
-            if wake_reason is WakeReason.TIME:
+                result = AttemptResult(Outcome.CANCELLED, None, self.clock.now_us() - started_us)
+                return CompletedAttempt(result, wake_reason), connection, False
+            if wake_reason is WakeReason.TIMEOUT:
                 exchange.apply(ExchangeEvent.TIMED_OUT)
                 return self._completed_attempt(exchange, started_us), connection, False
             try:
--- a/packages/upstream/src/fennelcove/upstream/command_senders.py
+++ b/packages/upstream/src/fennelcove/upstream/command_senders.py
@@ -103,7 +103,7 @@
             encoded_request = writer.request("PUT", f"{path}/rung", command.server, fields, body)
         connection.sock.settimeout(max(0.001, self._remaining_us() / 1e6))
         connection.sock.sendall(encoded_request)
-        response = connection.answer()
+        response = connection.read_response()
         assert isinstance(response.head, ResponseHead)
         if response.head.status >= 500:
             raise ConnectionError(f"response status {response.head.status}")
--- a/packages/upstream/src/fennelcove/upstream/connection_pool.py
+++ b/packages/upstream/src/fennelcove/upstream/connection_pool.py
@@ -32,7 +32,7 @@
     responses: Gatherer
     idle_since_us: int = 0
 
-    def answer(self) -> Whole:
+    def read_response(self) -> Whole:
         """Read the next complete response, within the timeout of the socket.
 
         Raises:
--- a/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
+++ b/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
@@ -178,7 +178,7 @@
         with connection.sock as sock:
             sock.settimeout(COMMAND_TIMEOUT_US / 1e6)
             sock.sendall(writer.request("GET", "/v1/list", self.address))
-            response = connection.answer()
+            response = connection.read_response()
         assert isinstance(response.head, ResponseHead)
         if response.head.status == 200:
             return _MESSAGE.decode(response.body)
--- a/packages/upstream/src/fennelcove/upstream/front_messaging.py
+++ b/packages/upstream/src/fennelcove/upstream/front_messaging.py
@@ -43,7 +43,7 @@
         self.on_limit_message: Callable[[int, bytes], bool] | None = None
         self.on_usage_report: Callable[[int, UsageReport], None] | None = None
         self.is_stopped = False
-        self.lost = 0  # not sent, from an unknown address, or malformed
+        self.lost_count = 0  # not sent, from an unknown address, or malformed
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             self.sock.bind(self.addresses[index])
@@ -101,7 +101,7 @@
         try:
             self.sock.sendto(datagram, self.addresses[front])
         except (OSError, IndexError):
-            self.lost += 1
+            self.lost_count += 1
 
     def stop(self) -> None:
         """End the receiving thread and close the socket."""
@@ -116,11 +116,11 @@
             except TimeoutError:
                 continue
             except OSError:
-                self.lost += 1  # the socket reports here that a datagram sent earlier was refused
+                self.lost_count += 1  # the socket reports here that a datagram sent earlier was refused
                 continue
             sender = self.indices.get(address)
             if sender is None or not self._deliver(sender, datagram):
-                self.lost += 1
+                self.lost_count += 1
 
     def _deliver(self, sender: int, datagram: bytes) -> bool:
         message_kind = datagram[0] if datagram else 0
--- a/packages/upstream/src/fennelcove/upstream/migration_workers.py
+++ b/packages/upstream/src/fennelcove/upstream/migration_workers.py
@@ -46,4 +46,4 @@
     def _run(self, migrations: SessionMigrations) -> None:
         while (step := self.pending.get()) is not None:
             run = self.attempt_sender.run(step, None)
-            migrations.on_attempt_completed(step, run.end)
+            migrations.on_attempt_completed(step, run.result)
--- a/packages/upstream/src/fennelcove/upstream/wakeups.py
+++ b/packages/upstream/src/fennelcove/upstream/wakeups.py
@@ -63,7 +63,7 @@
     READY = auto()
     HUNG_UP = auto()
     LATCH = auto()
-    TIME = auto()
+    TIMEOUT = auto()
 
 
 # POLLRDHUP reports that the peer closed its side although unread bytes, e.g. pipelined requests, remain.
@@ -88,10 +88,10 @@
         return WakeReason.READY
     if client_socket is not None and client_socket.fileno() in ready:
         return WakeReason.HUNG_UP
-    return WakeReason.LATCH if ready else WakeReason.TIME
+    return WakeReason.LATCH if ready else WakeReason.TIMEOUT
 
 
-def wait_bell(
+def wait_for_descriptor(
     descriptor: int, timeout_us: int, latch: CancellationLatch, client_socket: socket.socket
 ) -> WakeReason:
     """Like `wait`, for a descriptor that is not a socket."""
@@ -104,4 +104,4 @@
         return WakeReason.READY
     if client_socket.fileno() in ready:
         return WakeReason.HUNG_UP
-    return WakeReason.LATCH if ready else WakeReason.TIME
+    return WakeReason.LATCH if ready else WakeReason.TIMEOUT
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -113,7 +113,7 @@
             front.stop()
 
     def player(self) -> HttpClient:
-        player = HttpClient(self.front.door.address, self.clock)
+        player = HttpClient(self.front.http_server.address, self.clock)
         self.addCleanup(player.close)
         return player
 
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -183,7 +183,7 @@
 
     def test_every_websocket_request_can_be_sent_by_its_description(self) -> None:
         document = json.loads(self.get("/v1/asyncapi.json").text)
-        player = WebSocketClient(self.front.door.address, self.clock, random.Random(1))
+        player = WebSocketClient(self.front.http_server.address, self.clock, random.Random(1))
         self.addCleanup(player.close)
         client = GeneratedSocket(document, player)
         values = self.values() | {"token": "x", "ask": {"room_type": "free", "title": "t1"}}
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -199,6 +199,6 @@
     shutil.copy(FIXTURES / "audit", path)
     audit = AuditFile(str(path))
     assert audit.last == RECORD["audit_last"]
-    audit.tell(wall_us=RECORD["wall_us"] + 9, key="ops", command="undrain", verdict="granted")
+    audit.append(wall_us=RECORD["wall_us"] + 9, key="ops", command="undrain", verdict="granted")
     assert check(str(path)) is None
     assert len(path.read_bytes().splitlines()) == 4
--- a/tests/test_content_insertion.py
+++ b/tests/test_content_insertion.py
@@ -253,7 +253,7 @@
 
     def test_the_stitch_command(self) -> None:
         def run(*words: str, key: str = "k1") -> Any:
-            front = ["stitch", "--front", self.front.door.address]
+            front = ["stitch", "--front", self.front.http_server.address]
             return CliRunner(env={"FENNELCOVE_KEY": key, "COLUMNS": "200"}).invoke(main, [*front, *words])
 
         submitted = run("insert", "--title", "t1", "--clip", "rest", "--at", "0:02", "--id", "pause")
@@ -281,11 +281,11 @@
             path = Path(folder) / "ledger"
             file = LedgerFile(str(path), lambda event, **fields: skipped_lines.append(str(fields["line"])))
             for version in (1, 2, 3):
-                file.keep(change(f"c{version}", at=f"{version}/3"), True, version)
+                file.append(change(f"c{version}", at=f"{version}/3"), True, version)
             lines = path.read_bytes().split(b"\n")
             lines[1] = lines[1].replace(b"c2", b"cX")
             path.write_bytes(b"\n".join(lines) + b"0123 {cut sho")
-            file.keep(change("c1"), False, 4)
+            file.append(change("c1"), False, 4)
             found = file.load()
         assert [(found_change.id, is_submission) for found_change, is_submission in found] == [
             ("c1", True),
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -78,7 +78,7 @@
         for thread in threads:
             thread.start()
         wait_for(lambda: self.scheduler().status()["waiting"] == 2, "two waiting requests")
-        self.front.hurry()
+        self.front.cancel_pending_attempts()
         for thread in threads:
             thread.join()
         assert sorted(response.status for response in responses)[-2:] == [503, 503]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -206,7 +206,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = str(Path(folder) / "audit")
             for number in range(3):
-                AuditFile(path).tell(command="drain", number=number)
+                AuditFile(path).append(command="drain", number=number)
             assert check(path) is None
             lines = Path(path).read_bytes().splitlines(keepends=True)
             for broken, at in (
@@ -271,7 +271,7 @@
             self.fronts[f"front-{number:02}"] = self.start_front(f"front-{number:02}")
         self.front = self.fronts["front-00"]
         self.lines = [
-            (name, front.door.address, "east" if i % 2 else "west")
+            (name, front.http_server.address, "east" if i % 2 else "west")
             for i, (name, front) in enumerate(self.fronts.items())
             if i < self.FRONT_COUNT
         ]
@@ -290,7 +290,9 @@
             faulty = FaultyServer(response, stays_open)
             self.addCleanup(faulty.stop)
             self.faulty_addresses[name] = faulty.address
-        self.faulty_addresses["front-renamed"] = self.fronts[f"front-{self.FRONT_COUNT:02}"].door.address
+        self.faulty_addresses["front-renamed"] = self.fronts[
+            f"front-{self.FRONT_COUNT:02}"
+        ].http_server.address
         self.expected_outcomes = {
             "front-closed": "refused",
             "front-unresolved": "unresolved",
--- a/tests/test_http_sessions.py
+++ b/tests/test_http_sessions.py
@@ -31,7 +31,7 @@
         self.start_system()
 
     def raw_socket(self) -> socket.socket:
-        host, _, port = self.front.door.address.rpartition(":")
+        host, _, port = self.front.http_server.address.rpartition(":")
         sock = socket.create_connection((host, int(port)))
         self.addCleanup(sock.close)
         return sock
@@ -52,7 +52,7 @@
         assert self.get("/v1/subscriptions/1-" + "0" * 24).status == 404
 
     def test_third_party_http_client(self) -> None:
-        with httpx.Client(base_url=f"http://{self.front.door.address}", trust_env=False) as client:
+        with httpx.Client(base_url=f"http://{self.front.http_server.address}", trust_env=False) as client:
             created = client.post(
                 "/v1/subscriptions", json={"room_type": "free"}, headers={"CMCD-Session": 'cid="t1",sid="s"'}
             )
@@ -77,7 +77,7 @@
     def test_hints_limit_the_rung_and_malformed_hints_are_ignored(self) -> None:
         response = self.ask(headers=[("CMCD-Object", "tb=1700,br=;;"), ("CMCD-Request", "mtp=x")])
         assert (response.status, response.body["rung"]) == (201, 1)
-        assert self.front.door.routes.dropped_hint_count > 0
+        assert self.front.http_server.routes.dropped_hint_count > 0
         limited = self.ask(cmcd={"mtp": 900})
         assert limited.body["rung"] == 0
 
@@ -154,11 +154,11 @@
         version = self.lists.version
         self.lists.send_raw(b'{"version":%d,"boxes":[]}' % (version + 1))
         wait_for(lambda: core.counts.get("lists_refused"), "the list to be rejected")
-        stream = self.front.list_side.stream
+        stream = self.front.endpoint_list_client.stream
         self.lists.send_raw(b"not json")
         entry = b'{"address":"%s","zone":"zone","kind":"k","cell":0,"state":"%s"}'
         address = self.boxes[0].address.encode()
-        wait_for(lambda: self.front.list_side.stream is not stream, "a new list stream")
+        wait_for(lambda: self.front.endpoint_list_client.stream is not stream, "a new list stream")
         self.leave_one_active(1)
         entries = b",".join(entry % (address, state) for state in (b"leaving", b"active"))
         self.lists.send_raw(b'{"version":%d,"base":%d,"boxes":[%b]}' % (version + 2, version + 1, entries))
@@ -389,7 +389,7 @@
 class ConnectionLimitsTest(FrontTestCase):
     def test_connection_beyond_the_limit_gets_an_immediate_503(self) -> None:
         self.start_system(limits={"connections": 3, "waiting": 3})
-        address = self.front.door.address.rpartition(":")
+        address = self.front.http_server.address.rpartition(":")
         connections = [socket.create_connection((address[0], int(address[2]))) for _ in range(3)]
         for sock in connections:
             self.addCleanup(sock.close)
@@ -404,7 +404,7 @@
     def test_hundreds_of_slow_senders_do_not_block_other_clients(self) -> None:
         # Long enough to accept all of them, even on a busy machine, before the first one times out.
         self.start_system(limits={"connections": 600, "waiting": 600, "head_ms": 2_000, "idle_ms": 2_000})
-        address = self.front.door.address.rpartition(":")
+        address = self.front.http_server.address.rpartition(":")
         socks = [socket.create_connection((address[0], int(address[2]))) for _ in range(500)]
         done = threading.Event()
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -40,7 +40,7 @@
 
     def connect(self) -> WebSocketClient:
         player = WebSocketClient(
-            self.front.door.address, self.clock, random.Random(1), context=self.context()
+            self.front.http_server.address, self.clock, random.Random(1), context=self.context()
         )
         self.addCleanup(player.close)
         assert player.next_of_type("welcome")["front"] == "front-t"
@@ -48,7 +48,7 @@
 
     def set_up(self, client: httpx.Client) -> int:
         body = {"room_type": "free", "title": "t1"}
-        url = f"https://{self.front.door.address}/v1/subscriptions"
+        url = f"https://{self.front.http_server.address}/v1/subscriptions"
         return client.post(url, json=body, timeout=10).status_code
 
     def test_a_certificate_is_replaced_for_both_listeners(self) -> None:
--- a/tests/test_release_side.py
+++ b/tests/test_release_side.py
@@ -12,7 +12,7 @@
 from fennelcove import rollout_messages
 from fennelcove.clock import ManualClock
 from fennelcove.core.rollout_coordinator import MAX_QUEUED_EVENTS, RolloutCoordinator
-from fennelcove.daemon.rollouts import Promises
+from fennelcove.daemon.rollouts import RolloutStateStore
 from fennelcove.rollouts import messages
 from fennelcove.rollouts.coordinator import (
     Command,
@@ -208,12 +208,12 @@
     def test_the_next_incarnation_is_higher_and_restores_promises_even_if_the_clock_went_back(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             settings = FrontSettings(**{**settings_fields(), "store": StoreSettings(folder=folder)})
-            first = Promises(settings, 5_000_000_000, lambda name, **_: None)
+            first = RolloutStateStore(settings, 5_000_000_000, lambda name, **_: None)
             state = PersistedState(term=4, off=((PlaceKind.BOX, 3),))
-            assert first.keep(state)
+            assert first.persist(state)
             first.close()
-            restarted = Promises(settings, 1_000_000_000, lambda name, **_: None)
-            assert (restarted.life, restarted.memory) == (5000001, state)
+            restarted = RolloutStateStore(settings, 1_000_000_000, lambda name, **_: None)
+            assert (restarted.incarnation, restarted.state) == (5000001, state)
             restarted.close()
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -136,13 +136,13 @@
     def test_session_whose_websocket_response_was_lost_is_found_over_http(self) -> None:
         for server in self.boxes:
             server.faults.slow_ms = 150.0
-        first = WebSocketClient(self.front.door.address, self.clock, random.Random(1))
+        first = WebSocketClient(self.front.http_server.address, self.clock, random.Random(1))
         request = {"room_type": "free", "title": "t1", "key": "k9", "cmcd": {"sid": "v"}}
         first.send_message("set-up", ask=request)
         self.wait_for_records("set_up_over")
         wait_for(lambda: self.front.core.notifier.ownerships.by_session, "the session to start")
         first.hang_up()
-        wait_for(lambda: not self.front.sockets.sessions, "the connection to close")
+        wait_for(lambda: not self.front.websocket_server.sessions, "the connection to close")
         repeated = self.request_with_key("k9")
         assert repeated.status == 201
         assert len(self.seen("set_up")) == 1
@@ -160,7 +160,7 @@
             raw = b'{"room_type":"once","title":"t1","key":"k1","cmcd":{"sid":"v"}}'
             self.player().ask("POST", "/v1/subscriptions", [("Content-Type", "application/json")], raw, 0.5)
         self.wait_for_records("set_up")
-        writer = self.front.keeper
+        writer = self.front.store_writer
         assert writer is not None
         writer.enqueue(self.front.core.snapshots.collect_changes())
         wait_for(
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -167,7 +167,7 @@
     def test_seat_that_is_not_renewed_expires_and_is_available_again(self) -> None:
         ids = [self.ask("few").body["id"] for _ in range(2)]
         assert self.ask("few").status == 503
-        socket = WebSocketClient(self.front.door.address, self.clock, random.Random(1))
+        socket = WebSocketClient(self.front.http_server.address, self.clock, random.Random(1))
         self.addCleanup(socket.close)
         socket.ask("resume", subscription=ids[0])
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -176,9 +176,9 @@
         message = PeerMessage(0, loads=(CellLoad(3, 0.5, None, 0),))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
             unknown_sender.sendto(encode(message)[0], messaging[1].addresses[1])
-            wait_for(lambda: messaging[1].lost == 1, "the message of an unknown sender to be ignored")
+            wait_for(lambda: messaging[1].lost_count == 1, "the message of an unknown sender to be ignored")
         messaging[0].sock.sendto(b"\xff\xff", messaging[1].addresses[1])
-        wait_for(lambda: messaging[1].lost == 2, "the malformed message to be ignored")
+        wait_for(lambda: messaging[1].lost_count == 2, "the malformed message to be ignored")
         messaging[0].send_message(1, message)
         wait_for(lambda: received, "a message")
         assert received == [message]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -472,7 +472,7 @@
         self.front.stop()
         self.settings = self.changed()
         self.front = self.start_front()
-        assert self.front.keeper is None
+        assert self.front.store_writer is None
         assert self.ask().status == 201
 
 
--- a/tests/test_websocket_sessions.py
+++ b/tests/test_websocket_sessions.py
@@ -40,7 +40,7 @@
 class WebSocketTestCase(FrontTestCase):
     def connect(self, **options: Any) -> WebSocketClient:
         rng = random.Random(1)
-        player = WebSocketClient(self.front.door.address, self.clock, rng, **options)
+        player = WebSocketClient(self.front.http_server.address, self.clock, rng, **options)
         self.addCleanup(player.close)
         assert player.next_of_type("welcome")["front"] == "front-t"
         return player
@@ -222,19 +222,19 @@
             player = self.connect()
             player.sock.sendall(raw)
             assert player.wait_closed().code == code
-        wait_for(lambda: not self.front.sockets.sessions, "the connections to close")
+        wait_for(lambda: not self.front.websocket_server.sessions, "the connections to close")
         wait_for(lambda: not self.front.core.notifier.mailboxes, "the mailboxes to be unregistered")
 
     def test_client_that_does_not_read_is_disconnected_and_can_resume(self) -> None:
         player = self.connect()
         id = self.set_up(player)["state"]["id"]
-        (session,) = self.front.sockets.sessions
+        (session,) = self.front.websocket_server.sessions
         with session.lock:  # more than the outbox holds, queued while its thread waits for the socket
             for number in range(100):
                 session.outbox.put(QueuedMessage(session.welcome(str(number))))
         session.wakeup.notify()
         assert player.wait_closed().code == 1013
-        wait_for(lambda: not self.front.sockets.sessions, "the connection to close")
+        wait_for(lambda: not self.front.websocket_server.sessions, "the connection to close")
         assert self.connect().ask("resume", subscription=id)["type"] == "resumed"
 
     def test_half_open_connection_is_closed_after_the_idle_timeout_and_its_session_released(self) -> None:
@@ -257,7 +257,7 @@
         assert ids[0] in self.front.core.sessions
 
     def test_third_party_websocket_client(self) -> None:
-        url = f"ws://{self.front.door.address}{PATH}"
+        url = f"ws://{self.front.http_server.address}{PATH}"
         for compression in ("deflate", None):
             with connect(url, subprotocols=[SUBPROTOCOL], compression=compression) as connection:  # type: ignore[list-item, arg-type]
                 assert json.loads(connection.recv())["type"] == "welcome"
@@ -396,7 +396,10 @@
     def test_pages_of_other_origins_are_rejected(self) -> None:
         with self.assertRaises(Unanswered) as caught:
             WebSocketClient(
-                self.front.door.address, self.clock, random.Random(1), [("Origin", "https://evil.example")]
+                self.front.http_server.address,
+                self.clock,
+                random.Random(1),
+                [("Origin", "https://evil.example")],
             )
         assert caught.exception.how == "refused with 403"
         self.connect(fields=[("Origin", "https://own.example")])
