--- a/benchmarks/power_sim.py
+++ b/benchmarks/power_sim.py
@@ -1,16 +1,24 @@
-"""Power comes back to a fleet of any size, in simulated time: the decision module and `company` as they are.
+"""Simulates how a fleet of any size recovers from a power loss, with the decision modules unchanged.
 
     python -m benchmarks.power_sim [--fronts 12,50,200] [--variants turns,leases] [--few] [--cut] [--seed 1]
 
-Day power-loss made larger in proportion (boxes, titles and viewers by front), without sockets, stores or
-doors: what is measured is how the fronts' turns at cold boxes add up. `turns`: by the settings' number of
-fronts; `leases`: by `company`, beats that take 1 to 30 ms, a twentieth lost; `steady`: the same, but a front
-keeps its equal part without a lease, so that no turn shifts when it comes. `--few`: five of twelve fronts
-stay away. `--cut`: from one second after the loss on, for 16 s, the fronts of each hall reach neither the
-other hall's fronts nor its boxes, as on day power-split; `halves` then knows of the cut, and shares the turns
-of a box among the fronts that reach it. Prints seconds until nine tenths of the service before is back,
-beside what the boxes' warm-up alone allows, the part of the first 30 s, the part of cold boxes' turns that
-was used, boxes pushed over and joins a request.
+The scenario power-loss is scaled up in proportion to the fronts (servers, titles and clients), without
+sockets, stores or listeners. Measured is how the fronts' turns at servers in warm-up add up.
+
+Variants:
+    turns: a front's turns follow from the configured number of fronts.
+    leases: turns by `Membership`; heartbeats take 1 to 30 ms, and one in twenty is lost.
+    steady: as `leases`, but a front's equal share needs no lease, so that no turn moves when a front arrives.
+    halves: as `turns`, but the fronts know of the partition (`--cut`) and share a server's turns among those
+        that reach it.
+
+With `--few` five of twelve fronts do not restart. With `--cut` the fronts of each zone reach neither the
+fronts nor the servers of the other zone from one second after the power loss on, for 16 s, as in scenario
+power-split.
+
+Printed are the seconds until 90% of the service is restored, beside the bound that the servers' warm-up alone
+sets, the share served in the first 30 s, the share of the turns at servers in warm-up that was used, servers
+crashed from overload and attempts per request.
 """
 
 from __future__ import annotations
@@ -46,319 +54,370 @@
 
 from benchmarks.events import EventScheduler
 
-BEGAN_US = 1_000_000
-POWER_S, END_S, WATCH_US = 16, 60, 12_000_000
-CUT_S = (POWER_S + 1, POWER_S + 17)
-GIVEN_UP_US = 262_000  # what a join into the cut takes: seven eighths of half the objective
-BEAT_US, LEASE_US = 200_000, 1_000_000
-KEPT = {"leases": 0.75, "steady": 1.0}  # by variant; in no other are there leases
+START_US = 1_000_000
+POWER_LOSS_S, END_S, MEAN_WATCH_US = 16, 60, 12_000_000
+PARTITION_S = (POWER_LOSS_S + 1, POWER_LOSS_S + 17)
+ATTEMPT_TIMEOUT_US = 262_000  # across the partition: seven eighths of half the objective
+HEARTBEAT_INTERVAL_US, LEASE_US = 200_000, 1_000_000
+RESERVED_FRACTIONS = {"leases": 0.75, "steady": 1.0}  # by variant; the others have no leases
 replace = msgspec.structs.replace
 
 
 @dataclass
-class Box:
-    """A box of the stand-ins, as the list names it."""
+class SimulatedServer:
+    """An emulated server and its entry in the endpoint list."""
 
     entry: ListEntry
     model: ServerModel
 
-    def listed(self) -> ListEntry:
-        standing = ServerState.ACTIVE if self.model.up else ServerState.LEFT
-        return dataclasses.replace(self.entry, state=standing, started_us=self.model.started_us or 0)
+    def list_entry(self) -> ListEntry:
+        state = ServerState.ACTIVE if self.model.up else ServerState.LEFT
+        return dataclasses.replace(self.entry, state=state, started_us=self.model.started_us or 0)
 
 
 @dataclass
-class Viewer:
-    """One that wants to play."""
+class SimulatedClient:
+    """A client that requests a session of a title."""
 
-    name: int
-    room: str
+    id: int
+    room_type: str
     title: int
-    hasty: bool
+    is_hasty: bool  # retries without obeying Retry-After
     tries: int = 0
 
 
-class Side:
-    """One front's effects."""
+class SimulatedFront:
+    """One front: its policy, its membership, and the effects of the policy."""
 
-    def __init__(self, sea: Sea, index: int) -> None:
-        self.sea = sea
+    def __init__(self, simulation: Simulation, index: int) -> None:
+        self.simulation = simulation
         self.index = index
-        self.front: PlacementPolicy | None = None
-        self.company: Membership | None = None
+        self.policy: PlacementPolicy | None = None
+        self.membership: Membership | None = None
         self.rungs: dict[str, int] = {}
-        self.asking: dict[str, Viewer] = {}
-        halls = sea.halls
-        self.hall = halls[index % len(halls)]
-
-    def join(self, id: str, server: str, allow_us: int) -> None:
-        front = self.front
-        assert front is not None
-        number = len(front.sessions[id].attempts) - 1
-        zone = self.sea.boxes[server].entry.zone
-        if self.sea.is_cut() and zone != self.hall:
-            self.sea.after(GIVEN_UP_US, partial(self.sea.given_up, self, front, id, number))
+        self.waiting_clients: dict[str, SimulatedClient] = {}
+        zones = simulation.zones
+        self.zone = zones[index % len(zones)]
+
+    def start_attempt(self, id: str, server: str, timeout_us: int) -> None:
+        policy = self.policy
+        assert policy is not None
+        attempt = len(policy.sessions[id].attempts) - 1
+        zone = self.simulation.servers[server].entry.zone
+        if self.simulation.is_partitioned() and zone != self.zone:
+            self.simulation.after(
+                ATTEMPT_TIMEOUT_US, partial(self.simulation.time_out_attempt, self, policy, id, attempt)
+            )
         else:
-            self.sea.after(5_000, partial(self.sea.joined, self, front, id, number, server))
+            self.simulation.after(
+                5_000, partial(self.simulation.complete_attempt, self, policy, id, attempt, server)
+            )
 
     def set_rung(self, id: str, rung: int) -> None:
         self.rungs[id] = rung
 
-    def throttle(self, id: str, wait_us: int) -> None:
-        self.sea.turned_away(self.asking.pop(id), wait_us)
+    def reject(self, id: str, retry_after_us: int) -> None:
+        self.simulation.on_rejected(self.waiting_clients.pop(id), retry_after_us)
 
-    def terminate(self, id: str) -> None:
-        self.sea.turned_away(self.asking.pop(id), 0)
+    def fail(self, id: str) -> None:
+        self.simulation.on_rejected(self.waiting_clients.pop(id), 0)
 
-    def move(self, id: str) -> None:
-        """Nothing moves here."""
+    def migrate(self, id: str) -> None:
+        """Does nothing: sessions do not migrate in this simulation."""
 
     def probe(self, server: str) -> None:
-        """Nothing is probed here."""
+        """Does nothing: servers are not probed in this simulation."""
 
-    def tell(self, front: int, said: PeerMessage) -> None:
-        """Nothing is told here."""
+    def send_peer_message(self, front: int, message: PeerMessage) -> None:
+        """Does nothing: the policy's peer messages are not simulated."""
 
-    def timer(self, name: int, delay_us: int) -> None:
-        front = self.front
-        self.sea.after(delay_us, partial(self.due, front, name))
+    def set_timer(self, name: int, delay_us: int) -> None:
+        policy = self.policy
+        self.simulation.after(delay_us, partial(self.fire_timer, policy, name))
 
-    def due(self, front: PlacementPolicy, name: int) -> None:
-        if front is self.front:
-            front.handle(TimerFired(name), self.sea.now_us)
+    def fire_timer(self, policy: PlacementPolicy, name: int) -> None:
+        if policy is self.policy:
+            policy.handle(TimerFired(name), self.simulation.now_us)
 
     def watch_list(self) -> None:
-        """The list comes by itself."""
+        """Does nothing: the simulation publishes the list unasked."""
 
     def fetch_list(self) -> None:
-        """The list comes by itself."""
+        """Does nothing: the simulation publishes the list unasked."""
 
 
-class Sea(EventScheduler):
-    """The day."""
+class Simulation(EventScheduler):
+    """One simulation of the scenario."""
 
     def __init__(
-        self, day: Scenario, fronts: int, variant: str, few: bool, seed: int, cut: bool = False
+        self,
+        scenario: Scenario,
+        front_count: int,
+        variant: str,
+        with_absent_fronts: bool,
+        seed: int,
+        with_partition: bool = False,
     ) -> None:
-        super().__init__(BEGAN_US)
-        self.halls = day.halls
-        self.cut = cut
-        self.halves = variant == "halves"
-        self.used, self.late_s = 0, 6e6 if cut else 8e6
-        self.chance = Random(seed)
-        self.times = max(1, round(fronts / 12))
-        self.fronts = fronts
-        self.kept = KEPT.get(variant)
-        self.few = few
-        front = day.front
-        fleet, k = front.fleet, self.times
+        super().__init__(START_US)
+        self.zones = scenario.halls
+        self.with_partition = with_partition
+        self.is_partition_known = variant == "halves"
+        self.warm_up_setups, self.latest_start_us = 0, 6e6 if with_partition else 8e6
+        self.rng = Random(seed)
+        self.scale = max(1, round(front_count / 12))
+        self.front_count = front_count
+        self.reserved_fraction = RESERVED_FRACTIONS.get(variant)
+        self.with_absent_fronts = with_absent_fronts
+        settings = scenario.front
+        fleet, k = settings.fleet, self.scale
         titles = [
             replace(title, name=f"{title.name}-{i}", first_cell=title.first_cell + i * fleet.cells)
             for i in range(k)
-            for title in front.titles
+            for title in settings.titles
         ]
         self.settings = replace(
-            front,
+            settings,
             fleet=replace(
                 fleet, cells=k * fleet.cells, racks=k * fleet.racks, all_links_kb=k * fleet.all_links_kb
             ),
             titles=titles,
-            instance=replace(front.instance, fronts=fronts),
+            instance=replace(settings.instance, fronts=front_count),
         )
         self.titles = {title.name: (i, title) for i, title in enumerate(titles)}
-        self.rate_kb = [rung.kb for rung in front.ladder]
-        self.ramp_us = round(front.rules.ramp_ms * 1000)
-        self.cold = front.rules.start_capacity
+        self.rate_kb = [rung.kb for rung in settings.ladder]
+        self.ramp_us = round(settings.rules.ramp_ms * 1000)
+        self.start_capacity = settings.rules.start_capacity
         streams = {kind.name: kind.streams for kind in fleet.kinds}
-        self.boxes = {
-            f"b{i}-{n}": Box(
+        self.servers = {
+            f"b{i}-{n}": SimulatedServer(
                 ListEntry(
-                    f"b{i}-{n}", line.zone, line.kind, line.cell + i * fleet.cells, ServerState.ACTIVE, 1, 0
+                    f"b{i}-{n}", spec.zone, spec.kind, spec.cell + i * fleet.cells, ServerState.ACTIVE, 1, 0
                 ),
                 ServerModel(
-                    line.link_kb,
-                    streams[line.kind],
+                    spec.link_kb,
+                    streams[spec.kind],
                     RackModel(1e12),
                     self.ramp_us,
-                    self.cold,
-                    day.rig.fall_multiple,
-                    round(day.rig.tip_after_ms * 1000),
+                    self.start_capacity,
+                    scenario.rig.fall_multiple,
+                    round(scenario.rig.tip_after_ms * 1000),
                 ),
             )
             for i in range(k)
-            for n, line in enumerate(day.boxes)
+            for n, spec in enumerate(scenario.boxes)
         }
-        self.crowds = day.crowds
-        self.sides = [Side(self, i) for i in range(fronts)]
-        self.played = [0] * END_S
-        self.requests = self.joins = self.pushed = 0
-        self.names = count()
+        self.crowds = scenario.crowds
+        self.fronts = [SimulatedFront(self, i) for i in range(front_count)]
+        self.setups_by_second = [0] * END_S
+        self.requests = self.attempts = self.crashed_servers = 0
+        self.client_ids = count()
 
-    def is_cut(self) -> bool:
-        return self.cut and CUT_S[0] <= (self.now_us - BEGAN_US) / 1e6 < CUT_S[1]
+    def is_partitioned(self) -> bool:
+        return self.with_partition and PARTITION_S[0] <= (self.now_us - START_US) / 1e6 < PARTITION_S[1]
 
     def second(self) -> int:
-        return min(END_S - 1, (self.now_us - BEGAN_US) // 1_000_000)
+        return min(END_S - 1, (self.now_us - START_US) // 1_000_000)
 
     # Fronts.
 
-    def start(self, side: Side) -> None:
-        told = module_settings(
-            replace(self.settings, instance=replace(self.settings.instance, index=side.index))
+    def start_front(self, front: SimulatedFront) -> None:
+        settings = module_settings(
+            replace(self.settings, instance=replace(self.settings.instance, index=front.index))
         )
-        front = side.front = PlacementPolicy(told, side.index + self.now_us, side, self.now_us)
-        side.rungs.clear()
-        side.asking.clear()
-        if self.kept is not None:
-            terms = MembershipSettings(self.fronts, side.index, BEAT_US, LEASE_US, LEASE_US, self.kept)
-            company = side.company = Membership(terms, self.now_us, self.now_us)
-            front.owns_turn = lambda turn: company.owns_turn(turn, self.now_us)
-            self.after(self.chance.randrange(BEAT_US), partial(self.beat, side, company))
-        if self.halves:
-            many, own, all_ = len(self.halls), side.index // len(self.halls), front.owns_turn
-            front.owns_turn = lambda turn: (
-                turn % (self.fronts // many) == own if self.is_cut() else all_(turn)
+        policy = front.policy = PlacementPolicy(settings, front.index + self.now_us, front, self.now_us)
+        front.rungs.clear()
+        front.waiting_clients.clear()
+        if self.reserved_fraction is not None:
+            membership_settings = MembershipSettings(
+                self.front_count,
+                front.index,
+                HEARTBEAT_INTERVAL_US,
+                LEASE_US,
+                LEASE_US,
+                self.reserved_fraction,
             )
-        self.tell_list(side)
+            membership = front.membership = Membership(membership_settings, self.now_us, self.now_us)
+            policy.owns_turn = lambda turn: membership.owns_turn(turn, self.now_us)
+            self.after(
+                self.rng.randrange(HEARTBEAT_INTERVAL_US), partial(self.send_heartbeats, front, membership)
+            )
+        if self.is_partition_known:
+            zone_count, index_in_zone, owns_turn = (
+                len(self.zones),
+                front.index // len(self.zones),
+                policy.owns_turn,
+            )
+            policy.owns_turn = lambda turn: (
+                turn % (self.front_count // zone_count) == index_in_zone
+                if self.is_partitioned()
+                else owns_turn(turn)
+            )
+        self.publish_list(front)
 
-    def beat(self, side: Side, company: Membership) -> None:
-        if side.company is not company:
+    def send_heartbeats(self, front: SimulatedFront, membership: Membership) -> None:
+        if front.membership is not membership:
             return
-        self.after(BEAT_US, partial(self.beat, side, company))
-        for to, said in company.next_heartbeats(self.now_us).items():
-            across = self.is_cut() and self.sides[to].hall != side.hall
-            if self.chance.random() >= 0.05 and not across:
-                self.after(self.chance.randrange(1_000, 30_000), partial(self.hear, to, side.index, said))
-
-    def hear(self, to: int, sender: int, said: Heartbeat) -> None:
-        company = self.sides[to].company
-        if company is not None:
-            company.on_heartbeat(sender, said, self.now_us)
-
-    def tell_list(self, side: Side) -> None:
-        if side.front is not None:
-            entries = tuple(box.listed() for box in self.boxes.values())
-            side.front.handle(ListUpdate(ListMode.FULL, entries), self.now_us)
-
-    # Viewers.
-
-    def arrive(self, at: int) -> None:
-        crowd = self.crowds[at]
-        self.after(self.chance.expovariate(crowd.per_s * self.times) * 1e6, partial(self.arrive, at))
-        title = f"{self.chance.choice(crowd.titles)}-{self.chance.randrange(self.times)}"
-        hasty = self.chance.random() < 0.75
-        self.ask(Viewer(next(self.names), crowd.room_type, self.titles[title][0], hasty))
-
-    def ask(self, viewer: Viewer) -> None:
-        viewer.tries += 1
+        self.after(HEARTBEAT_INTERVAL_US, partial(self.send_heartbeats, front, membership))
+        for recipient, heartbeat in membership.next_heartbeats(self.now_us).items():
+            is_blocked = self.is_partitioned() and self.fronts[recipient].zone != front.zone
+            if self.rng.random() >= 0.05 and not is_blocked:
+                self.after(
+                    self.rng.randrange(1_000, 30_000),
+                    partial(self.deliver_heartbeat, recipient, front.index, heartbeat),
+                )
+
+    def deliver_heartbeat(self, recipient: int, sender: int, heartbeat: Heartbeat) -> None:
+        membership = self.fronts[recipient].membership
+        if membership is not None:
+            membership.on_heartbeat(sender, heartbeat, self.now_us)
+
+    def publish_list(self, front: SimulatedFront) -> None:
+        if front.policy is not None:
+            entries = tuple(server.list_entry() for server in self.servers.values())
+            front.policy.handle(ListUpdate(ListMode.FULL, entries), self.now_us)
+
+    # Clients.
+
+    def add_client(self, crowd_index: int) -> None:
+        crowd = self.crowds[crowd_index]
+        self.after(
+            self.rng.expovariate(crowd.per_s * self.scale) * 1e6, partial(self.add_client, crowd_index)
+        )
+        title = f"{self.rng.choice(crowd.titles)}-{self.rng.randrange(self.scale)}"
+        is_hasty = self.rng.random() < 0.75
+        self.send_request(
+            SimulatedClient(next(self.client_ids), crowd.room_type, self.titles[title][0], is_hasty)
+        )
+
+    def send_request(self, client: SimulatedClient) -> None:
+        client.tries += 1
         self.requests += 1
-        side = self.chance.choice(self.sides)
-        if side.front is None:
-            self.come_again(viewer, 500_000)
+        front = self.rng.choice(self.fronts)
+        if front.policy is None:
+            self.retry_later(client, 500_000)
             return
-        title = self.settings.titles[viewer.title]
-        id = f"{viewer.name}/{viewer.tries}"
-        side.asking[id] = viewer
+        title = self.settings.titles[client.title]
+        id = f"{client.id}/{client.tries}"
+        front.waiting_clients[id] = client
         request = Request(
-            id, viewer.room, viewer.title, title.first_cell, title.cells, len(self.rate_kb) - 1, 1_500_000
+            id,
+            client.room_type,
+            client.title,
+            title.first_cell,
+            title.cells,
+            len(self.rate_kb) - 1,
+            1_500_000,
         )
-        side.front.handle(request, self.now_us)
+        front.policy.handle(request, self.now_us)
 
-    def come_again(self, viewer: Viewer, wait_us: float) -> None:
-        if viewer.tries < 11:
-            self.after(wait_us, partial(self.ask, viewer))
+    def retry_later(self, client: SimulatedClient, delay_us: float) -> None:
+        if client.tries < 11:
+            self.after(delay_us, partial(self.send_request, client))
 
-    def turned_away(self, viewer: Viewer, wait_us: int) -> None:
-        own_us = 300_000 + self.chance.random() * 400_000
-        self.come_again(viewer, own_us if viewer.hasty else max(wait_us, 2_000_000))
+    def on_rejected(self, client: SimulatedClient, retry_after_us: int) -> None:
+        own_delay_us = 300_000 + self.rng.random() * 400_000
+        self.retry_later(client, own_delay_us if client.is_hasty else max(retry_after_us, 2_000_000))
 
-    # Boxes.
+    # Servers.
 
-    def joined(self, side: Side, front: PlacementPolicy, id: str, join: int, server: str) -> None:
-        if side.front is not front or id not in front.sessions:
+    def complete_attempt(
+        self, front: SimulatedFront, policy: PlacementPolicy, id: str, attempt: int, address: str
+    ) -> None:
+        if front.policy is not policy or id not in policy.sessions:
             return
-        self.joins += 1
-        box = self.boxes[server].model
-        found = SetUpResult.CRASHED
-        if box.up:
-            self.used += box.is_warming_up(self.now_us)
-            rate_kb = front.rate_kb(front.sessions[id], side.rungs[id])
-            found = box.set_up((id, join), rate_kb, self.now_us)
-            if found is SetUpResult.CRASHED:
-                box.stop()
-                self.pushed += 1
-        if found is not SetUpResult.STARTED:
-            outcome = Outcome.REJECTED if found is SetUpResult.REJECTED else Outcome.NO_CONNECTION
-            front.handle(AttemptCompleted(id, join, outcome, False, None), self.now_us)
+        self.attempts += 1
+        server = self.servers[address].model
+        result = SetUpResult.CRASHED
+        if server.up:
+            self.warm_up_setups += server.is_warming_up(self.now_us)
+            rate_kb = policy.rate_kb(policy.sessions[id], front.rungs[id])
+            result = server.set_up((id, attempt), rate_kb, self.now_us)
+            if result is SetUpResult.CRASHED:
+                server.stop()
+                self.crashed_servers += 1
+        if result is not SetUpResult.STARTED:
+            outcome = Outcome.REJECTED if result is SetUpResult.REJECTED else Outcome.NO_CONNECTION
+            policy.handle(AttemptCompleted(id, attempt, outcome, False, None), self.now_us)
             return
-        side.asking.pop(id, None)
-        self.played[self.second()] += 1
-        front.handle(SessionStarted(id, join, 20_000), self.now_us)
-        front.handle(SessionReport(id, server, ReportKind.LINK, box.utilization()), self.now_us)
-        self.after(self.chance.expovariate(1 / WATCH_US), partial(self.over, side, front, id, join, box))
-
-    def given_up(self, side: Side, front: PlacementPolicy, id: str, join: int) -> None:
-        if side.front is front and id in front.sessions:
-            self.joins += 1
-            front.handle(AttemptCompleted(id, join, Outcome.NO_ANSWER, False, None), self.now_us)
-
-    def over(self, side: Side, front: PlacementPolicy, id: str, join: int, box: ServerModel) -> None:
-        if box.playing.pop((id, join), None) is not None and side.front is front and id in front.sessions:
-            report = LoadReport(box.utilization(), None)
-            front.handle(AttemptCompleted(id, join, Outcome.SERVED, True, report), self.now_us)
-
-    # The loss.
-
-    def power(self) -> None:
-        for side in self.sides:
-            side.front = side.company = None
-        away = {i for i in range(self.fronts) if self.few and i % 12 < 5}
-        for side in self.sides:
-            if side.index not in away:
-                self.after(self.chance.uniform(1e6, self.late_s), partial(self.start, side))
-        for box in self.boxes.values():
-            box.model.stop()
-            self.after(self.chance.uniform(1e6, self.late_s), partial(self.back, box))
-
-    def back(self, box: Box) -> None:
-        box.model.start(self.now_us)
-        for side in self.sides:
-            self.after(self.chance.randrange(50_000, 500_000), partial(self.tell_box, side, box))
-
-    def tell_box(self, side: Side, box: Box) -> None:
-        if side.front is not None:
-            side.front.handle(ListUpdate(ListMode.INCREMENTAL, (box.listed(),)), self.now_us)
-
-    def play(self) -> None:
-        for side in self.sides:
-            self.start(side)
-        for at in range(len(self.crowds)):
-            self.after(0, partial(self.arrive, at))
-        self.after(POWER_S * 1e6, self.power)
-        self.run(BEGAN_US + END_S * 1_000_000)
-
-    def turns_used(self) -> float:
-        """The part of the turns that came at cold boxes which brought a set-up."""
-        turns = sum(box.model.streams * (1 + self.cold) / 2 for box in self.boxes.values())
-        return self.used / turns
-
-    def bound_s(self, mean: float) -> float:
-        """How soon the boxes' warm-up alone allows nine tenths of the set-ups before."""
-        at_us = BEGAN_US + POWER_S * 1_000_000
-        for step in range(0, 40_000_000, 100_000):
-            pace = 0.0
-            for box in self.boxes.values():
-                age = (at_us + step - (box.model.started_us or 0)) / self.ramp_us
-                if box.model.started_us and age >= 0:
-                    warmth = self.cold + (1 - self.cold) * age
-                    pace += box.model.streams * 1e6 / self.ramp_us * warmth if age < 1 else float("inf")
-            if pace >= 0.9 * mean:
-                return step / 1e6
+        front.waiting_clients.pop(id, None)
+        self.setups_by_second[self.second()] += 1
+        policy.handle(SessionStarted(id, attempt, 20_000), self.now_us)
+        policy.handle(SessionReport(id, address, ReportKind.LINK, server.utilization()), self.now_us)
+        self.after(
+            self.rng.expovariate(1 / MEAN_WATCH_US),
+            partial(self.end_session, front, policy, id, attempt, server),
+        )
+
+    def time_out_attempt(self, front: SimulatedFront, policy: PlacementPolicy, id: str, attempt: int) -> None:
+        if front.policy is policy and id in policy.sessions:
+            self.attempts += 1
+            policy.handle(AttemptCompleted(id, attempt, Outcome.NO_ANSWER, False, None), self.now_us)
+
+    def end_session(
+        self, front: SimulatedFront, policy: PlacementPolicy, id: str, attempt: int, server: ServerModel
+    ) -> None:
+        if (
+            server.playing.pop((id, attempt), None) is not None
+            and front.policy is policy
+            and id in policy.sessions
+        ):
+            report = LoadReport(server.utilization(), None)
+            policy.handle(AttemptCompleted(id, attempt, Outcome.SERVED, True, report), self.now_us)
+
+    # The power loss.
+
+    def lose_power(self) -> None:
+        for front in self.fronts:
+            front.policy = front.membership = None
+        absent = {i for i in range(self.front_count) if self.with_absent_fronts and i % 12 < 5}
+        for front in self.fronts:
+            if front.index not in absent:
+                self.after(self.rng.uniform(1e6, self.latest_start_us), partial(self.start_front, front))
+        for server in self.servers.values():
+            server.model.stop()
+            self.after(self.rng.uniform(1e6, self.latest_start_us), partial(self.start_server, server))
+
+    def start_server(self, server: SimulatedServer) -> None:
+        server.model.start(self.now_us)
+        for front in self.fronts:
+            self.after(self.rng.randrange(50_000, 500_000), partial(self.publish_server, front, server))
+
+    def publish_server(self, front: SimulatedFront, server: SimulatedServer) -> None:
+        if front.policy is not None:
+            front.policy.handle(ListUpdate(ListMode.INCREMENTAL, (server.list_entry(),)), self.now_us)
+
+    def run_scenario(self) -> None:
+        for front in self.fronts:
+            self.start_front(front)
+        for crowd_index in range(len(self.crowds)):
+            self.after(0, partial(self.add_client, crowd_index))
+        self.after(POWER_LOSS_S * 1e6, self.lose_power)
+        self.run(START_US + END_S * 1_000_000)
+
+    def used_turn_share(self) -> float:
+        """The share of the turns at servers in warm-up that were used for a set-up."""
+        turns = sum(server.model.streams * (1 + self.start_capacity) / 2 for server in self.servers.values())
+        return self.warm_up_setups / turns
+
+    def warm_up_bound_s(self, mean: float) -> float:
+        """The earliest time at which the servers' warm-up allows 90% of the mean rate of set-ups before."""
+        power_loss_us = START_US + POWER_LOSS_S * 1_000_000
+        for step_us in range(0, 40_000_000, 100_000):
+            rate = 0.0
+            for server in self.servers.values():
+                progress = (power_loss_us + step_us - (server.model.started_us or 0)) / self.ramp_us
+                if server.model.started_us and progress >= 0:
+                    capacity = self.start_capacity + (1 - self.start_capacity) * progress
+                    rate += (
+                        server.model.streams * 1e6 / self.ramp_us * capacity if progress < 1 else float("inf")
+                    )
+            if rate >= 0.9 * mean:
+                return step_us / 1e6
         return float("inf")
 
 
 def main() -> None:
-    """A row for each size and variant."""
+    """Print a row for each size and variant."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--fronts", default="12,50,200")
     parser.add_argument("--variants", default="turns,leases")
@@ -366,24 +425,30 @@
     parser.add_argument("--cut", action="store_true")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    day = read("power-loss")
-    for fronts in map(int, options.fronts.split(",")):
+    scenario = read("power-loss")
+    for front_count in map(int, options.fronts.split(",")):
         for variant in options.variants.split(","):
-            sea = Sea(day, fronts, variant, options.few, options.seed, options.cut)
-            sea.play()
-            before = sea.played[POWER_S - 6 : POWER_S]
+            simulation = Simulation(scenario, front_count, variant, options.few, options.seed, options.cut)
+            simulation.run_scenario()
+            before = simulation.setups_by_second[POWER_LOSS_S - 6 : POWER_LOSS_S]
             mean = sum(before) / 6
-            back = next(
-                (at - POWER_S for at in range(POWER_S + 1, END_S - 3)
-                 if sum(sea.played[at : at + 3]) / 3 >= 0.9 * mean), None)  # fmt: skip
-            share = sum(sea.played[POWER_S + 1 : POWER_S + 31]) / (30 * mean)
+            recovery_s = next(
+                (
+                    second - POWER_LOSS_S
+                    for second in range(POWER_LOSS_S + 1, END_S - 3)
+                    if sum(simulation.setups_by_second[second : second + 3]) / 3 >= 0.9 * mean
+                ),
+                None,
+            )
+            share = sum(simulation.setups_by_second[POWER_LOSS_S + 1 : POWER_LOSS_S + 31]) / (30 * mean)
             print(
-                f"{fronts:4} fronts, {len(sea.boxes):4} boxes, {variant:7}{', few' if options.few else ''}"
-                f"{', cut' if options.cut else ''}: "
-                f"{mean:.0f} set-ups a second before, 90% back after {back} s (warm-up alone "
-                f"{sea.bound_s(mean):.1f}), {share:.2f} of the first 30 s, {sea.turns_used():.2f} of cold "
-                f"turns used, {sea.pushed} pushed over, "
-                f"{sea.joins / sea.requests:.2f} joins a request",
+                f"{front_count:4} fronts, {len(simulation.servers):4} servers, "
+                f"{variant:7}{', few' if options.few else ''}{', cut' if options.cut else ''}: "
+                f"{mean:.0f} set-ups per second before, 90% restored after {recovery_s} s (warm-up alone "
+                f"{simulation.warm_up_bound_s(mean):.1f}), {share:.2f} in the first 30 s, "
+                f"{simulation.used_turn_share():.2f} of the turns in warm-up used, "
+                f"{simulation.crashed_servers} crashed servers, "
+                f"{simulation.attempts / simulation.requests:.2f} attempts per request",
                 flush=True,
             )
 
