--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -73,10 +73,13 @@
     return replace(ListEntry(address, "here", "kind", cell, ServerState.ACTIVE, 1.0, 0), **changes)
 
 
-def front(
+def make_policy(
     servers: int = 3, service_class: dict[str, Any] | None = None, warm: bool = True, **settings: Any
 ) -> tuple[PlacementPolicy, Recorder]:
-    """A policy at 100 s and its recorded effects; each server has warmed up and reported an empty link."""
+    """Return a policy at 100 s and its recorded effects; each server has reported an empty link.
+
+    The servers have warmed up, unless `warm` is False: then the policy is at 0 s.
+    """
     service_classes = {"standard": replace(SERVICE_CLASS, **(service_class or {}))}
     effects = Recorder()
     policy = PlacementPolicy(replace(SETTINGS, service_classes=service_classes, **settings), 7, effects, 0)
@@ -99,10 +102,10 @@
     outcome: Outcome,
     id: str = "a",
     attempt: int = 0,
-    after: int = SECOND_US // 10,
+    delay_us: int = SECOND_US // 10,
     finished: bool = False,
 ) -> None:
-    policy.handle(AttemptCompleted(id, attempt, outcome, finished, None), policy.now_us + after)
+    policy.handle(AttemptCompleted(id, attempt, outcome, finished, None), policy.now_us + delay_us)
 
 
 def establish_session(policy: PlacementPolicy, id: str = "a", **changes: Any) -> None:
@@ -114,6 +117,8 @@
 
 
 def report_measurement(
-    policy: PlacementPolicy, kind: ReportKind, level: float, id: str = "a", after: int = SECOND_US
+    policy: PlacementPolicy, kind: ReportKind, level: float, id: str = "a", delay_us: int = SECOND_US
 ) -> None:
-    policy.handle(SessionReport(id, policy.sessions[id].server.address, kind, level), policy.now_us + after)
+    policy.handle(
+        SessionReport(id, policy.sessions[id].server.address, kind, level), policy.now_us + delay_us
+    )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -51,15 +51,15 @@
     return CorePorts(port, port, port)
 
 
-def wait_for(condition: Callable[[], Any], what: str) -> Any:
+def wait_for(condition: Callable[[], Any], description: str) -> Any:
     """Wait until a condition is true and return its value; the time limit ends a test that would hang."""
     pause = threading.Event()
     for _ in range(round(WAIT_TIMEOUT_S / 0.005)):
-        found = condition()
-        if found:
-            return found
+        value = condition()
+        if value:
+            return value
         pause.wait(0.005)
-    raise AssertionError(f"timed out waiting for {what}")
+    raise AssertionError(f"timed out waiting for {description}")
 
 
 class FrontTestCase(unittest.TestCase):
@@ -78,10 +78,12 @@
             model = ServerModel(5000, 50, rack, 1_000_000, 0.5, 2.0, 1_000_000)
             rack.servers.append(model)
             self.boxes.append(EmulatedServer(f"box-{i}", model, self.clock, self.recorder, 0.05))
-        for box in self.boxes:
-            box.start()
-            self.addCleanup(box.stop)
-        self.known = [ListedServer(box.address, "zone", "k", i, 1.0) for i, box in enumerate(self.boxes)]
+        for server in self.boxes:
+            server.start()
+            self.addCleanup(server.stop)
+        self.known = [
+            ListedServer(server.address, "zone", "k", i, 1.0) for i, server in enumerate(self.boxes)
+        ]
         self.lists.publish(*self.known)
         self.lists.start()
         self.addCleanup(self.lists.stop)
@@ -92,7 +94,7 @@
             self.front = self.start_front()
 
     def changed(self, **changes: Any) -> FrontSettings:
-        """Return the test settings with changes; those of the groups `limits` and `rules` are merged."""
+        """Return the test settings with changed groups; `limits` and `rules` are merged with the test's."""
         settings = parse(SETTINGS, FrontSettings, "test")
         lists = msgspec.structs.replace(settings.lists, address=self.lists.address)
         for group in ("limits", "rules"):
@@ -113,17 +115,18 @@
             front.stop()
 
     def player(self) -> HttpClient:
-        player = HttpClient(self.front.door.address, self.clock)
-        self.addCleanup(player.close)
-        return player
+        """Return a new client of the front, which is closed after the test."""
+        client = HttpClient(self.front.door.address, self.clock)
+        self.addCleanup(client.close)
+        return client
 
     def ask(
-        self, room: str = "free", player: HttpClient | None = None, headers: Any = (), **body: Any
+        self, service_class: str = "free", client: HttpClient | None = None, headers: Any = (), **body: Any
     ) -> Response:
         """Request a session and return the response."""
-        content = msgspec.json.encode({"room_type": room, "title": "t1", **body})
+        content = msgspec.json.encode({"room_type": service_class, "title": "t1", **body})
         fields = [("Content-Type", "application/json"), *headers]
-        return (player or self.player()).ask("POST", "/v1/subscriptions", fields, content, WAIT_TIMEOUT_S)
+        return (client or self.player()).ask("POST", "/v1/subscriptions", fields, content, WAIT_TIMEOUT_S)
 
     def request_concurrently(self, count: int, **body: Any) -> list[Response]:
         """Request `count` sessions concurrently and return the responses."""
@@ -146,7 +149,7 @@
     def get(self, path: str, headers: Any = (), method: str = "GET") -> Response:
         return self.player().ask(method, path, list(headers), b"", WAIT_TIMEOUT_S)
 
-    def seen(self, what: str, **fields: Any) -> list[Record]:
+    def find_records(self, what: str, **fields: Any) -> list[Record]:
         """Return the records of a kind with these field values."""
         with self.recorder.lock:
             records = list(self.recorder.records)
@@ -158,15 +161,17 @@
 
     def wait_for_records(self, what: str, count: int = 1, **fields: Any) -> list[Record]:
         """Wait for `count` records of a kind with these field values, and return them."""
-        wait_for(lambda: len(self.seen(what, **fields)) >= count, f"{count} records of {what} {fields}")
-        return self.seen(what, **fields)
+        wait_for(
+            lambda: len(self.find_records(what, **fields)) >= count, f"{count} records of {what} {fields}"
+        )
+        return self.find_records(what, **fields)
 
     def leave_one_active(self, index: int) -> None:
         """Publish a list on which only the server with this index is active."""
         self.lists.publish(
             *[
-                ListedServer(known.address, "zone", "k", i, 1.0, "active" if i == index else "leaving")
-                for i, known in enumerate(self.known)
+                ListedServer(server.address, "zone", "k", i, 1.0, "active" if i == index else "leaving")
+                for i, server in enumerate(self.known)
             ]
         )
         version = self.lists.version
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -39,12 +39,12 @@
 
     def test_hopeless_requests_are_rejected_with_retry_after_and_send_nothing(self) -> None:
         self.start_with_fair_queue(300, wait_ms=20.0)
-        responses = self.request_concurrently(6, room="once")
+        responses = self.request_concurrently(6, service_class="once")
         rejected = [response for response in responses if response.status == 503]
         assert rejected
         assert all(response.head.get(b"retry-after") for response in rejected)
         # This service class permits one attempt: a rejected request was never sent to a server.
-        assert len(self.seen("set_up")) == 6 - len(rejected)
+        assert len(self.find_records("set_up")) == 6 - len(rejected)
 
     def test_a_disconnected_client_leaves_the_queue_and_the_slots_unchanged(self) -> None:
         self.start_with_fair_queue(600)
@@ -52,22 +52,22 @@
         for thread in in_flight:
             thread.start()
         wait_for(lambda: self.scheduler().status()["out"] == 2, "both slots in use")
-        player = self.player()
-        waiting = threading.Thread(target=lambda: self._send_interrupted_request(player))
+        client = self.player()
+        waiting = threading.Thread(target=lambda: self._send_interrupted_request(client))
         waiting.start()
         wait_for(lambda: self.scheduler().status()["waiting"] == 1, "one waiting request")
-        assert player.sock is not None
-        player.sock.shutdown(2)
+        assert client.sock is not None
+        client.sock.shutdown(2)
         waiting.join()
         wait_for(lambda: self.scheduler().status()["waiting"] == 0, "an empty queue")
         for thread in in_flight:
             thread.join()
-        assert len(self.seen("set_up")) == 2
+        assert len(self.find_records("set_up")) == 2
         assert self.scheduler().status()["out"] == 0
 
-    def _send_interrupted_request(self, player: Any) -> None:
+    def _send_interrupted_request(self, client: Any) -> None:
         try:
-            self.ask(player=player)
+            self.ask(client=client)
         except Exception as error:
             assert type(error).__name__ == "Unanswered"
 
@@ -118,7 +118,7 @@
             thread.start()
         for thread in threads:
             thread.join()
-        assert len(self.seen("set_up_over", how="started")) == 9
+        assert len(self.find_records("set_up_over", how="started")) == 9
         assert self.max_setups_in_flight() <= 2
 
 
--- a/tests/test_http_sessions.py
+++ b/tests/test_http_sessions.py
@@ -107,14 +107,14 @@
             assert self.ask(top_rung=0).status == 201
         overloaded = self.boxes[0]
         overloaded.faults.full = True
-        reached_servers = {record["box"] for record in self.seen("set_up")}
+        reached_servers = {record["box"] for record in self.find_records("set_up")}
         assert overloaded.address in reached_servers
         server = self.front.core.policy.servers[overloaded.address]
         wait_for(lambda: (server.link.report or 0) >= 1.0, "the report of overload")
-        before = len(self.seen("set_up", box=overloaded.address))
+        before = len(self.find_records("set_up", box=overloaded.address))
         for _ in range(20):
             assert self.ask(top_rung=0).status == 201
-        assert len(self.seen("set_up", box=overloaded.address)) == before
+        assert len(self.find_records("set_up", box=overloaded.address)) == before
 
     def test_client_disconnects_while_its_attempt_is_in_flight(self) -> None:
         for media_server in self.boxes:
@@ -129,7 +129,7 @@
             lambda: not self.front.core.sessions and not self.front.core.policy.sessions,
             "the sessions to be released",
         )
-        assert len(self.seen("set_up")) == 1
+        assert len(self.find_records("set_up")) == 1
 
     def test_server_that_responds_after_the_timeout_gets_a_release(self) -> None:
         self.boxes[0].faults.slow_ms = 1500
@@ -186,7 +186,7 @@
         wait_for(lambda: once_id not in self.front.core.sessions, "the session to be lost")
         ended = self.get(f"/v1/subscriptions/{once_id}")
         assert (ended.status, ended.body["type"].rpartition(":")[2]) == (410, "ended")
-        assert len(self.seen("set_up", subscription=once_id)) == 1
+        assert len(self.find_records("set_up", subscription=once_id)) == 1
         wait_for(lambda: self.front.core.counts.get("moves_made"), "the migration")
         migrated = self.get(f"/v1/subscriptions/{free_id}")
         assert migrated.status == 200
@@ -204,10 +204,10 @@
         view = self.get(f"/v1/subscriptions/{id}")
         assert view.status == 200
         assert view.body["box"] != source.address
-        first, second = self.seen("set_up", subscription=id)
+        first, second = self.find_records("set_up", subscription=id)
         assert (first["join"], second["join"]) == (0, 1)
-        completed = self.seen("set_up_over", subscription=id, join=1)[0]
-        released = self.seen("released", subscription=id, box=source.address)[0]
+        completed = self.find_records("set_up_over", subscription=id, join=1)[0]
+        released = self.find_records("released", subscription=id, box=source.address)[0]
         assert completed["t_us"] < released["t_us"], "released before the new server had the session"
         assert self.get(f"/v1/subscriptions/{id}", method="DELETE").status == 204
         self.wait_for_records("released", subscription=id, box=view.body["box"], held=True)
@@ -221,7 +221,7 @@
         source = self.server_of(id)
         self.drain(source)
         wait_for(lambda: self.front.core.counts.get("moves_given_up"), "the migration to be abandoned")
-        assert len(self.seen("set_up", subscription=id)) == 1
+        assert len(self.find_records("set_up", subscription=id)) == 1
         assert self.get(f"/v1/subscriptions/{id}").body["box"] == source.address
         wait_for(
             lambda: not self.front.core.draining.may_command(source.address), "the end of the grace period"
@@ -229,7 +229,7 @@
         # After the drain's grace period the front sends the old server nothing more, not even a release.
         assert self.get(f"/v1/subscriptions/{id}", method="DELETE").status == 204
         assert self.front.core.commands.queue.count == 0
-        assert self.seen("released", subscription=id) == []
+        assert self.find_records("released", subscription=id) == []
 
     def test_session_that_may_be_set_up_only_once_ends_when_its_server_leaves_the_list(self) -> None:
         id = self.ask("once").body["id"]
@@ -237,7 +237,7 @@
         wait_for(lambda: id not in self.front.core.sessions, "the session to end")
         ended = self.get(f"/v1/subscriptions/{id}")
         assert (ended.status, ended.body["detail"]) == (410, "its box has left, and no other may take it")
-        assert len(self.seen("set_up", subscription=id)) == 1
+        assert len(self.find_records("set_up", subscription=id)) == 1
 
     def test_session_released_during_its_migration_leaves_nothing_on_either_server(self) -> None:
         id = self.ask().body["id"]
@@ -263,9 +263,9 @@
         self.wait_for_records("set_up_over", 2, subscription=id, how="error")
         for media_server in other_servers:
             media_server.faults.errors = False
-        attempts = self.seen("set_up", subscription=id)
+        attempts = self.find_records("set_up", subscription=id)
         completed_us = {
-            (record["join"]): record["t_us"] for record in self.seen("set_up_over", subscription=id)
+            (record["join"]): record["t_us"] for record in self.find_records("set_up_over", subscription=id)
         }
         for before, after in pairwise(attempts):
             assert completed_us[before["join"]] <= after["t_us"]
@@ -330,9 +330,9 @@
             media_server.faults.reset = True
         attempt_counts: list[int] = []
         for _ in range(count):
-            before = len(self.seen("set_up"))
+            before = len(self.find_records("set_up"))
             assert self.ask().status == 503
-            attempt_counts.append(len(self.seen("set_up")) - before)
+            attempt_counts.append(len(self.find_records("set_up")) - before)
         return attempt_counts
 
     def test_without_a_retry_budget_every_replica_is_tried(self) -> None:
@@ -374,15 +374,15 @@
         self.front = self.start_front()
         for media_server in self.boxes:
             media_server.faults.hang = True
-        player = self.player()
-        response = self.ask(player=player)
+        client = self.player()
+        response = self.ask(client=client)
         assert response.status == 503
         assert response.head.get(b"retry-after")
         id = response.body["instance"].rpartition("/")[2]
-        attempts = self.seen("set_up", subscription=id)
+        attempts = self.find_records("set_up", subscription=id)
         assert [attempt["join"] for attempt in attempts] == [0, 1, 2, 3, 4]
         assert len({attempt["box"] for attempt in attempts}) == 5
-        assert not player.has_unread_data()
+        assert not client.has_unread_data()
         wait_for(lambda: not self.front.core.policy.sessions, "the sessions to be released")
 
 
@@ -446,10 +446,12 @@
             media_server.faults.hang = True
         responses: list[tuple[str, int]] = []
 
-        def set_up(room: str) -> None:
-            responses.append((room, self.ask(room).status))
+        def set_up(service_class: str) -> None:
+            responses.append((service_class, self.ask(service_class).status))
 
-        threads = [threading.Thread(target=set_up, args=(room,)) for room in ("free", "once") * 4]
+        threads = [
+            threading.Thread(target=set_up, args=(service_class,)) for service_class in ("free", "once") * 4
+        ]
         for thread in threads:
             thread.start()
         self.wait_for_records("set_up", 8)
--- a/tests/test_placement_policy.py
+++ b/tests/test_placement_policy.py
@@ -44,7 +44,7 @@
     complete_attempt,
     entry,
     establish_session,
-    front,
+    make_policy,
     report_measurement,
     request_session,
 )
@@ -57,7 +57,7 @@
         assert utilization_factor(-0.1) == inf
 
     def test_server_takes_its_scarcest_resource(self) -> None:
-        policy, _ = front()
+        policy, _ = make_policy()
         server = policy.servers["s0"]
         policy.update_residuals([server])
         by_link, _ = policy.utilization_factors(server, 500.0)
@@ -69,14 +69,14 @@
     def test_estimated_loads_fill_no_streams(self) -> None:
         # At low rates, the load assumed for links without a report filled all streams: a front that had just
         # started rejected every request.
-        policy, effects = front(3, streams_by_kind={"kind": 4})
+        policy, effects = make_policy(3, streams_by_kind={"kind": 4})
         for server in policy.servers.values():
             server.link.report = None
         request_session(policy)
         assert effects.calls[-1][0] == "start_attempt"
 
     def test_network_takes_the_uplink(self) -> None:
-        policy, _ = front()
+        policy, _ = make_policy()
         policy.racks[0].uplink.observe(0.5, policy.now_us)
         policy.update_residuals([policy.servers["s0"]])
         self.assertAlmostEqual(policy.utilization_factors(policy.servers["s0"], 250.0)[1], 0.3**-0.5)
@@ -85,7 +85,7 @@
 class HostHookTest(unittest.TestCase):
     def test_a_host_may_exclude_a_server(self) -> None:
         # Otherwise a host that knows of full slots or an unreachable server has to refuse the attempt itself.
-        policy, effects = front(3)
+        policy, effects = make_policy(3)
         policy.may_use = lambda id, address: address == "s2"
         request_session(policy)
         assert [call[2] for call in effects.named("start_attempt")] == ["s2"]
@@ -96,13 +96,13 @@
 
 class DrawTest(unittest.TestCase):
     def test_uniform_when_the_network_is_the_bottleneck(self) -> None:
-        policy, _ = front()
+        policy, _ = make_policy()
         rows = [(policy.servers["s0"], 1.0, 9.0), (policy.servers["s1"], 8.0, 9.0)]
         drawn = Counter(policy.draw_server(rows).address for _ in range(2000))
         self.assertAlmostEqual(drawn["s0"] / 2000, 0.5, delta=0.05)
 
     def test_weighted_by_the_inverse_factor_when_servers_are(self) -> None:
-        policy, _ = front()
+        policy, _ = make_policy()
         rows = [(policy.servers["s0"], 1.0, 0.5), (policy.servers["s1"], 3.0, 0.5)]
         drawn = Counter(policy.draw_server(rows).address for _ in range(2000))
         self.assertAlmostEqual(drawn["s0"] / 2000, 0.75, delta=0.05)
@@ -110,33 +110,33 @@
 
 class RungTest(unittest.TestCase):
     def test_highest_rung_that_leaves_a_replica_feasible(self) -> None:
-        policy, effects = front()
+        policy, effects = make_policy()
         for server in policy.servers.values():
             server.link.observe(0.6, policy.now_us)
         request_session(policy)
         assert effects.named("set_rung") == [("set_rung", "a", 1)]
 
     def test_rung_is_limited_by_the_top_rung_of_the_client(self) -> None:
-        policy, effects = front()
+        policy, effects = make_policy()
         request_session(policy, top_rung=0)
         assert effects.named("set_rung") == [("set_rung", "a", 0)]
 
     def test_one_front_one_server_and_an_uplink_without_a_stated_capacity(self) -> None:
-        policy, effects = front(1, front_count=1, uplink_kb=0.0)
+        policy, effects = make_policy(1, front_count=1, uplink_kb=0.0)
         request_session(policy)
         assert effects.named("set_rung") == [("set_rung", "a", 2)]
         request_session(policy, "no-replica", first_cell=3, cell_count=1)
         assert effects.calls[-1][0] == "reject"
 
     def test_rejected_at_once_without_capacity(self) -> None:
-        policy, effects = front()
+        policy, effects = make_policy()
         for server in policy.servers.values():
             server.link.observe(1.0, policy.now_us)
         request_session(policy)
         assert effects.calls == [("reject", "a", 2 * SECOND_US)]
 
     def test_new_session_leaves_out_steps_while_others_wait_for_better_ones(self) -> None:
-        policy, effects = front(1, rung_utilities=(0.5, 0.9, 1.0))
+        policy, effects = make_policy(1, rung_utilities=(0.5, 0.9, 1.0))
         establish_session(policy)
         policy.sessions["a"].rung = 0
         request_session(policy, "b")
@@ -144,7 +144,7 @@
 
     def test_crosses_zones_only_for_more_than_the_price(self) -> None:
         for price, zone in ((0.2, "there"), (0.9, "here")):
-            policy, effects = front(2, cross_zone_price=price)
+            policy, effects = make_policy(2, cross_zone_price=price)
             policy.servers["s1"].zone = "there"
             policy.servers["s0"].link.observe(0.7, policy.now_us)
             policy.mean_offered_utility = 1.0
@@ -155,11 +155,11 @@
 class TitleSurgeTest(unittest.TestCase):
     def test_three_requests_for_a_title_count_for_other_fronts_and_retries_do_not(self) -> None:
         # Where servers failed, the retries of one request counted as a surge and kept its title at low rungs.
-        policy, _ = front(3, front_count=10)
+        policy, _ = make_policy(3, front_count=10)
         sent_kb = lambda: sum(s.link.unreported_kb - s.own_kb for s in policy.servers.values())  # noqa: E731
         request_session(policy)
         for attempt in range(2):
-            complete_attempt(policy, Outcome.SERVER_ERROR, attempt=attempt, after=SECOND_US // 100)
+            complete_attempt(policy, Outcome.SERVER_ERROR, attempt=attempt, delay_us=SECOND_US // 100)
         assert len(policy.sessions["a"].attempts) == 3
         self.assertAlmostEqual(sent_kb(), 0.0)
         request_session(policy, "b")
@@ -184,21 +184,21 @@
         assert link.utilization() == 0.7
 
     def test_the_first_report_does_not_include_the_new_session(self) -> None:
-        policy, _ = front(1)
+        policy, _ = make_policy(1)
         establish_session(policy)
-        report_measurement(policy, ReportKind.LINK, 0.3, after=0)
+        report_measurement(policy, ReportKind.LINK, 0.3, delay_us=0)
         self.assertAlmostEqual(policy.servers["s0"].link.utilization(), 0.3 + 400 / 3000)
 
     def test_a_link_without_a_report_counts_as_average_and_above_it_if_servers_never_reject(self) -> None:
         # If servers never reject: the mean of 0.2, 0.6, 0.25 and 0.75, plus their mean deviation.
         for threshold, free_share in ((1.0, 0.9 - 0.4), (0.0, 0.9 - 0.45 - 0.225)):
-            policy, _ = front(3, rejects_at=threshold)
+            policy, _ = make_policy(3, rejects_at=threshold)
             for i, reported_share in enumerate((0.2, 0.6, None)):
                 policy.servers[f"s{i}"].link.report = reported_share
             self.assertAlmostEqual(policy.residual_link(policy.servers["s2"]), free_share)
 
     def test_events_handled_late_use_the_list_update_and_the_time_left(self) -> None:
-        policy, effects = front(2)  # a front that stalled handles both at once
+        policy, effects = make_policy(2)  # a front that stalled handles both at once
         update = (entry("s0", 0, state=ServerState.LEAVING),)
         policy.handle(ListUpdate(ListMode.INCREMENTAL, update), policy.now_us)
         request_session(policy, timeout_us=SECOND_US // 10)
@@ -206,7 +206,7 @@
         assert (server, timeout_us) == ("s1", SECOND_US // 10)
 
     def test_servers_that_left_the_list_are_deleted(self) -> None:
-        policy, _ = front(3)
+        policy, _ = make_policy(3)
         establish_session(policy, first_cell=1, cell_count=1)
         departed = tuple(entry(f"s{i}", i, state=ServerState.LEFT) for i in (0, 1))
         policy.handle(ListUpdate(ListMode.INCREMENTAL, departed), policy.now_us)
@@ -214,13 +214,13 @@
         assert policy.replicas[0] == []
 
     def test_handed_over_session_uses_capacity_at_its_rung(self) -> None:
-        policy, _ = front()
+        policy, _ = make_policy()
         policy.handle(Handover(Request("old", "standard", 5, 0, 3, 2, 0), "s0"), policy.now_us)
         report_measurement(policy, ReportKind.RUNG, 2.0, "old")
         self.assertAlmostEqual(policy.residual_link(policy.servers["s0"]), 0.9 - 0.4)
 
     def test_short_delivery_marks_the_link_full_until_delivery_is_full(self) -> None:
-        policy, _ = front()
+        policy, _ = make_policy()
         establish_session(policy)
         server = policy.sessions["a"].server
         report_measurement(policy, ReportKind.DELIVERED, 0.9)
@@ -231,18 +231,18 @@
 
 class RungChangeTest(unittest.TestCase):
     def test_short_delivery_counts_as_a_report_while_reports_are_missing(self) -> None:
-        policy, _ = front(1)
+        policy, _ = make_policy(1)
         establish_session(policy)
         policy.servers["s0"].link.observe(0.95, policy.now_us)
         report_measurement(policy, ReportKind.DELIVERED, 0.8)
         assert policy.sessions["a"].rung == 2  # the recent report takes precedence
-        report_measurement(policy, ReportKind.DELIVERED, 0.8, after=6 * SECOND_US)
+        report_measurement(policy, ReportKind.DELIVERED, 0.8, delay_us=6 * SECOND_US)
         assert policy.sessions["a"].rung < 2
 
     def test_short_delivery_on_a_link_with_capacity_counts_as_a_full_uplink(self) -> None:
         # Without reports on uplinks, racks delivered short for good while their links had capacity.
         for is_reported, rung in ((False, 1), (True, 2)):
-            policy, _ = front(1, reports_uplinks=is_reported)
+            policy, _ = make_policy(1, reports_uplinks=is_reported)
             establish_session(policy)
             policy.servers["s0"].link.observe(0.5, policy.now_us)
             report_measurement(policy, ReportKind.DELIVERED, 0.6)
@@ -251,7 +251,7 @@
 
     def test_short_delivery_of_one_server_does_not_count_against_its_rack(self) -> None:
         # Bursts of another workload on a few servers kept all sessions in their racks at low rungs.
-        policy, _ = front(6, reports_uplinks=False)
+        policy, _ = make_policy(6, reports_uplinks=False)
         establish_session(policy)
         server = policy.sessions["a"].server
         assert len(server.rack.servers) == 3
@@ -267,7 +267,7 @@
     def test_a_full_uplink_without_reports_recovers_with_time(self) -> None:
         # One moment of short delivery kept a rack at low rungs for the rest of a scenario: no report showed
         # that it was over.
-        policy, _ = front(1, reports_uplinks=False)
+        policy, _ = make_policy(1, reports_uplinks=False)
         establish_session(policy)
         server = policy.servers["s0"]
         server.link.observe(0.5, policy.now_us)
@@ -278,29 +278,29 @@
         self.assertAlmostEqual(policy.uplink_utilization(server.rack), own_share, places=3)
 
     def test_estimated_loads_of_links_fill_no_uplink(self) -> None:
-        policy, _ = front(6)
+        policy, _ = make_policy(6)
         for server in policy.servers.values():
             server.link.report = None
         establish_session(policy, first_cell=0, cell_count=1)
         self.assertAlmostEqual(policy.uplink_utilization(policy.racks[0]), policy.servers["s0"].own_kb / 2500)
 
     def test_a_full_link_lowers_the_rung_of_its_session(self) -> None:
-        policy, effects = front(1)
+        policy, effects = make_policy(1)
         establish_session(policy)
         report_measurement(policy, ReportKind.LINK, 1.3)
         assert ("set_rung", "a", 1) in effects.calls
 
     def test_an_overload_reported_to_all_fronts_is_not_relieved_twice(self) -> None:
-        policy, effects = front(1)
+        policy, effects = make_policy(1)
         establish_session(policy)
         policy.sessions["a"].has_report = True
         report_measurement(policy, ReportKind.LINK, 1.3)
         lowered = len(effects.named("set_rung"))
-        report_measurement(policy, ReportKind.LINK, 1.3, after=SECOND_US // 2)
+        report_measurement(policy, ReportKind.LINK, 1.3, delay_us=SECOND_US // 2)
         assert len(effects.named("set_rung")) == lowered
 
     def test_capacity_beyond_the_margin_raises_the_rung(self) -> None:
-        policy, effects = front(1)
+        policy, effects = make_policy(1)
         establish_session(policy)
         policy.sessions["a"].rung = 0
         report_measurement(policy, ReportKind.LINK, 0.75)
@@ -311,7 +311,7 @@
     def test_a_step_larger_than_the_excess_is_taken_with_a_probability(self) -> None:
         lowered = 0
         for seed in range(200):
-            policy, _ = front(1)
+            policy, _ = make_policy(1)
             policy.draw_uniform = Random(seed).random
             establish_session(policy)
             lower_rungs(policy, [policy.sessions["a"].server], 0.125)  # 50 kB/s of a step of 200 kB/s
@@ -319,7 +319,7 @@
         self.assertAlmostEqual(lowered / 200, 0.25, delta=0.08)
 
     def test_the_step_of_most_utility_among_all_sessions_is_lowered_last(self) -> None:
-        policy, _ = front(2, rung_utilities=(0.1, 0.8, 1.0))
+        policy, _ = make_policy(2, rung_utilities=(0.1, 0.8, 1.0))
         establish_session(policy, "low-utility", first_cell=0, cell_count=1)
         establish_session(policy, "high-utility", first_cell=1, cell_count=1)
         policy.sessions["high-utility"].rung = 1
@@ -329,7 +329,7 @@
         assert policy.sessions["low-utility"].rung == 1
 
     def test_the_report_of_a_failed_attempt_is_recorded(self) -> None:
-        policy, _ = front(1)
+        policy, _ = make_policy(1)
         policy.servers["s0"].link.as_of_us = 0
         request_session(policy)
         policy.handle(
@@ -339,7 +339,7 @@
         assert (server.link.report, server.rack.uplink.report) == (1.2, 0.8)
 
     def test_one_attempt_at_a_time_and_each_replica_once(self) -> None:
-        policy, effects = front(2)
+        policy, effects = make_policy(2)
         request_session(policy)
         complete_attempt(policy, Outcome.SERVER_ERROR)
         assert {call[2] for call in effects.named("start_attempt")} == {"s0", "s1"}
@@ -347,7 +347,7 @@
         assert len(effects.named("reject")) == 1
 
     def test_an_attempt_leaves_time_for_another_and_ends_by_the_client_timeout(self) -> None:
-        policy, effects = front()
+        policy, effects = make_policy()
         request_session(policy)
         assert effects.named("start_attempt")[0][3] == SECOND_US // 2
         request_session(policy, "b", timeout_us=SECOND_US // 10)
@@ -355,7 +355,7 @@
 
     def test_a_single_shot_that_may_have_run_is_neither_repeated_nor_rejected(self) -> None:
         for outcome, call in ((Outcome.NO_ANSWER, "fail"), (Outcome.NO_CONNECTION, "start_attempt")):
-            policy, effects = front(service_class={"effect": Effect.SINGLE_SHOT})
+            policy, effects = make_policy(service_class={"effect": Effect.SINGLE_SHOT})
             request_session(policy)
             effects.calls.clear()
             complete_attempt(policy, outcome)
@@ -363,17 +363,17 @@
 
     def test_a_guarded_repeat_stays_in_the_scope_and_lifetime_of_its_key(self) -> None:
         guarded = {"effect": Effect.GUARDED, "scope": Scope.CELL}
-        policy, effects = front(service_class=guarded)
+        policy, effects = make_policy(service_class=guarded)
         request_session(policy)
         complete_attempt(policy, Outcome.NO_ANSWER)
         assert effects.calls[-1] == ("fail", "a")
-        policy, effects = front(service_class={**guarded, "scope": Scope.ALL})
+        policy, effects = make_policy(service_class={**guarded, "scope": Scope.ALL})
         request_session(policy)
-        complete_attempt(policy, Outcome.NO_ANSWER, after=6 * SECOND_US)
+        complete_attempt(policy, Outcome.NO_ANSWER, delay_us=6 * SECOND_US)
         assert effects.calls[-1][0] == "reject"
 
     def test_no_attempt_is_sent_to_a_draining_or_delisted_server(self) -> None:
-        policy, effects = front(2)
+        policy, effects = make_policy(2)
         leaving = entry("s0", 0, state=ServerState.LEAVING)
         policy.handle(ListUpdate(ListMode.INCREMENTAL, (leaving,)), policy.now_us)
         request_session(policy)
@@ -383,14 +383,14 @@
         assert effects.calls[-1][0] == "reject"
 
     def test_a_warming_server_gets_at_most_one_fronts_share_of_its_pace(self) -> None:
-        policy, effects = front(1)
+        policy, effects = make_policy(1)
         policy.servers["s0"].started_us = policy.now_us - 1
         start_us, sent = policy.now_us, 0
         for tick in range(100):
             request_session(policy, str(tick), start_us + tick * SECOND_US // 10, top_rung=0)
             sent = len(effects.named("start_attempt"))
             if str(tick) in policy.sessions:
-                complete_attempt(policy, Outcome.CANCELLED, str(tick), after=0, finished=True)
+                complete_attempt(policy, Outcome.CANCELLED, str(tick), delay_us=0, finished=True)
         assert sent > 3
         assert sent <= 20 / 2
 
@@ -401,7 +401,7 @@
         for age_us in range(SECOND_US, 9 * SECOND_US, SECOND_US // 2):
             open_turns = 0
             for index in range(fronts):
-                policy, _ = front(
+                policy, _ = make_policy(
                     1,
                     front_count=fronts,
                     front_index=index,
@@ -418,7 +418,7 @@
     def test_repeated_requests_for_a_title_before_a_report_count_for_the_other_fronts(self) -> None:
         # 198 fronts placed one or two sessions each on its few replicas before a report showed the load.
         def added_utilization(title: int) -> list[float]:
-            policy, _ = front(3, front_count=10)
+            policy, _ = make_policy(3, front_count=10)
             added = []
             for number, id in enumerate("abc"):
                 before = sum(server.link.utilization() for server in policy.servers.values())
@@ -432,7 +432,7 @@
         assert added_utilization(title=6)[2] < 2 * first
 
     def test_a_server_that_lost_a_connection_warms_up_before_the_list_shows_a_restart(self) -> None:
-        policy, _ = front()
+        policy, _ = make_policy()
         establish_session(policy)
         server = policy.sessions["a"].server
         complete_attempt(policy, Outcome.CONNECTION_LOST, finished=True)
@@ -440,14 +440,14 @@
         assert server.link.report is None
 
     def test_start_times_on_a_saved_list_are_not_trusted(self) -> None:
-        policy, effects = front(1, warm=False)
+        policy, effects = make_policy(1, warm=False)
         policy.list_is_fresh, policy.created_us = False, 1
         policy.handle(ListUpdate(ListMode.SAVED, (entry("s0", 0),)), 1)
         assert effects.calls == [("fetch_list",)]
         assert policy.is_warming_up(policy.servers["s0"])
 
     def test_lowest_rung_and_seats(self) -> None:
-        policy, effects = front(service_class={"min_rung": 1, "seats": 1})
+        policy, effects = make_policy(service_class={"min_rung": 1, "seats": 1})
         request_session(policy, "low", top_rung=0)
         assert effects.calls[-1][0] == "reject"
         establish_session(policy)
@@ -461,7 +461,7 @@
         assert effects.calls[-1][0] == "start_attempt"
 
     def test_retry_budget(self) -> None:
-        policy, effects = front(retry_base=1.0, retry_window_us=10 * SECOND_US)
+        policy, effects = make_policy(retry_base=1.0, retry_window_us=10 * SECOND_US)
         for id in ("a", "b"):
             request_session(policy, id)
             complete_attempt(policy, Outcome.SERVER_ERROR, id)
@@ -469,13 +469,13 @@
         assert effects.calls[-1] == ("reject", "b", 2 * SECOND_US)
 
     def test_attempt_limit(self) -> None:
-        policy, effects = front(max_attempts=1)
+        policy, effects = make_policy(max_attempts=1)
         request_session(policy)
         complete_attempt(policy, Outcome.SERVER_ERROR)
         assert effects.calls[-1][0] == "reject"
 
     def test_a_failed_list_poll_is_repeated_after_a_pause(self) -> None:
-        policy, effects = front(must_poll_list=True, list_poll_window_us=8 * SECOND_US)
+        policy, effects = make_policy(must_poll_list=True, list_poll_window_us=8 * SECOND_US)
         policy.handle(ListUpdate(ListMode.FAILED, ()), policy.now_us)
         assert effects.calls == [("set_timer", TimerName.POLL_LIST, SECOND_US)]
         policy.handle(TimerFired(TimerName.POLL_LIST), policy.now_us + SECOND_US)
@@ -491,7 +491,7 @@
             Outcome.NO_CONNECTION,
             Outcome.CONNECTION_LOST,
         ):
-            policy, _ = front()
+            policy, _ = make_policy()
             server = policy.servers["s0"]
             record_outcome(policy, server, outcome)
             assert not policy.is_healthy(server), outcome
@@ -502,7 +502,7 @@
             assert server.health is Health.WELL
 
     def test_pause_grows_with_strikes(self) -> None:
-        policy, _ = front()
+        policy, _ = make_policy()
         server = policy.servers["s0"]
         record_outcome(policy, server, Outcome.SERVER_ERROR)
         first = server.suspended_until_us - policy.now_us
@@ -512,14 +512,14 @@
 
     def test_a_request_that_every_server_answers_with_an_error_suspends_none(self) -> None:
         # A few clients with requests that no server can serve had all servers suspended for everybody else.
-        policy, _ = front(2)
+        policy, _ = make_policy(2)
         request_session(policy)
         complete_attempt(policy, Outcome.SERVER_ERROR)
         complete_attempt(policy, Outcome.SERVER_ERROR, attempt=1)
         assert [server.health for server in policy.servers.values()] == [Health.WELL] * 2
 
     def test_an_error_suspends_its_server_once_another_has_served_the_request(self) -> None:
-        policy, effects = front(2)
+        policy, effects = make_policy(2)
         request_session(policy)
         complete_attempt(policy, Outcome.SERVER_ERROR)
         policy.handle(SessionStarted("a", 1, SECOND_US // 10), policy.now_us + SECOND_US // 10)
@@ -527,20 +527,20 @@
         assert (first.health, second.health) == (Health.SHUT, Health.WELL)
 
     def test_a_replica_is_tried_if_none_is_healthy(self) -> None:
-        policy, effects = front(1)
+        policy, effects = make_policy(1)
         record_outcome(policy, policy.servers["s0"], Outcome.SERVER_ERROR)
         request_session(policy)
         assert effects.calls[-1][0] == "start_attempt"
 
     def test_an_ended_session_releases_its_capacity(self) -> None:
-        policy, _ = front(1)
+        policy, _ = make_policy(1)
         establish_session(policy)
         complete_attempt(policy, Outcome.SERVED, finished=True)
         self.assertAlmostEqual(policy.residual_link(policy.servers["s0"]), 0.9)
         assert policy.sessions == {}
 
     def test_a_client_that_disconnects_during_an_attempt_gets_no_answer(self) -> None:
-        policy, effects = front()
+        policy, effects = make_policy()
         request_session(policy)
         policy.handle(ClientGone("a"), policy.now_us)
         effects.calls.clear()
@@ -549,7 +549,7 @@
         policy.handle(ClientGone("a"), policy.now_us)
 
     def test_an_event_without_a_transition_changes_nothing(self) -> None:
-        policy, effects = front()
+        policy, effects = make_policy()
         establish_session(policy)
         effects.calls.clear()
         apply_event(policy, policy.sessions["a"], SessionEvent.CLIENT_GONE)
@@ -566,7 +566,7 @@
         policy.handle(ProbeCompleted(server, outcome, 1000, LoadReport(link, None)), policy.now_us + 2000)
 
     def front_without_reports(self, **settings: Any) -> tuple[PlacementPolicy, Recorder]:
-        policy, effects = front(**settings)
+        policy, effects = make_policy(**settings)
         for server in policy.servers.values():
             server.link.report = None
         return policy, effects
@@ -602,14 +602,14 @@
         assert (policy.sessions, effects.named("start_attempt")) == ({}, [])
 
     def test_none_is_probed_while_all_recent_reports_are_full(self) -> None:
-        policy, effects = front(**self.PROBE_SETTINGS)
+        policy, effects = make_policy(**self.PROBE_SETTINGS)
         for server in policy.servers.values():
             server.link.report, server.link.as_of_us = 1.2, policy.now_us - 2 * SECOND_US
         request_session(policy)
         assert [call[0] for call in effects.calls] == ["reject"]
 
     def test_capacity_found_by_a_probe_is_used_by_the_front_that_sent_it(self) -> None:
-        policy, effects = front(front_count=50, **self.PROBE_SETTINGS)
+        policy, effects = make_policy(front_count=50, **self.PROBE_SETTINGS)
         establish_session(policy, top_rung=2)
         session = policy.sessions["a"]
         set_rungs(policy, {session: 0})
@@ -623,7 +623,7 @@
     def test_a_probe_that_does_not_pay_now_is_scheduled_again(self) -> None:
         # Scheduled only once, a session whose link was marked full at that time was never raised again.
         for price, probe_count in ((0.01, 1), (9.0, 0)):
-            policy, effects = front(probe_price=price, has_unsolicited_reports=False)
+            policy, effects = make_policy(probe_price=price, has_unsolicited_reports=False)
             establish_session(policy)
             set_rungs(policy, {policy.sessions["a"]: 0})
             server = policy.sessions["a"].server
@@ -674,7 +674,7 @@
         assert [len(message.loads) for _, _, message in effects.named("send_peer_message")] == [8]
 
     def test_a_fault_is_reported_to_the_shard_owner_as_a_full_server(self) -> None:
-        policy, effects = front(front_count=9, front_index=5, peer_price=0.01)
+        policy, effects = make_policy(front_count=9, front_index=5, peer_price=0.01)
         request_session(policy)
         complete_attempt(policy, Outcome.NO_ANSWER)
         sent = [message.loads for _, _, message in effects.named("send_peer_message") if message.loads]
@@ -700,7 +700,7 @@
 
 class UtilityTest(unittest.TestCase):
     def test_a_raise_must_repay_its_switch_in_the_time_left(self) -> None:
-        policy, effects = front(rung_switch_cost_us=SECOND_US)
+        policy, effects = make_policy(rung_switch_cost_us=SECOND_US)
         establish_session(policy, expected_play_us=SECOND_US)
         set_rungs(policy, {policy.sessions["a"]: 0})
         effects.calls.clear()
@@ -711,13 +711,13 @@
         assert effects.named("set_rung") == [("set_rung", "a", 2)]  # both steps in one change
 
     def test_an_exceeded_estimate_of_the_playing_time_leaves_half_of_it(self) -> None:
-        policy, _ = front()
+        policy, _ = make_policy()
         establish_session(policy, expected_play_us=10 * SECOND_US)
         policy.now_us += 60 * SECOND_US
         assert policy.remaining_play_us(policy.sessions["a"]) == 5 * SECOND_US
 
     def test_a_request_over_its_tenants_quota_counts_less(self) -> None:
-        policy, _ = front(
+        policy, _ = make_policy(
             quotas={"t": 0.2}, over_quota_utility=0.1
         )  # one request in ten seconds for this front of two
         shares = [
@@ -729,7 +729,7 @@
         assert quota_share(policy, Request("n", "standard", 5, 0, 3, 2, SECOND_US)) == 1.0
 
     def test_the_worst_served_class_counts_a_second_time(self) -> None:
-        policy, _ = front(worst_class_weight=0.5)
+        policy, _ = make_policy(worst_class_weight=0.5)
         other = replace(policy.settings.service_classes["standard"], priority_weight=2.0)
         policy.settings.service_classes["other"] = other
         establish_session(policy, "a")
@@ -740,7 +740,7 @@
         assert policy.class_utility(policy.sessions["a"].service_class) == 1 + 0.5 * 3
 
     def test_the_lowest_rung_may_use_the_reserve(self) -> None:
-        policy, effects = front()
+        policy, effects = make_policy()
         for server in policy.servers.values():
             server.link.observe(0.85, policy.now_us)
         request_session(policy)
@@ -751,7 +751,7 @@
     def test_the_same_seed_gives_the_same_effects(self) -> None:
         calls = []
         for _ in range(2):
-            policy, effects = front(3)
+            policy, effects = make_policy(3)
             for i in range(20):
                 request_session(policy, str(i), title=i)
             calls.append(effects.calls)
@@ -765,7 +765,7 @@
 class SeatTableTest(unittest.TestCase):
     def test_a_title_without_sessions_has_no_entry_in_the_seat_table(self) -> None:
         # Otherwise each title that was ever requested stays in memory until the process ends.
-        policy, _ = front()
+        policy, _ = make_policy()
         for title in range(50):
             establish_session(policy, f"session-{title}", title=title)
             complete_attempt(policy, Outcome.SERVED, f"session-{title}", finished=True)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -100,14 +100,14 @@
         self.addCleanup(directory.cleanup)
         self.start_system(store=StoreSettings(folder=str(Path(directory.name) / "store")))
 
-    def request_with_key(self, key: str = "k1", room: str = "free", **fields: Any) -> Any:
-        return self.ask(room, key=key, cmcd={"sid": "v"}, **fields)
+    def request_with_key(self, key: str = "k1", service_class: str = "free", **fields: Any) -> Any:
+        return self.ask(service_class, key=key, cmcd={"sid": "v"}, **fields)
 
     def test_repeated_request_gets_the_session_and_after_its_end_a_410(self) -> None:
         first, repeated = self.request_with_key(), self.request_with_key(retry=True)
         assert (first.status, repeated.status) == (201, 201)
         assert first.body["id"] == repeated.body["id"]
-        assert len(self.seen("set_up")) == 1
+        assert len(self.find_records("set_up")) == 1
         self.get(f"/v1/subscriptions/{first.body['id']}", method="DELETE")
         closed = self.request_with_key()
         assert (closed.status, closed.body["type"]) == (410, "urn:fennelcove:problem:spent")
@@ -130,7 +130,7 @@
         statuses = sorted(response.status for response in responses)
         assert (len(responses), statuses[0]) == (10, 201)
         assert set(statuses) <= {201, 503}
-        assert len(self.seen("set_up")) == 1
+        assert len(self.find_records("set_up")) == 1
         assert self.front.core.admission_controller.sessions == 1
 
     def test_session_whose_websocket_response_was_lost_is_found_over_http(self) -> None:
@@ -145,13 +145,13 @@
         wait_for(lambda: not self.front.sockets.sessions, "the connection to close")
         repeated = self.request_with_key("k9")
         assert repeated.status == 201
-        assert len(self.seen("set_up")) == 1
+        assert len(self.find_records("set_up")) == 1
 
     def test_rejected_request_may_be_repeated(self) -> None:
         established = [self.ask("few").body["id"] for _ in range(2)]
-        assert self.request_with_key(room="few").status == 503
+        assert self.request_with_key(service_class="few").status == 503
         self.get(f"/v1/subscriptions/{established[0]}", method="DELETE")
-        assert self.request_with_key(room="few").status == 201
+        assert self.request_with_key(service_class="few").status == 201
 
     def test_set_up_that_may_have_run_is_not_repeated_after_the_front_is_killed(self) -> None:
         for server in self.boxes:
@@ -177,7 +177,7 @@
         self.front.core.snapshots.restore(values)
         response = self.request_with_key("k1", "once")
         assert response.status in (502, 504)
-        assert len(self.seen("set_up")) == 1
+        assert len(self.find_records("set_up")) == 1
 
     def test_session_is_found_by_its_key_after_a_restart(self) -> None:
         id = self.request_with_key().body["id"]
@@ -185,7 +185,7 @@
         self.front = self.start_front()
         repeated = self.request_with_key()
         assert (repeated.status, repeated.body["id"]) == (201, id)
-        assert len(self.seen("set_up")) == 1
+        assert len(self.find_records("set_up")) == 1
 
 
 if __name__ == "__main__":
--- a/tests/test_websocket_sessions.py
+++ b/tests/test_websocket_sessions.py
@@ -45,8 +45,8 @@
         assert player.next_of_type("welcome")["front"] == "front-t"
         return player
 
-    def set_up(self, player: WebSocketClient, room: str = "free", **options: Any) -> dict[str, Any]:
-        answer = player.ask("set-up", ask={"room_type": room, "title": "t1", **options})
+    def set_up(self, player: WebSocketClient, service_class: str = "free", **options: Any) -> dict[str, Any]:
+        answer = player.ask("set-up", ask={"room_type": service_class, "title": "t1", **options})
         assert answer["type"] == "playing", answer
         return answer
 
@@ -128,7 +128,7 @@
         answer = second.ask("resume", subscription=id, seen=0)
         assert (answer["type"], answer["missed"], answer["state"]["rung"]) == ("resumed", 2, 0)
         assert "missed" not in second.ask("resume", subscription=id, seen=99)
-        assert len(self.seen("set_up", subscription=id)) == 1
+        assert len(self.find_records("set_up", subscription=id)) == 1
         assert second.ask("resume", subscription="1-" + "0" * 24)["kind"] == "unknown-subscription"
 
     def test_later_claim_of_a_session_wins(self) -> None:
@@ -189,7 +189,7 @@
         for id in ids:
             answer = self.connect().ask("resume", subscription=id, seen=3)
             assert answer["type"] == "resumed"
-            assert len(self.seen("set_up", subscription=id)) == 1
+            assert len(self.find_records("set_up", subscription=id)) == 1
 
     def test_attempt_in_flight_when_the_front_stops_is_answered_before_the_close(self) -> None:
         for media_server in self.boxes:
--- a/tests/test_work_per_event.py
+++ b/tests/test_work_per_event.py
@@ -21,7 +21,14 @@
 from fennelcove.placement import PlacementPolicy
 from fennelcove.placement.state import MAX_SAMPLED_LINKS
 
-from tests.helpers import SECOND_US, complete_attempt, entry, establish_session, front, report_measurement
+from tests.helpers import (
+    SECOND_US,
+    complete_attempt,
+    entry,
+    establish_session,
+    make_policy,
+    report_measurement,
+)
 from tests.node_harness import SETTINGS, notice
 
 USUAL_SERVERS, MANY_SERVERS = 200, 3_200
@@ -51,7 +58,7 @@
 
 def policy_among(servers: int) -> PlacementPolicy:
     """A policy that knows so many servers in two racks, with one session at each of the first few."""
-    policy, _ = front(0, total_links_kb=1_000.0 * servers, uplink_kb=1_000.0 * servers)
+    policy, _ = make_policy(0, total_links_kb=1_000.0 * servers, uplink_kb=1_000.0 * servers)
     policy.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(servers))), policy.now_us)
     for i in range(SESSIONS):
         establish_session(policy, f"session-{i}", first_cell=i % policy.settings.cell_count)
@@ -244,7 +251,9 @@
     def lines_among(servers: int) -> int:
         policy = overloaded(servers)
         report_measurement(policy, ReportKind.LINK, 0.4, "session-3")
-        return lines_run(lambda: report_measurement(policy, ReportKind.DELIVERED, 0.5, "session-3", after=1))
+        return lines_run(
+            lambda: report_measurement(policy, ReportKind.DELIVERED, 0.5, "session-3", delay_us=1)
+        )
 
     assert_no_growth(lines_among)
 
@@ -252,7 +261,7 @@
 def test_servers_whose_sessions_have_ended_are_not_loaded() -> None:
     # Rounding left a remainder in sums of rates, so each server ever used was visited at each session's end.
     sizes = {"total_links_kb": 90_000.0, "uplink_kb": 90_000.0, "ladder_kb": (100.1, 200.3, 400.7)}
-    policy, _ = front(6, {"rate_scale": 0.7}, **sizes)
+    policy, _ = make_policy(6, {"rate_scale": 0.7}, **sizes)
     for i in range(60):
         establish_session(policy, f"session-{i}", first_cell=i % 6, cell_count=6)
     assert any(rack.loaded_servers for rack in policy.racks)
