--- a/benchmarks/fair_sim.py
+++ b/benchmarks/fair_sim.py
@@ -47,7 +47,7 @@
 
 from benchmarks.events import EventScheduler
 
-SLOTS_PER_SERVER, HOLD_US, SLOW_FACTOR = 4, 100_000, 10
+SLOTS_PER_SERVER, SERVICE_TIME_US, SLOW_FACTOR = 4, 100_000, 10
 TENANT_COUNT, NOISY_TENANT, GOSSIP_GROUP_SIZE = 8, 1, 50
 NOISE_START_US, CLIENT_TIMEOUT_US, MAX_SERVICE_TIME_US = 3_000_000, 1_500_000, 1_200_000
 TENANT_LIMIT_SHARE = 0.25
@@ -69,7 +69,7 @@
     @property
     def arrivals_per_s(self) -> float:
         """Normal request rate of all eight tenants together, which needs three fifths of the slots."""
-        return 0.6 * self.fronts * self.server_count * SLOTS_PER_SERVER * 1e6 / HOLD_US
+        return 0.6 * self.fronts * self.server_count * SLOTS_PER_SERVER * 1e6 / SERVICE_TIME_US
 
 
 @dataclass
@@ -237,20 +237,20 @@
         key = waiter.id, 0
         queue.try_acquire(server, key, waiter.tenant, waiter.estimate, now_us)
         waiter.apply(WaiterEvent.PLACED)
-        held_us = self._on_attempt_started(front, server, waiter)
+        service_us = self._on_attempt_started(front, server, waiter)
 
         def on_completion() -> None:
-            hold = queue.release(server, key, self.events.now_us)
+            released = queue.release(server, key, self.events.now_us)
             waiter.apply(WaiterEvent.SLOT_RELEASED)
-            assert hold is not None
-            queue.service_times.observe(waiter.shape, waiter.title, waiter.tenant, held_us)
-            front.gossip.record_usage(int(server[4:]), waiter.tenant, held_us)
-            self._on_attempt_ended(front, server, waiter, held_us)
+            assert released is not None
+            queue.service_times.observe(waiter.shape, waiter.title, waiter.tenant, service_us)
+            front.gossip.record_usage(int(server[4:]), waiter.tenant, service_us)
+            self._on_attempt_ended(front, server, waiter, service_us)
             while (next_waiter := queue.grant_next(server, self.events.now_us)) is not None:
                 assert isinstance(next_waiter, SimulatedRequest)
                 self._place(front, next_waiter)
 
-        self.events.after(held_us, on_completion)
+        self.events.after(service_us, on_completion)
 
     def _send_report(self, front: SimulatedFront) -> None:
         self.events.after(usage_gossip.WINDOW_US, lambda: self._send_report(front))
@@ -299,17 +299,17 @@
             return False
         server = min(eligible, key=lambda name: (self.in_flight[front.index, name], self.rng.random()))
         self.in_flight_by_tenant[front.index, server, waiter.tenant] += 1
-        held_us = self._on_attempt_started(front, server, waiter)
+        service_us = self._on_attempt_started(front, server, waiter)
 
         def on_completion() -> None:
             self.in_flight_by_tenant[front.index, server, waiter.tenant] -= 1
-            self._on_attempt_ended(front, server, waiter, held_us)
+            self._on_attempt_ended(front, server, waiter, service_us)
             for waiting in list(front.plain_queue):
                 if server in waiting.servers and self._place_plain(front, waiting):
                     front.plain_queue.remove(waiting)
                     return
 
-        self.events.after(held_us, on_completion)
+        self.events.after(service_us, on_completion)
         return True
 
     # Measurements.
@@ -323,14 +323,15 @@
             self._result_of(waiter.owner).waits_us.append(self.events.now_us - waiter.arrived_us)
         factor = self.slow_factor if waiter.is_slow else 1
         return min(
-            MAX_SERVICE_TIME_US, max(1000, round(factor * HOLD_US * self.rng.lognormvariate(-0.08, 0.4)))
+            MAX_SERVICE_TIME_US,
+            max(1000, round(factor * SERVICE_TIME_US * self.rng.lognormvariate(-0.08, 0.4))),
         )
 
-    def _on_attempt_ended(self, front: SimulatedFront, server: str, waiter: Waiter, held_us: int) -> None:
+    def _on_attempt_ended(self, front: SimulatedFront, server: str, waiter: Waiter, service_us: int) -> None:
         self.in_flight[front.index, server] -= 1
         result = self._result_of(waiter.owner)
         if self.events.now_us > NOISE_START_US:
-            result.slot_us += held_us
+            result.slot_us += service_us
         response_us = self.events.now_us - waiter.arrived_us
         result.served += waiter.arrived_us > NOISE_START_US and response_us <= CLIENT_TIMEOUT_US
 
--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -32,10 +32,12 @@
 
 def with_one_front(scenario: Scenario) -> Scenario:
     """The scenario with one front and no front faults: the bound for fronts that share all their state."""
-    troubles = [
-        t for t in scenario.troubles if t.what not in ("front-kill", "front-restart", "front-stop", "between")
+    fault_specs = [
+        spec
+        for spec in scenario.troubles
+        if spec.what not in ("front-kill", "front-restart", "front-stop", "between")
     ]
-    return replace(scenario, fronts=1, halls=[], company=False, troubles=troubles)
+    return replace(scenario, fronts=1, halls=[], company=False, troubles=fault_specs)
 
 
 VARIANTS = {
--- a/benchmarks/release_world.py
+++ b/benchmarks/release_world.py
@@ -401,9 +401,9 @@
         """Issue an operator's command to a front, with the fence that it knows or a given one."""
         if front.coordinator is None or front.paused:
             return
-        seen = front.coordinator.record().fence if fence is None else fence
-        self.commands.add((seen, command_kind))
-        operator_command = Command(command_kind, seen, plan)
+        known_fence = front.coordinator.record().fence if fence is None else fence
+        self.commands.add((known_fence, command_kind))
+        operator_command = Command(command_kind, known_fence, plan)
         outbox = self.call(
             front, lambda coordinator, now_us: coordinator.command(operator_command, now_us)[2]
         )
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -48,8 +48,8 @@
 
     found = [r for r in records if r["what"] == "answered" and is_after_restart(r["t_us"])]
     played = sum(r["status"] == 201 for r in found)
-    joins = sum(1 for r in records if r["what"] == "set_up" and is_after_restart(r["t_us"]))
-    return len(found), played / max(1, len(found)), joins
+    attempts = sum(1 for r in records if r["what"] == "set_up" and is_after_restart(r["t_us"]))
+    return len(found), played / max(1, len(found)), attempts
 
 
 def run_kills(kills: int, has_store: bool) -> None:
@@ -58,14 +58,14 @@
     verdict = check_recording(records)
     faults = [r["fault"] for r in records if r["what"] == "store_fault"]
     altered = sum("cut short" not in fault for fault in faults)
-    count, share, joins = after_restarts(records)
+    count, share, attempts = after_restarts(records)
     rules = sorted({item.rule for item in verdict.broken})
     kill_count = sum(r["what"] == "front_killed" for r in records)
     print(
         f"{'with' if has_store else 'without'} a store: {kill_count} kills, "
         f"records altered {altered}, truncated {len(faults) - altered}, requests {verdict.requests}, lost "
         f"{verdict.lost}, rules broken {len(verdict.broken)} {rules or ''}, service {verdict.service:.3f}; "
-        f"within two seconds of a restart {count} responses, {share:.3f} of them served, {joins} set-ups",
+        f"within two seconds of a restart {count} responses, {share:.3f} of them served, {attempts} set-ups",
         flush=True,
     )
 
--- a/benchmarks/slots_sim.py
+++ b/benchmarks/slots_sim.py
@@ -240,11 +240,11 @@
         self._schedule_completion(attempt.server)
 
     def _finish(self, attempt: SimulatedAttempt, answered: bool) -> None:
-        held_us, attempt.sent_us = self.now_us - attempt.sent_us, -1
+        service_us, attempt.sent_us = self.now_us - attempt.sent_us, -1
         self.in_flight_counts[attempt.front, attempt.server] -= 1
         self.answered += answered
         if self.replicas:
-            self.replicas[attempt.front].on_attempt_ended(attempt.server, attempt.shape, held_us, answered)
+            self.replicas[attempt.front].on_attempt_ended(attempt.server, attempt.shape, service_us, answered)
         self._start_waiting(attempt.front, attempt.server)
 
     # Servers.
--- a/benchmarks/sockets.py
+++ b/benchmarks/sockets.py
@@ -54,9 +54,9 @@
             script.front.limits, connections=9000, waiting=2000, silent_ms=60_000.0, buffered_bytes=1_000_000
         ),
     )
-    boxes = [msgspec.structs.replace(box, link_kb=1e6) for box in script.boxes]
+    servers = [msgspec.structs.replace(spec, link_kb=1e6) for spec in script.boxes]
     rig = msgspec.structs.replace(script.rig, uplink_kb=3e6)
-    return msgspec.structs.replace(script, front=front, boxes=boxes, rig=rig, troubles=[])
+    return msgspec.structs.replace(script, front=front, boxes=servers, rig=rig, troubles=[])
 
 
 def process_status(process: FrontProcess) -> dict[str, int]:
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -28,9 +28,9 @@
 }
 
 
-def with_protections(scenario: Scenario, damping: bool, box_limits: bool) -> Scenario:
+def with_protections(scenario: Scenario, damping: bool, server_limits: bool) -> Scenario:
     """The scenario with these protections."""
-    storm = msgspec.structs.replace(scenario.front.storm, damping=damping, box_limits=box_limits)
+    storm = msgspec.structs.replace(scenario.front.storm, damping=damping, box_limits=server_limits)
     front = msgspec.structs.replace(scenario.front, storm=storm)
     return msgspec.structs.replace(scenario, front=front, settle_within_s=None)
 
--- a/benchmarks/watching.py
+++ b/benchmarks/watching.py
@@ -48,11 +48,13 @@
 def count_late_setups(records: list[Record]) -> int:
     """Count set-ups that completed after their room type's set-up objective."""
     terms = next(record for record in records if record["what"] == "terms")
-    objectives_us = {room["name"]: room["objective_ms"] * 1000 for room in terms["room_types"]}
-    asked = {(r["viewer"], r["number"]): r for r in records if r["what"] == "asked"}
+    objectives_us = {item["name"]: item["objective_ms"] * 1000 for item in terms["room_types"]}
+    requests = {(r["viewer"], r["number"]): r for r in records if r["what"] == "asked"}
     plays = [r for r in records if r["what"] == "answered" and r["status"] == 201]
-    pairs = [(asked[r["viewer"], r["number"]], r) for r in plays if (r["viewer"], r["number"]) in asked]
-    return sum(answer["t_us"] - ask["t_us"] > objectives_us[ask["room_type"]] for ask, answer in pairs)
+    pairs = [(requests[r["viewer"], r["number"]], r) for r in plays if (r["viewer"], r["number"]) in requests]
+    return sum(
+        answer["t_us"] - request["t_us"] > objectives_us[request["room_type"]] for request, answer in pairs
+    )
 
 
 def run_variant(job: tuple[str, str, int]) -> tuple[Verdict, int, int, int] | None:
--- a/tests/test_flood_days.py
+++ b/tests/test_flood_days.py
@@ -28,8 +28,8 @@
     fault_specs = [
         msgspec.structs.replace(fault_spec, at_s=6.0, for_s=2.5) for fault_spec in scenario.troubles
     ]
-    boxes = scenario.boxes[:6]
-    return msgspec.structs.replace(scenario, crowds=crowds, troubles=fault_specs, boxes=boxes, seconds=16.0)
+    servers = scenario.boxes[:6]
+    return msgspec.structs.replace(scenario, crowds=crowds, troubles=fault_specs, boxes=servers, seconds=16.0)
 
 
 def _shortened_peak(crowd: Crowd) -> Crowd:
@@ -64,7 +64,7 @@
             lines = Path(folder, "flood-sums.jsonl").read_text("utf-8").splitlines()
         self.check_budgets(scenarios["flood-sums"], [json.loads(line) for line in lines])
         for name, verdict in verdicts.items():
-            with self.subTest(day=name):
+            with self.subTest(scenario=name):
                 assert verdict["broken"] == []
                 assert verdict["fleet"]["pushed_over"] == 0
                 # After the crowd has left, requests are served again, though some clients still retry.
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -70,7 +70,7 @@
         self,
         t: float,
         id: str,
-        box: str = "b0",
+        server: str = "b0",
         number: int = 0,
         duration: float | None = 10,
         how: str = "started",
@@ -78,7 +78,7 @@
         rung: int = 1,
         front: str = "f",
     ) -> RecordingBuilder:
-        fields = {"box": box, "front": front, "subscription": id, "join": number}
+        fields = {"box": server, "front": front, "subscription": id, "join": number}
         self.add(t, "set_up", **fields, room_type=room_type, title="t", rung=rung)
         return self if duration is None else self.add(t + duration, "set_up_over", **fields, how=how)
 
@@ -97,8 +97,8 @@
             detail=None,
         )
 
-    def list_update(self, t: float, whole: bool = False, **states: str) -> RecordingBuilder:
-        return self.add(t, "told", version=1, whole=whole, boxes=states)
+    def list_update(self, t: float, complete: bool = False, **states: str) -> RecordingBuilder:
+        return self.add(t, "told", version=1, whole=complete, boxes=states)
 
     def broken_rules(self) -> list[int]:
         self.records.sort(key=lambda record: int(record["t_us"]))
@@ -107,20 +107,20 @@
 
 class CheckerTest(unittest.TestCase):
     def test_a_clean_recording(self) -> None:
-        made = (
+        recording = (
             RecordingBuilder()
-            .list_update(0, whole=True, b0="active", b1="active")
+            .list_update(0, complete=True, b0="active", b1="active")
             .add(50, "box_started", box="b1")
         )
-        made.ask(100, "a").attempt(110, "a").answer(130, "a")
-        made.ask(200, "b").attempt(210, "b", how="error").attempt(230, "b", "b1", 1).answer(250, "b")
-        made.ask(300, "c").answer(301, "c", 503)
-        made.ask(400, "d", "once").attempt(410, "d", how="turned_away", room_type="once").attempt(
+        recording.ask(100, "a").attempt(110, "a").answer(130, "a")
+        recording.ask(200, "b").attempt(210, "b", how="error").attempt(230, "b", "b1", 1).answer(250, "b")
+        recording.ask(300, "c").answer(301, "c", 503)
+        recording.ask(400, "d", "once").attempt(410, "d", how="turned_away", room_type="once").attempt(
             430, "d", "b1", 1, room_type="once"
         )
-        made.answer(450, "d").list_update(500, b0="leaving").attempt(600, "late")
-        assert made.broken_rules() == []
-        verdict = check_recording(made.records)
+        recording.answer(450, "d").list_update(500, b0="leaving").attempt(600, "late")
+        assert recording.broken_rules() == []
+        verdict = check_recording(recording.records)
         assert (verdict.requests, verdict.played, verdict.throttled) == (4, 3, 1)
         self.assertAlmostEqual(verdict.service, 0.75)
         assert verdict.passed
@@ -145,20 +145,22 @@
             ("front_stopping", "timeout", [1]),
             ("front_killed", "timeout", []),
         ):
-            made = RecordingBuilder().ask(900, "a").add(1000, event, front="f")
-            made.add(1100, "unanswered", viewer="a", number=0, how=how).add(1200, "front_started", front="f")
-            assert made.broken_rules() == rules
+            recording = RecordingBuilder().ask(900, "a").add(1000, event, front="f")
+            recording.add(1100, "unanswered", viewer="a", number=0, how=how).add(
+                1200, "front_started", front="f"
+            )
+            assert recording.broken_rules() == rules
         refused = RecordingBuilder().ask(0, "a").add(10, "unanswered", viewer="a", number=0, how="refused")
         assert refused.broken_rules() == [1]
 
     def test_rule_2_two_attempts_at_once(self) -> None:
-        made = (
+        recording = (
             RecordingBuilder()
             .ask(0, "a", timeout=3000)
             .attempt(0, "a", duration=900, how="error")
             .attempt(100, "a", "b1", 1)
         )
-        assert made.answer(910, "a").broken_rules() == [2]
+        assert recording.answer(910, "a").broken_rules() == [2]
         never = (
             RecordingBuilder()
             .ask(0, "a")
@@ -169,7 +171,9 @@
         assert never.broken_rules() == [2]
 
     def test_rule_2_unsafe_repeats_and_rejections(self) -> None:
-        def made(room_type: str, second: str = "b1", at: float = 100, status: int = 201) -> list[int]:
+        def rules_broken_by_repeat(
+            room_type: str, second: str = "b1", at: float = 100, status: int = 201
+        ) -> list[int]:
             recording = (
                 RecordingBuilder()
                 .ask(0, "a", room_type, 5000)
@@ -179,44 +183,44 @@
                 recording.attempt(at, "a", second, 1, room_type=room_type)
             return recording.answer(at + 15, "a", status).broken_rules()
 
-        assert made("once") == [2]
-        assert made("once", "", status=503) == [2]
-        assert made("once", "", status=502) == []
-        assert made("keyed") == []
-        assert made("keyed", at=800 + SLACK_US / MS + 50) == [2]
-        assert made("keyed", "", status=503) == []
-        assert made("zoned", "b2") == []
-        assert made("zoned", "b1") == [2]
-        assert made("zoned", "", status=503) == [2]
+        assert rules_broken_by_repeat("once") == [2]
+        assert rules_broken_by_repeat("once", "", status=503) == [2]
+        assert rules_broken_by_repeat("once", "", status=502) == []
+        assert rules_broken_by_repeat("keyed") == []
+        assert rules_broken_by_repeat("keyed", at=800 + SLACK_US / MS + 50) == [2]
+        assert rules_broken_by_repeat("keyed", "", status=503) == []
+        assert rules_broken_by_repeat("zoned", "b2") == []
+        assert rules_broken_by_repeat("zoned", "b1") == [2]
+        assert rules_broken_by_repeat("zoned", "", status=503) == [2]
 
     def test_rule_3_drained_unlisted_and_reactivated_servers(self) -> None:
         late = 1000 + SLACK_US / MS + 100
-        made = (
+        recording = (
             RecordingBuilder()
-            .list_update(0, whole=True, b0="active", b1="active")
+            .list_update(0, complete=True, b0="active", b1="active")
             .list_update(10, b0="leaving")
             .attempt(late + 10, "a")
         )
-        assert made.broken_rules() == [3]
+        assert recording.broken_rules() == [3]
         gone = (
             RecordingBuilder()
-            .list_update(0, whole=True, b0="active", b1="active")
-            .list_update(10, whole=True, b1="active")
+            .list_update(0, complete=True, b0="active", b1="active")
+            .list_update(10, complete=True, b1="active")
         )
         assert gone.attempt(late + 10, "a").broken_rules() == [3]
         again = (
             RecordingBuilder()
-            .list_update(0, whole=True, b0="active")
+            .list_update(0, complete=True, b0="active")
             .list_update(10, b0="leaving")
             .list_update(900, b0="active")
         )
         assert again.attempt(late + 10, "a").broken_rules() == []
 
     def test_rule_4_a_cold_server_gets_the_fronts_share_of_its_pace(self) -> None:
-        made = RecordingBuilder().add(100, "box_started", box="b0")
+        recording = RecordingBuilder().add(100, "box_started", box="b0")
         for i in range(3):
-            made.attempt(110 + i, f"s{i}")
-        assert made.broken_rules() == [4]
+            recording.attempt(110 + i, f"s{i}")
+        assert recording.broken_rules() == [4]
         slow = RecordingBuilder().add(100, "box_started", box="b0")
         for i in range(3):
             slow.attempt(110 + i * 1300, f"s{i}")
@@ -225,18 +229,18 @@
 
     def test_rules_4_5_and_6_apply_to_each_front_alone(self) -> None:
         # Guards against counting the shares of several fronts together, which looks like a violation by one.
-        made = RecordingBuilder().add(100, "box_started", box="b0")
+        recording = RecordingBuilder().add(100, "box_started", box="b0")
         for i, front in enumerate(("f", "g", "h")):
-            made.attempt(110 + i, f"s{i}", front=front)
-        made.attempt(2000, "t1", "b1", room_type="few", front="f").attempt(
+            recording.attempt(110 + i, f"s{i}", front=front)
+        recording.attempt(2000, "t1", "b1", room_type="few", front="f").attempt(
             2001, "t2", "b2", room_type="few", front="g"
         )
         for i, front in enumerate(("f", "f", "g", "g")):
-            made.attempt(3000 + i * 50, f"x{i}", how="error", front=front)
-            made.attempt(3020 + i * 50, f"x{i}", "b1", 1, front=front)
-        assert made.broken_rules() == []
-        made.attempt(114, "more", front="f").attempt(115, "most", front="f")
-        assert made.broken_rules() == [4]
+            recording.attempt(3000 + i * 50, f"x{i}", how="error", front=front)
+            recording.attempt(3020 + i * 50, f"x{i}", "b1", 1, front=front)
+        assert recording.broken_rules() == []
+        recording.attempt(114, "more", front="f").attempt(115, "most", front="f")
+        assert recording.broken_rules() == [4]
 
     def test_rule_5_floors_and_seats(self) -> None:
         assert RecordingBuilder().attempt(0, "a", room_type="high", rung=0).broken_rules() == [5]
@@ -257,23 +261,23 @@
         assert freed.attempt(50, "b", room_type="few").broken_rules() == []
 
     def test_rule_6_further_attempts_beyond_the_budget(self) -> None:
-        def made(count: int) -> RecordingBuilder:
+        def record_further_attempts(count: int) -> RecordingBuilder:
             recording = RecordingBuilder()
             for i in range(count):
                 recording.attempt(i * 50, f"s{i}", how="error").attempt(i * 50 + 20, f"s{i}", "b1", 1)
             return recording
 
-        assert made(2).broken_rules() == []
-        assert made(3).broken_rules() == [6]
+        assert record_further_attempts(2).broken_rules() == []
+        assert record_further_attempts(3).broken_rules() == [6]
 
     def test_a_recording_without_terms_is_an_error(self) -> None:
         with self.assertRaises(ValueError):
             check_recording([])
 
     def test_service_below_its_floor_fails(self) -> None:
-        made = RecordingBuilder(service_floor=0.9).ask(0, "a").answer(1, "a", 503)
-        assert made.broken_rules() == []
-        assert not check_recording(made.records).passed
+        recording = RecordingBuilder(service_floor=0.9).ask(0, "a").answer(1, "a", 503)
+        assert recording.broken_rules() == []
+        assert not check_recording(recording.records).passed
 
 
 if __name__ == "__main__":
--- a/tests/test_tenant_checks.py
+++ b/tests/test_tenant_checks.py
@@ -37,14 +37,14 @@
     def add(self, at_ms: float, what: str, **fields: Any) -> None:
         self.records.append({"t_us": round(at_ms * MS), "what": what, **fields})
 
-    def add_served(self, tenant: str, at_ms: float, wait_ms: float = 5, hold_ms: float = 50) -> None:
+    def add_served(self, tenant: str, at_ms: float, wait_ms: float = 5, service_ms: float = 50) -> None:
         """Add a client that is served."""
         self.count += 1
         name, id = f"v{self.count}", f"s{self.count}"
         attempt = {"box": "b", "front": "front-0", "subscription": id, "join": 0}
         self.add(at_ms, "asked", viewer=name, number=0, front="f0", tenant=tenant)
         self.add(at_ms + wait_ms, "set_up", **attempt)
-        completed_ms = at_ms + wait_ms + hold_ms
+        completed_ms = at_ms + wait_ms + service_ms
         self.add(completed_ms, "set_up_over", **attempt, how="started")
         self.add(completed_ms + 1, "answered", viewer=name, number=0, status=201, subscription=id)
 
--- a/tests/test_websocket_sessions.py
+++ b/tests/test_websocket_sessions.py
@@ -106,7 +106,7 @@
         source = session.server
         self.lists.publish(
             ListedServer(
-                source, "zone", "k", [known.address for known in self.known].index(source), 1.0, "leaving"
+                source, "zone", "k", [server.address for server in self.known].index(source), 1.0, "leaving"
             )
         )
         moved = player.next_of_type("moved")
@@ -229,7 +229,7 @@
         player = self.connect()
         id = self.set_up(player)["state"]["id"]
         (session,) = self.front.sockets.sessions
-        with session.lock:  # more than the outbox holds, queued while its thread waits for the socket
+        with session.lock:  # more messages than fit into the outbox, queued while its thread waits
             for number in range(100):
                 session.outbox.put(QueuedMessage(session.welcome(str(number))))
         session.wakeup.notify()
