--- a/tests/test_websocket_sessions.py
+++ b/tests/test_websocket_sessions.py
@@ -45,8 +45,8 @@
         assert player.next_of_type("welcome")["front"] == "front-t"
         return player
 
-    def set_up(self, player: WebSocketClient, room: str = "free", **options: Any) -> dict[str, Any]:
-        answer = player.ask("set-up", ask={"room_type": room, "title": "t1", **options})
+    def set_up(self, player: WebSocketClient, service_class: str = "free", **options: Any) -> dict[str, Any]:
+        answer = player.ask("set-up", ask={"room_type": service_class, "title": "t1", **options})
         assert answer["type"] == "playing", answer
         return answer
 
@@ -106,7 +106,7 @@
         source = session.server
         self.lists.publish(
             ListedServer(
-                source, "zone", "k", [known.address for known in self.known].index(source), 1.0, "leaving"
+                source, "zone", "k", [server.address for server in self.known].index(source), 1.0, "leaving"
             )
         )
         moved = player.next_of_type("moved")
@@ -128,7 +128,7 @@
         answer = second.ask("resume", subscription=id, seen=0)
         assert (answer["type"], answer["missed"], answer["state"]["rung"]) == ("resumed", 2, 0)
         assert "missed" not in second.ask("resume", subscription=id, seen=99)
-        assert len(self.seen("set_up", subscription=id)) == 1
+        assert len(self.find_records("set_up", subscription=id)) == 1
         assert second.ask("resume", subscription="1-" + "0" * 24)["kind"] == "unknown-subscription"
 
     def test_later_claim_of_a_session_wins(self) -> None:
@@ -189,7 +189,7 @@
         for id in ids:
             answer = self.connect().ask("resume", subscription=id, seen=3)
             assert answer["type"] == "resumed"
-            assert len(self.seen("set_up", subscription=id)) == 1
+            assert len(self.find_records("set_up", subscription=id)) == 1
 
     def test_attempt_in_flight_when_the_front_stops_is_answered_before_the_close(self) -> None:
         for media_server in self.boxes:
@@ -229,7 +229,7 @@
         player = self.connect()
         id = self.set_up(player)["state"]["id"]
         (session,) = self.front.websocket_server.sessions
-        with session.lock:  # more than the outbox holds, queued while its thread waits for the socket
+        with session.lock:  # more messages than fit into the outbox, queued while its thread waits
             for number in range(100):
                 session.outbox.put(QueuedMessage(session.welcome(str(number))))
         session.wakeup.notify()
