--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -16,7 +16,7 @@
 import msgspec
 from fennelcove.scenarios.checker import Verdict
 from fennelcove.scenarios.script import Scenario, read
-from fennelcove.settings.schema import StormSettings
+from fennelcove.settings.schema import RetryStormSettings
 
 from benchmarks.power import median_range, run_scenario
 
@@ -26,7 +26,7 @@
 
 def without_fleet_shedding(scenario: Scenario, damping: bool = False) -> Scenario:
     """The scenario without fleet-wide shedding."""
-    storm = StormSettings(damping=damping)
+    storm = RetryStormSettings(damping=damping)
     return replace(scenario, front=replace(scenario.front, overload=None, storm=storm))
 
 
--- a/benchmarks/power_sim.py
+++ b/benchmarks/power_sim.py
@@ -50,7 +50,7 @@
 )
 from fennelcove.placement import PlacementPolicy
 from fennelcove.scenarios.script import Scenario, read
-from fennelcove.settings.checks import module_settings
+from fennelcove.settings.checks import to_policy_settings
 
 from benchmarks.events import EventScheduler
 
@@ -221,7 +221,7 @@
     # Fronts.
 
     def start_front(self, front: SimulatedFront) -> None:
-        settings = module_settings(
+        settings = to_policy_settings(
             replace(self.settings, instance=replace(self.settings.instance, index=front.index))
         )
         policy = front.policy = PlacementPolicy(settings, front.index + self.now_us, front, self.now_us)
--- a/benchmarks/storm_parts.py
+++ b/benchmarks/storm_parts.py
@@ -27,14 +27,14 @@
 from fennelcove.decisions.clients.retry_storm import StormState
 from fennelcove.decisions.clients.waiting_room import QueueTicket
 from fennelcove.scenarios.script import read
-from fennelcove.settings.schema import StormSettings
+from fennelcove.settings.schema import RetryStormSettings
 
 from benchmarks.parts import NullPorts
 
 
 def make_core(phase: StormState) -> tuple[Core, ManualClock]:
     """A core in the given phase of the storm detector, with damping."""
-    front = msgspec.structs.replace(read("storm-hall").front, storm=StormSettings(damping=True))
+    front = msgspec.structs.replace(read("storm-hall").front, storm=RetryStormSettings(damping=True))
     clock = ManualClock(10_000_000, 10**15)
     ports = CorePorts(NullPorts(), NullPorts(), NullPorts())
     core = Core(front, clock, Timers(clock), lambda event, **fields: None, ports, SessionIds(b"n" * 32))
--- a/packages/api/src/fennelcove/api/described.py
+++ b/packages/api/src/fennelcove/api/described.py
@@ -26,7 +26,7 @@
 }
 
 
-class Described:
+class SchemaChecker:
     """Checks values against one OpenAPI or AsyncAPI document."""
 
     def __init__(self, document: dict[str, Any]) -> None:
--- a/packages/cli/src/fennelcove/cli/fleet.py
+++ b/packages/cli/src/fennelcove/cli/fleet.py
@@ -20,8 +20,8 @@
 from fennelcove.decisions.operators.convergence import ConvergenceWait, DesiredState
 from fennelcove.decisions.operators.reachability import CallOutcome, CallStatus
 from fennelcove.fleet import inventory
-from fennelcove.fleet.asker import Call, Fields, Times, ask_all
-from fennelcove.fleet.inventory import FrontLine
+from fennelcove.fleet.asker import Call, CallTimeouts, Fields, call_fronts
+from fennelcove.fleet.inventory import FrontEntry
 from fennelcove.settings.reader import SettingsError
 from rich.console import Console
 from rich.table import Table
@@ -39,14 +39,14 @@
         as_json: whether output is JSON lines instead of a table.
     """
 
-    def __init__(self, source: str, timeouts: Times, at_once: int, as_json: bool) -> None:
+    def __init__(self, source: str, timeouts: CallTimeouts, at_once: int, as_json: bool) -> None:
         self.source = source
         self.timeouts = timeouts
         self.at_once = at_once
         self.as_json = as_json
         self.clock = SystemClock()
 
-    def select_fronts(self, selectors: tuple[str, ...]) -> list[FrontLine]:
+    def select_fronts(self, selectors: tuple[str, ...]) -> list[FrontEntry]:
         """The fronts that the selectors name; on an error, prints it and exits with status 2."""
         try:
             return inventory.selected(inventory.read(self.source), list(selectors), self.source)
@@ -55,14 +55,14 @@
 
     def call_and_print(
         self,
-        lines: list[FrontLine],
+        lines: list[FrontEntry],
         call: Call,
         format_columns: Callable[[CallOutcome], list[str]],
         column_names: list[str],
     ) -> None:
         """Call all fronts, print all outcomes, and exit with the status that they imply."""
         outcomes: dict[str, CallOutcome] = {}
-        for outcome in ask_all(lines, call, self.timeouts, self.clock, self.at_once):
+        for outcome in call_fronts(lines, call, self.timeouts, self.clock, self.at_once):
             outcomes[outcome.front] = outcome
             if not self.as_json and sys.stderr.isatty():
                 click.echo(f"\r{len(outcomes)} of {len(lines)}", nl=False, err=True)
@@ -132,7 +132,7 @@
     The exit status is 0 if all calls were successful, 1 if some failed, and 3 if some fronts may have
     executed the command but did not confirm it.
     """
-    timeouts = Times(*(round(seconds * 1e6) for seconds in (connect_s, answer_s, whole_s)))
+    timeouts = CallTimeouts(*(round(seconds * 1e6) for seconds in (connect_s, answer_s, whole_s)))
     ctx.obj = FleetContext(source, timeouts, at_once, as_json)
 
 
@@ -171,7 +171,7 @@
         DesiredState(phase, held_most), context.clock.now_us() + round(for_s * 1e6)
     )
     while True:
-        convergence_wait.observe(ask_all(lines, call, context.timeouts, context.clock, context.at_once))
+        convergence_wait.observe(call_fronts(lines, call, context.timeouts, context.clock, context.at_once))
         pause_us = convergence_wait.poll_delay_us(context.clock.now_us())
         if pause_us is None:
             break
@@ -193,7 +193,7 @@
         exit_with_error(error)
     path = f"/v1/control/{command_name}"
 
-    def fields(line: FrontLine) -> Fields:
+    def fields(line: FrontEntry) -> Fields:
         command = SignedCommand(line.name, "POST", path, body, context.clock.wall_us(), secrets.token_hex(12))
         return [(command_authorization.HEADER_NAME, command_authorization.sign_command(command, key, mac))]
 
--- a/packages/cli/src/fennelcove/cli/releases.py
+++ b/packages/cli/src/fennelcove/cli/releases.py
@@ -12,8 +12,8 @@
 from fennelcove.cli.telling import FleetUnresponsiveError, exit_with_error
 from fennelcove.decisions.operators import reachability
 from fennelcove.decisions.operators.reachability import CallOutcome, CallStatus
-from fennelcove.fleet.asker import Call, ask_all, call_front
-from fennelcove.fleet.inventory import FrontLine
+from fennelcove.fleet.asker import Call, call_front, call_fronts
+from fennelcove.fleet.inventory import FrontEntry
 from fennelcove.wire.orders import PlanOrder
 
 COLUMN_NAMES = ["version", "phase", "plan", "wanted", "reason", "fence", "leads", "fronts out", "boxes out"]
@@ -76,7 +76,7 @@
     lines = context.select_fronts(())
     outcome_by_front = {
         entry.front: entry
-        for entry in ask_all(lines, STATUS_CALL, context.timeouts, context.clock, context.at_once)
+        for entry in call_fronts(lines, STATUS_CALL, context.timeouts, context.clock, context.at_once)
     }
     responding = [
         line
@@ -96,7 +96,7 @@
     _call_until_executed(context, responding, signed_call(context, command_name, key, file, body))
 
 
-def _call_until_executed(context: FleetContext, lines: Sequence[FrontLine], call: Call) -> None:
+def _call_until_executed(context: FleetContext, lines: Sequence[FrontEntry], call: Call) -> None:
     outcomes: list[CallOutcome] = []
     until_us = context.clock.now_us() + context.timeouts.total_us
     for line in lines:
--- a/packages/cli/src/fennelcove/cli/serve.py
+++ b/packages/cli/src/fennelcove/cli/serve.py
@@ -19,22 +19,22 @@
 from fennelcove.ingress.tls import TlsError
 from fennelcove.settings.checks import load_front
 from fennelcove.settings.reader import SettingsError, load
-from fennelcove.settings.schema import Name, PositiveMilliseconds, SomeCount, SomeFigure, Strict
+from fennelcove.settings.schema import Name, PositiveCount, PositiveMilliseconds, PositiveNumber, StrictStruct
 from fennelcove.store.directory import StoreError
 from msgspec import Meta
 
 EXIT_USAGE, EXIT_FAILED = 2, 1
 
 
-class EmulatedServerSettings(Strict, frozen=True, kw_only=True):
+class EmulatedServerSettings(StrictStruct, frozen=True, kw_only=True):
     """The settings of an emulated server."""
 
     HEAD: ClassVar[str] = "box"
 
     name: Name
-    streams: SomeCount
-    link_kb: SomeFigure
-    uplink_kb: SomeFigure
+    streams: PositiveCount
+    link_kb: PositiveNumber
+    uplink_kb: PositiveNumber
     reports_every_ms: PositiveMilliseconds = 1000.0
     ramp_ms: Annotated[float, Meta(ge=0)] = 0.0
     start_capacity: Annotated[float, Meta(gt=0, le=1)] = 1.0
--- a/packages/core/src/fennelcove/core/assembly.py
+++ b/packages/core/src/fennelcove/core/assembly.py
@@ -44,7 +44,7 @@
 from fennelcove.decisions.operators.shadow_policy import ShadowedPolicy
 from fennelcove.decisions.servers.endpoint_list import EndpointListTracker
 from fennelcove.placement import PlacementPolicy
-from fennelcove.settings.checks import module_settings
+from fennelcove.settings.checks import to_policy_settings
 from fennelcove.settings.schema import FrontSettings
 
 
@@ -91,11 +91,11 @@
     def _build_policy(self) -> None:
         settings, now_us = self.settings, self.clock.now_us()
         self.effects = PolicyEffects(self.context)
-        policy_settings = module_settings(settings)
+        policy_settings = to_policy_settings(settings)
         self.policy = PlacementPolicy(policy_settings, settings.seed, self.effects, now_us)
         self.shadow_policy: ShadowedPolicy | None = None
         if settings.watch is not None:
-            shadow_settings = module_settings(settings, settings.watch)
+            shadow_settings = to_policy_settings(settings, settings.watch)
             self.shadow_policy = ShadowedPolicy(
                 policy_settings, shadow_settings, settings.seed, self.effects, now_us
             )
--- a/packages/core/src/fennelcove/core/context.py
+++ b/packages/core/src/fennelcove/core/context.py
@@ -9,7 +9,7 @@
 from fennelcove.clock import Clock
 from fennelcove.clock.timers import Timers
 from fennelcove.core.requests import EventLogger
-from fennelcove.settings.schema import FrontSettings, RoomTypeSettings, Title
+from fennelcove.settings.schema import FrontSettings, ServiceClassSettings, Title
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -51,7 +51,7 @@
     """
 
     def __init__(self, settings: FrontSettings) -> None:
-        self.service_classes: dict[str, RoomTypeSettings] = {
+        self.service_classes: dict[str, ServiceClassSettings] = {
             service_class.name: service_class for service_class in settings.room_types
         }
         self.titles: dict[str, tuple[int, Title]] = {
--- a/packages/core/src/fennelcove/core/learned_limits.py
+++ b/packages/core/src/fennelcove/core/learned_limits.py
@@ -22,7 +22,7 @@
 from fennelcove.core.learned_limit_snapshots import LimitSnapshots
 from fennelcove.core.learned_limit_status import limit_status
 from fennelcove.core.requests import EventLogger
-from fennelcove.settings.schema import Instance, RoomTypeSettings, SlotSettings
+from fennelcove.settings.schema import Instance, ServiceClassSettings, SlotSettings
 
 QUOTA_EXCHANGE_INTERVAL_US = (
     quota_loans.REQUEST_INTERVAL_US
@@ -66,7 +66,7 @@
     def __init__(
         self,
         settings: SlotSettings,
-        service_classes: Sequence[RoomTypeSettings],
+        service_classes: Sequence[ServiceClassSettings],
         rung_count: int,
         instance: Instance,
         incarnation: int,
--- a/packages/core/src/fennelcove/core/load_shedding_coordinator.py
+++ b/packages/core/src/fennelcove/core/load_shedding_coordinator.py
@@ -15,7 +15,7 @@
 from fennelcove.decisions.fleet.fleet_load import FleetLoadEstimator, FleetTotals, LoadSummary
 from fennelcove.decisions.fleet.shedding import SheddingAction, SheddingLevel, SheddingPolicy
 from fennelcove.decisions.fleet.slow_start_allocation import SlowStartAllocation
-from fennelcove.settings.schema import RoomTypeSettings
+from fennelcove.settings.schema import ServiceClassSettings
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        service_classes: Sequence[RoomTypeSettings],
+        service_classes: Sequence[ServiceClassSettings],
         front_count: Callable[[], int],
         incarnation: int,
         storm_guard: RetryStormGuard,
--- a/packages/core/src/fennelcove/core/membership_coordinator.py
+++ b/packages/core/src/fennelcove/core/membership_coordinator.py
@@ -11,7 +11,7 @@
 from fennelcove.core.requests import EventLogger
 from fennelcove.decisions.fleet.membership import Heartbeat, Membership, MembershipSettings
 from fennelcove.decisions.fleet.peer_states import PeerState
-from fennelcove.settings.schema import CompanySettings, Instance
+from fennelcove.settings.schema import HeartbeatSettings, Instance
 
 LOGGED_STATES = {PeerState.UNREACHABLE, PeerState.LEFT, PeerState.REJOINING, PeerState.DUPLICATE}
 
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        peer_settings: CompanySettings,
+        peer_settings: HeartbeatSettings,
         instance: Instance,
         incarnation: int,
         clock: Clock,
--- a/packages/core/src/fennelcove/core/retry_storm_guard.py
+++ b/packages/core/src/fennelcove/core/retry_storm_guard.py
@@ -24,7 +24,7 @@
 from fennelcove.decisions.servers.aimd_limit import AimdLimits
 from fennelcove.interface import Outcome
 from fennelcove.placement import PlacementPolicy
-from fennelcove.settings.schema import StormSettings
+from fennelcove.settings.schema import RetryStormSettings
 
 MAC_BYTES = 16
 
@@ -68,7 +68,7 @@
     def __init__(
         self,
         context: CoreContext,
-        settings: StormSettings,
+        settings: RetryStormSettings,
         incarnation_key: bytes,
         catalogue: Catalogue,
         policy: PlacementPolicy,
--- a/packages/core/src/fennelcove/core/slot_scheduler.py
+++ b/packages/core/src/fennelcove/core/slot_scheduler.py
@@ -32,7 +32,7 @@
 from fennelcove.fair_queueing.waiter import WaiterAction, WaiterEvent
 from fennelcove.interface import Outcome, Request
 from fennelcove.placement import PlacementPolicy
-from fennelcove.settings.schema import FairSettings, Instance
+from fennelcove.settings.schema import FairQueueingSettings, Instance
 
 __all__ = ["WINDOW_US", "SlotScheduler"]
 
@@ -72,7 +72,7 @@
     def __init__(
         self,
         context: CoreContext,
-        settings: FairSettings,
+        settings: FairQueueingSettings,
         instance: Instance,
         catalogue: Catalogue,
         policy: PlacementPolicy,
--- a/packages/daemon/src/fennelcove/daemon/front_daemon.py
+++ b/packages/daemon/src/fennelcove/daemon/front_daemon.py
@@ -45,7 +45,7 @@
 from fennelcove.ingress.tls import TlsKeys
 from fennelcove.ingress.websocket_server import WebSocketServer
 from fennelcove.interface import Effect, ServerState
-from fennelcove.settings.checks import module_settings
+from fennelcove.settings.checks import to_policy_settings
 from fennelcove.settings.schema import FrontSettings
 from fennelcove.store.directory import Store
 from fennelcove.store.writer import StoreWriter
@@ -190,7 +190,7 @@
         self.shutdown = GracefulShutdown(round(limits.stop_ms * 1000))
 
     def _make_server_event_streams(self, dial_limits: DialLimits) -> ServerEventStreams:
-        policy_settings = module_settings(self.settings)
+        policy_settings = to_policy_settings(self.settings)
         idle_timeout_us = event_stream.idle_timeout_us(
             policy_settings.report_interval_us, policy_settings.report_delay_us
         )
--- a/packages/fleet/src/fennelcove/fleet/asker.py
+++ b/packages/fleet/src/fennelcove/fleet/asker.py
@@ -13,7 +13,7 @@
 from fennelcove.clock import Clock
 from fennelcove.decisions.operators import reachability
 from fennelcove.decisions.operators.reachability import CallFailure, CallOutcome, CallProgress, CallStatus
-from fennelcove.fleet.inventory import FrontLine
+from fennelcove.fleet.inventory import FrontEntry
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits, ProtocolError, ResponseHead
 from fennelcove.http1.reader import Gatherer, Reader
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class CallTimeouts:
     """The time limits of calls, in microseconds.
 
     Attributes:
@@ -46,7 +46,7 @@
     method: str
     path: str
     body: bytes = b""
-    headers: Callable[[FrontLine], Fields] = lambda line: []
+    headers: Callable[[FrontEntry], Fields] = lambda line: []
 
 
 class _CallFailedError(Exception):
@@ -58,7 +58,9 @@
         self.failure = failure
 
 
-def call_front(line: FrontLine, call: Call, timeouts: Times, clock: Clock, until_us: int) -> CallOutcome:
+def call_front(
+    line: FrontEntry, call: Call, timeouts: CallTimeouts, clock: Clock, until_us: int
+) -> CallOutcome:
     """Call one front, within the timeouts; a failure is an outcome and not an exception."""
     began_us = clock.now_us()
     try:
@@ -101,7 +103,7 @@
 
 
 def _exchange(
-    line: FrontLine, call: Call, timeouts: Times, clock: Clock, until_us: int
+    line: FrontEntry, call: Call, timeouts: CallTimeouts, clock: Clock, until_us: int
 ) -> tuple[int, dict[str, object]]:
     remaining_us = min(timeouts.connect_us, until_us - clock.now_us())
     family, kind, protocol, _, socket_address = _resolve(line.address, remaining_us)
@@ -156,12 +158,12 @@
     return message.head.status, body if isinstance(body, dict) else {}
 
 
-def ask_all(
-    lines: Sequence[FrontLine], call: Call, timeouts: Times, clock: Clock, at_once: int
+def call_fronts(
+    lines: Sequence[FrontEntry], call: Call, timeouts: CallTimeouts, clock: Clock, at_once: int
 ) -> Iterator[CallOutcome]:
     """Call all fronts, at most `at_once` concurrently; yields one outcome per front as it completes."""
     until_us = clock.now_us() + timeouts.total_us
-    pending: queue.SimpleQueue[FrontLine] = queue.SimpleQueue()
+    pending: queue.SimpleQueue[FrontEntry] = queue.SimpleQueue()
     outcomes: queue.SimpleQueue[CallOutcome] = queue.SimpleQueue()
     for line in lines:
         pending.put(line)
--- a/packages/fleet/src/fennelcove/fleet/inventory.py
+++ b/packages/fleet/src/fennelcove/fleet/inventory.py
@@ -5,13 +5,13 @@
 from typing import Annotated, ClassVar
 
 from fennelcove.settings.reader import SettingsError, load
-from fennelcove.settings.schema import Name, Strict
+from fennelcove.settings.schema import Name, StrictStruct
 from msgspec import Meta, field
 
 HostAddress = Annotated[str, Meta(max_length=255, pattern=r"^[0-9A-Za-z._-]+:[0-9]{1,5}$")]
 
 
-class FrontLine(Strict, frozen=True, kw_only=True):
+class FrontEntry(StrictStruct, frozen=True, kw_only=True):
     """One front: the name in its settings, its address, its zone (`hall`) and its groups."""
 
     name: Name
@@ -20,12 +20,12 @@
     groups: list[Name] = field(default_factory=list)
 
 
-class Inventory(Strict, frozen=True, kw_only=True):
+class Inventory(StrictStruct, frozen=True, kw_only=True):
     """The fronts of a fleet."""
 
     HEAD: ClassVar[str] = "fleet"
 
-    fronts: Annotated[list[FrontLine], Meta(min_length=1, max_length=2000)]
+    fronts: Annotated[list[FrontEntry], Meta(min_length=1, max_length=2000)]
 
 
 def read(path: str) -> Inventory:
@@ -49,7 +49,7 @@
     return found
 
 
-def selected(inventory: Inventory, selectors: list[str], source: str) -> list[FrontLine]:
+def selected(inventory: Inventory, selectors: list[str], source: str) -> list[FrontEntry]:
     """The fronts that match any selector: a name, `hall=NAME` or `group=NAME`; without selectors, all.
 
     Raises:
@@ -57,7 +57,7 @@
     """
     if not selectors:
         return list(inventory.fronts)
-    chosen: dict[str, FrontLine] = {}
+    chosen: dict[str, FrontEntry] = {}
     for selector in selectors:
         kind, equals, value = selector.partition("=")
         if not equals:
--- a/packages/scenarios/src/fennelcove/scenarios/fronts.py
+++ b/packages/scenarios/src/fennelcove/scenarios/fronts.py
@@ -24,8 +24,8 @@
 from fennelcove.scenarios.script import Scenario, VersionSpec
 from fennelcove.settings.schema import (
     Author,
-    CompanySettings,
     ControlSettings,
+    HeartbeatSettings,
     Instance,
     Limits,
     OperatorKey,
@@ -241,12 +241,12 @@
         template = self.scenario.front.limits
         return template if session_limit is None else msgspec.structs.replace(template, held=session_limit)
 
-    def _company(self) -> CompanySettings | None:
+    def _company(self) -> HeartbeatSettings | None:
         template = self.scenario.front.company
         if self.peer_addresses is None:
             return None
         if template is None:
-            return CompanySettings(addresses=self.peer_addresses)
+            return HeartbeatSettings(addresses=self.peer_addresses)
         return msgspec.structs.replace(template, addresses=self.peer_addresses)
 
     def _instance(self) -> Instance:
--- a/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
+++ b/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from fennelcove.api import asyncapi, openapi
-from fennelcove.api.described import Described
+from fennelcove.api.described import SchemaChecker
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.ingress.routes import ROUTE_TABLE
 
@@ -15,8 +15,8 @@
 
     def __init__(self, recorder: Recorder) -> None:
         self.recorder = recorder
-        self.http = Described(openapi.document(ROUTE_TABLE))
-        self.socket = Described(asyncapi.document())
+        self.http = SchemaChecker(openapi.document(ROUTE_TABLE))
+        self.socket = SchemaChecker(asyncapi.document())
 
     def answer(self, method: str, path: str, status: int, media: str, body: Any) -> None:
         """Check a response of the HTTP interface."""
--- a/packages/scenarios/src/fennelcove/scenarios/script.py
+++ b/packages/scenarios/src/fennelcove/scenarios/script.py
@@ -9,18 +9,18 @@
 from typing import Annotated, ClassVar, Literal
 
 import msgspec
-from fennelcove.settings.checks import amiss
+from fennelcove.settings.checks import find_violations
 from fennelcove.settings.reader import SettingsError, parse
 from fennelcove.settings.schema import (
-    CompanySettings,
     Count,
-    Figure,
     FrontSettings,
+    HeartbeatSettings,
     Name,
-    Share,
-    SomeCount,
-    SomeFigure,
-    Strict,
+    NonNegativeNumber,
+    PositiveCount,
+    PositiveNumber,
+    StrictStruct,
+    UnitFraction,
 )
 from msgspec import Meta, field
 
@@ -63,51 +63,51 @@
 BASE_SCENARIO = re.compile(r'^\s*\(like "([a-z0-9-]+)"\)', re.MULTILINE)
 
 
-class ServerSpec(Strict, frozen=True, kw_only=True):
+class ServerSpec(StrictStruct, frozen=True, kw_only=True):
     """One emulated server; its rack is its cell modulo the number of racks."""
 
     cell: Count
     zone: Name
     kind: Name
-    link_kb: SomeFigure
-    knee: SomeCount | None = None  # overrides the rig's knee for this server
+    link_kb: PositiveNumber
+    knee: PositiveCount | None = None  # overrides the rig's knee for this server
 
 
-class Crowd(Strict, frozen=True, kw_only=True):
+class Crowd(StrictStruct, frozen=True, kw_only=True):
     """Clients that arrive at random moments between two times."""
 
     room_type: Name
     titles: Annotated[list[Name], Meta(min_length=1)]
-    per_s: SomeFigure
+    per_s: PositiveNumber
     from_s: Seconds = 0.0
     to_s: Seconds
-    watch_s: SomeFigure
-    timeout_s: SomeFigure
+    watch_s: PositiveNumber
+    timeout_s: PositiveNumber
     top_rung: Count | None = None
     retries: Count = 1
-    honour: Share = 1.0  # share of clients that obey Retry-After
-    hang_up: Share = 0.0  # share that disconnect during the set-up
-    vanish: Share = 0.0  # share that leave without a release
-    top_kbit: SomeCount | None = None
+    honour: UnitFraction = 1.0  # share of clients that obey Retry-After
+    hang_up: UnitFraction = 0.0  # share that disconnect during the set-up
+    vanish: UnitFraction = 0.0  # share that leave without a release
+    top_kbit: PositiveCount | None = None
     tempers: list[Literal["obeys", "half", "hasty", "drops", "forges"]] = field(default_factory=list)
     plays: bool = False  # the clients read manifests and fetch segments
-    sockets: Share = 0.0  # share of non-playing clients that use WebSocket
-    apart: Share = 0.0  # share of playing clients that request interstitials
+    sockets: UnitFraction = 0.0  # share of non-playing clients that use WebSocket
+    apart: UnitFraction = 0.0  # share of playing clients that request interstitials
     tenant: Annotated[str, Meta(max_length=64)] = ""
     fronts: list[Count] = field(default_factory=list)  # the fronts that they use; empty: all
 
 
-class TenantRequirements(Strict, frozen=True, kw_only=True):
+class TenantRequirements(StrictStruct, frozen=True, kw_only=True):
     """What the other tenants must be served from when the overloading tenant (the hog) arrives."""
 
     hog: Name
     from_s: Seconds
-    served: Share  # the least share of each other tenant's clients
-    wait_ms: SomeFigure  # limit for the 99th percentile of its waits
-    fills: SomeCount = 1  # attempts in flight at one server that show the hog's overload
+    served: UnitFraction  # the least share of each other tenant's clients
+    wait_ms: PositiveNumber  # limit for the 99th percentile of its waits
+    fills: PositiveCount = 1  # attempts in flight at one server that show the hog's overload
 
 
-class PlaylistChange(Strict, frozen=True, kw_only=True):
+class PlaylistChange(StrictStruct, frozen=True, kw_only=True):
     """A playlist change that the scenario's author submits or deletes."""
 
     at_s: Seconds
@@ -120,7 +120,7 @@
     wall_in_s: Seconds | None = None  # instead of `at`: the time from when it is sent
 
 
-class NetworkFault(Strict, frozen=True, kw_only=True):
+class NetworkFault(StrictStruct, frozen=True, kw_only=True):
     """A network fault that relays apply to what `sender` sends to `taker`.
 
     Parties are `all`, `fronts`, `boxes`, `lists`, `viewers`, a zone, `front-3`, `box-2`, or several separated
@@ -130,11 +130,11 @@
     sender: Parties
     taker: Parties
     how: NetworkFaultKind
-    share: Share = 1.0
+    share: UnitFraction = 1.0
     both: bool = True  # the other direction as well
 
 
-class PowerLoss(Strict, frozen=True, kw_only=True):
+class PowerLoss(StrictStruct, frozen=True, kw_only=True):
     """A loss of power for all fronts, servers and the list service; restarts are in seconds after it."""
 
     boxes_back_s: TimeRange
@@ -151,46 +151,46 @@
     lists_learn_s: Seconds = 0.0  # and publishes the current one this long after its restart
 
 
-class VersionSpec(Strict, frozen=True, kw_only=True):
+class VersionSpec(StrictStruct, frozen=True, kw_only=True):
     """The behaviour of fronts that run a version; what is left out is as in the scenario's settings."""
 
-    number: SomeCount
-    held: SomeCount | None = None  # limit of sessions per front; further set-ups are rejected
-    late_ms: Figure = 0.0  # delay of what it sends to servers
+    number: PositiveCount
+    held: PositiveCount | None = None  # limit of sessions per front; further set-ups are rejected
+    late_ms: NonNegativeNumber = 0.0  # delay of what it sends to servers
     hangs: list[Count] = field(default_factory=list)  # fronts that hang during startup with it
     hangs_s: Seconds = 600.0
     refused: bool = False  # its settings are invalid, so the front exits with an error
 
 
-class RolloutRequirements(Strict, frozen=True, kw_only=True):
+class RolloutRequirements(StrictStruct, frozen=True, kw_only=True):
     """The outcome that the checker expects of a scenario's rollouts."""
 
-    wanted: SomeCount = 2
+    wanted: PositiveCount = 2
     ends: Literal["all", "none", "some"] = "all"  # fronts that run it in the end; some: at least one
     lost: list[Count] = field(default_factory=list)  # fronts excluded from that
-    most: SomeCount | None = None  # limit of fronts that ever ran it, as a halt stops it
-    restart_ms: Figure = 300.0  # delay of a restart by the supervisor
-    know_ms: Figure = 4500.0  # time by which fronts have detected a crashed front and count it
-    know_box_ms: Figure = 8000.0  # the same for a server
+    most: PositiveCount | None = None  # limit of fronts that ever ran it, as a halt stops it
+    restart_ms: NonNegativeNumber = 300.0  # delay of a restart by the supervisor
+    know_ms: NonNegativeNumber = 4500.0  # time by which fronts have detected a crashed front and count it
+    know_box_ms: NonNegativeNumber = 8000.0  # the same for a server
     boxes: Count = 0  # servers that have to be taken out
 
 
-class SlotRequirements(Strict, frozen=True, kw_only=True):
+class SlotRequirements(StrictStruct, frozen=True, kw_only=True):
     """The limits for attempts in flight at servers."""
 
-    over: SomeFigure = 2.5  # limit in flight at a server, as a multiple of its knee
+    over: PositiveNumber = 2.5  # limit in flight at a server, as a multiple of its knee
     learn_s: Seconds = 8.0  # unchecked time after the scenario's start or a change of the knee
-    late: Share = 0.02  # limit for the share of attempts that fronts cancel
+    late: UnitFraction = 0.02  # limit for the share of attempts that fronts cancel
 
 
-class FaultSpec(Strict, frozen=True, kw_only=True):
+class FaultSpec(StrictStruct, frozen=True, kw_only=True):
     """A scheduled fault; `box` is the index of a server in the script, or of the front that it concerns."""
 
     at_s: Seconds
     what: FaultKind
     box: Count | None = None
     for_s: Seconds = 0.0
-    value: Figure = 0.0
+    value: NonNegativeNumber = 0.0
     fronts: list[Count] = field(default_factory=list)  # several fronts at once, instead of `box`
     between: NetworkFault | None = None
     power: PowerLoss | None = None
@@ -199,28 +199,28 @@
     order: list[str] = field(default_factory=list)  # an operator's arguments to `fennelcove fleet`
 
 
-class RigSpec(Strict, frozen=True, kw_only=True):
+class RigSpec(StrictStruct, frozen=True, kw_only=True):
     """The behaviour of the emulated peers, beside what the front's settings define."""
 
-    fall_multiple: SomeFigure = 2.0
-    tip_after_ms: SomeFigure = 3000.0
-    list_late_ms: Figure = 0.0
-    hold_ms: Figure = 0.0  # duration of a set-up
+    fall_multiple: PositiveNumber = 2.0
+    tip_after_ms: PositiveNumber = 3000.0
+    list_late_ms: NonNegativeNumber = 0.0
+    hold_ms: NonNegativeNumber = 0.0  # duration of a set-up
     slow_titles: list[Name] = field(default_factory=list)
-    slow_hold_ms: Figure = 0.0  # duration of a set-up of a slow title
+    slow_hold_ms: NonNegativeNumber = 0.0  # duration of a set-up of a slow title
     knee: Count = 0  # concurrent set-ups at a server beyond which each takes proportionally longer; 0: none
-    uplink_kb: SomeFigure
+    uplink_kb: PositiveNumber
 
 
-class Scenario(Strict, frozen=True, kw_only=True):
+class Scenario(StrictStruct, frozen=True, kw_only=True):
     """A scenario."""
 
     HEAD: ClassVar[str] = "day"
 
     name: Name
     like: Name | None = None  # a built-in scenario that supplies what is left out here
-    seconds: SomeFigure
-    service_floor: Share
+    seconds: PositiveNumber
+    service_floor: UnitFraction
     front: FrontSettings
     rig: RigSpec
     boxes: Annotated[list[ServerSpec], Meta(min_length=1, max_length=200)]
@@ -231,8 +231,8 @@
     halls: list[Name] = field(default_factory=list)  # zones of the fronts, assigned in turn
     relays: bool = False  # all traffic passes through relays that can inject faults
     company: bool = False  # every front knows its peers' addresses
-    settle_within_s: Figure | None = None  # limit for refusals after the last crowd
-    stall_limit_ms: Figure | None = None
+    settle_within_s: NonNegativeNumber | None = None  # limit for refusals after the last crowd
+    stall_limit_ms: NonNegativeNumber | None = None
     tenants: TenantRequirements | None = None
     release: RolloutRequirements | None = None
     slots: SlotRequirements | None = None
@@ -267,9 +267,9 @@
     base = msgspec.to_builtins(read(base_name.group(1))) if base_name is not None else None
     scenario = parse(text, Scenario, source, base)
     for fault in invalid_settings(scenario):
-        raise SettingsError.amiss(source, fault)
-    for fault in amiss(_first_front_settings(scenario)):
-        raise SettingsError.amiss(source, f"front.{fault}")
+        raise SettingsError.from_violation(source, fault)
+    for fault in find_violations(_first_front_settings(scenario)):
+        raise SettingsError.from_violation(source, f"front.{fault}")
     return scenario
 
 
@@ -282,7 +282,7 @@
     addresses = [f"127.0.0.1:{i + 1}" for i in range(scenario.fronts)]
     company = replace(front.company, addresses=addresses) if front.company is not None else None
     if company is None and scenario.company:
-        company = CompanySettings(addresses=addresses)
+        company = HeartbeatSettings(addresses=addresses)
     return replace(front, instance=replace(front.instance, fronts=scenario.fronts), company=company)
 
 
--- a/packages/scenarios/src/fennelcove/scenarios/supervisor.py
+++ b/packages/scenarios/src/fennelcove/scenarios/supervisor.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from fennelcove.fleet.asker import Call, Times, ask_all
-from fennelcove.fleet.inventory import FrontLine, Inventory
+from fennelcove.fleet.asker import Call, CallTimeouts, call_fronts
+from fennelcove.fleet.inventory import FrontEntry, Inventory
 from fennelcove.scenarios.fronts import START_TIMEOUT_S, FrontProcess, Fronts, ScenarioError
 from fennelcove.scenarios.rig import Rig
 from fennelcove.scenarios.script import FaultSpec, RolloutRequirements
@@ -23,7 +23,7 @@
 SETTINGS_REFUSED = 2  # exit status of a front whose settings are invalid
 SERVER_DRAIN_S = 3.0
 SERVER_DOWN_S = 0.5
-TIMEOUTS = Times(300_000, 600_000, 1_500_000)
+TIMEOUTS = CallTimeouts(300_000, 600_000, 1_500_000)
 PLAN_ENDED_PHASES = ("done", "undone")
 
 
@@ -47,7 +47,7 @@
 
     def start(self) -> None:
         """Start supervising."""
-        lines = [FrontLine(name=front.name, address=front.address) for front in self.fronts.all]
+        lines = [FrontEntry(name=front.name, address=front.address) for front in self.fronts.all]
         self.lines = lines
         self.inventory.write_text(write(Inventory(fronts=lines)), "utf-8")
         self.thread.start()
@@ -166,7 +166,7 @@
         """The newest state of the plan that any front reports; empty if none responds."""
         call = Call("GET", "/v1/status")
         found: list[dict[str, Any]] = []
-        for outcome in ask_all(self.lines, call, TIMEOUTS, self.rig.clock, len(self.lines)):
+        for outcome in call_fronts(self.lines, call, TIMEOUTS, self.rig.clock, len(self.lines)):
             plan = outcome.body.get("releases")
             if isinstance(plan, dict) and "fence" in plan:
                 found.append(plan)
--- a/packages/settings/src/fennelcove/settings/checks.py
+++ b/packages/settings/src/fennelcove/settings/checks.py
@@ -10,7 +10,7 @@
 from fennelcove.settings.schema import FrontSettings, ShapeSettings
 
 
-def amiss(front: FrontSettings) -> Iterator[str]:
+def find_violations(front: FrontSettings) -> Iterator[str]:
     """The violated constraints between fields, each as `PATH: WHAT WAS FOUND; REMEDY`."""
     port = int(front.listen.rpartition(":")[2])
     if port > 65_535:
@@ -185,12 +185,12 @@
         SettingsError: the first error.
     """
     front = load(path, FrontSettings)
-    for violation in amiss(front):
-        raise SettingsError.amiss(path, violation)
+    for violation in find_violations(front):
+        raise SettingsError.from_violation(path, violation)
     return front
 
 
-def module_settings(front: FrontSettings, shape: ShapeSettings | None = None) -> Settings:
+def to_policy_settings(front: FrontSettings, shape: ShapeSettings | None = None) -> Settings:
     """The settings of the placement policy, for the shape of the front or for another one.
 
     Times are converted from milliseconds to microseconds.
--- a/packages/settings/src/fennelcove/settings/reader.py
+++ b/packages/settings/src/fennelcove/settings/reader.py
@@ -31,7 +31,7 @@
     )
 
     @classmethod
-    def amiss(cls, source: str, violation: str) -> SettingsError:
+    def from_violation(cls, source: str, violation: str) -> SettingsError:
         """The error for a violation as `checks` reports it, `PATH: WHAT WAS FOUND; REMEDY`."""
         path, _, message = violation.partition(": ")
         happened, _, suggestion = message.partition("; ")
--- a/packages/settings/src/fennelcove/settings/schema.py
+++ b/packages/settings/src/fennelcove/settings/schema.py
@@ -15,75 +15,75 @@
 Milliseconds = Annotated[float, Meta(ge=0, le=86_400_000)]
 PositiveMilliseconds = Annotated[float, Meta(gt=0, le=86_400_000)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
-SomeCount = Annotated[int, Meta(ge=1, le=1_000_000)]
-Figure = Annotated[float, Meta(ge=0, le=1e12)]
-SomeFigure = Annotated[float, Meta(gt=0, le=1e12)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+PositiveCount = Annotated[int, Meta(ge=1, le=1_000_000)]
+NonNegativeNumber = Annotated[float, Meta(ge=0, le=1e12)]
+PositiveNumber = Annotated[float, Meta(gt=0, le=1e12)]
+UnitFraction = Annotated[float, Meta(ge=0, le=1)]
 
 
-class Strict(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class StrictStruct(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """A struct that rejects unknown fields."""
 
 
-class Instance(Strict, frozen=True, kw_only=True):
+class Instance(StrictStruct, frozen=True, kw_only=True):
     """The index of this front among all fronts, and its zone."""
 
     index: Count = 0
-    fronts: SomeCount = 1
+    fronts: PositiveCount = 1
     zone: Name = "zone"
 
 
-class RoomTypeSettings(Strict, frozen=True, kw_only=True):
+class ServiceClassSettings(StrictStruct, frozen=True, kw_only=True):
     """The requirements of one room type, which is a service class of sessions."""
 
     name: Name
     objective_ms: PositiveMilliseconds
     client_timeout_ms: PositiveMilliseconds
-    benefit: Figure = 1.0
+    benefit: NonNegativeNumber = 1.0
     effect: Literal["free", "guarded", "single_shot"] = "free"
     scope: Literal["all", "zone", "cell"] = "all"
     key_ttl_ms: Milliseconds = 0.0
-    scale: SomeFigure = 1.0
+    scale: PositiveNumber = 1.0
     floor: Count = 0
     seats: Count = 0
     seat_ms: Milliseconds = 0.0  # released if not renewed within this time; 0: lasts as long as the session
 
 
-class Rung(Strict, frozen=True, kw_only=True):
+class Rung(StrictStruct, frozen=True, kw_only=True):
     """One rung of the bitrate ladder; `worth` is its utility."""
 
-    kb: SomeFigure
-    worth: Share
+    kb: PositiveNumber
+    worth: UnitFraction
 
 
-class ServerKind(Strict, frozen=True, kw_only=True):
+class ServerKind(StrictStruct, frozen=True, kw_only=True):
     """A kind of server, and how many streams such a server can serve."""
 
     name: Name
-    streams: SomeCount
+    streams: PositiveCount
 
 
-class MediaSettings(Strict, frozen=True, kw_only=True):
+class MediaSettings(StrictStruct, frozen=True, kw_only=True):
     """The segments of a title; without `segments` the title is live, since the wall time `live_from_ms`."""
 
     timescale: Annotated[int, Meta(ge=1, le=1_000_000_000)] = 1000
     segment_ticks: Annotated[int, Meta(ge=1, le=10_000_000_000)] = 2000
-    segments: SomeCount | None = None
+    segments: PositiveCount | None = None
     live_from_ms: Annotated[int, Meta(ge=0)] = 0
     rungs: list[Count] = field(default_factory=list)
     codecs: Annotated[str, Meta(max_length=100, pattern=r"^[A-Za-z0-9.,]+$")] = "avc1.64001f,mp4a.40.2"
 
 
-class Title(Strict, frozen=True, kw_only=True):
+class Title(StrictStruct, frozen=True, kw_only=True):
     """A title, and the range of cells whose servers store it."""
 
     name: Name
     first_cell: Count = 0
-    cells: SomeCount = 1
+    cells: PositiveCount = 1
     media: MediaSettings | None = None
 
 
-class Author(Strict, frozen=True, kw_only=True):
+class Author(StrictStruct, frozen=True, kw_only=True):
     """An author who may change titles while they play.
 
     The `key_hash` is the BLAKE3 hash of the author's key, in hexadecimal; `fennelcove author-key` creates
@@ -95,7 +95,7 @@
     may_change: bool = True
 
 
-class StitchSettings(Strict, frozen=True, kw_only=True):
+class StitchSettings(StrictStruct, frozen=True, kw_only=True):
     """Changes of titles while they play.
 
     Attributes:
@@ -110,35 +110,35 @@
     moves_at_once: Annotated[int, Meta(ge=0, le=64)] = 8
 
 
-class TenantQuota(Strict, frozen=True, kw_only=True):
+class TenantQuota(StrictStruct, frozen=True, kw_only=True):
     """A tenant, and its quota: the requests per second at all fronts that have their full utility."""
 
     name: Name
-    quota_per_s: Figure
+    quota_per_s: NonNegativeNumber
 
 
-class UtilityWeights(Strict, frozen=True, kw_only=True):
+class UtilityWeights(StrictStruct, frozen=True, kw_only=True):
     """The weights of the total utility and of the utility of the worst service class in the objective."""
 
-    whole: SomeFigure = 1.0
-    worst_room_type: Figure = 0.0
+    whole: PositiveNumber = 1.0
+    worst_room_type: NonNegativeNumber = 0.0
 
 
-class ProbeSettings(Strict, frozen=True, kw_only=True):
+class ProbeSettings(StrictStruct, frozen=True, kw_only=True):
     """Load probes to servers; the price of each is a fraction of the benefit of a session."""
 
-    price: Figure = 0.0
+    price: NonNegativeNumber = 0.0
     timeout_ms: PositiveMilliseconds = 250.0
 
 
-class PeerSettings(Strict, frozen=True, kw_only=True):
+class PeerSettings(StrictStruct, frozen=True, kw_only=True):
     """Exchange of load reports between fronts over UDP; `addresses` are ordered by the index of the front."""
 
     addresses: Annotated[list[Address], Meta(min_length=1, max_length=10_000)]
-    price: Figure = 0.0
+    price: NonNegativeNumber = 0.0
 
 
-class CompanySettings(Strict, frozen=True, kw_only=True):
+class HeartbeatSettings(StrictStruct, frozen=True, kw_only=True):
     """Heartbeats between fronts over UDP.
 
     Attributes:
@@ -155,7 +155,7 @@
     kept: Annotated[float, Meta(gt=0, le=1)] = 0.75
 
 
-class HealthCheckSettings(Strict, frozen=True, kw_only=True):
+class HealthCheckSettings(StrictStruct, frozen=True, kw_only=True):
     """Health checks of servers.
 
     A few fronts probe each server, and send the results to the others over `company`. A server that two of
@@ -165,7 +165,7 @@
     timeout_ms: Annotated[float, Meta(ge=50, le=10_000)] = 500.0
 
 
-class OverloadSettings(Strict, frozen=True, kw_only=True):
+class OverloadSettings(StrictStruct, frozen=True, kw_only=True):
     """Load shedding: fronts exchange their request rates, and all shed load by the same levels.
 
     Without `company`, each front assumes that the others have the same load as itself. The rates limit the
@@ -174,12 +174,12 @@
     """
 
     enabled: bool = True
-    further_joins_s: Figure = 0.0
-    probes_s: Figure = 0.0
-    list_calls_s: Figure = 0.0
+    further_joins_s: NonNegativeNumber = 0.0
+    probes_s: NonNegativeNumber = 0.0
+    list_calls_s: NonNegativeNumber = 0.0
 
 
-class SlotSettings(Strict, frozen=True, kw_only=True):
+class SlotSettings(StrictStruct, frozen=True, kw_only=True):
     """Learned concurrency limits: how many concurrent attempts of all fronts each server supports.
 
     Attributes:
@@ -198,7 +198,7 @@
     loan_ms: Annotated[float, Meta(ge=500, le=600_000)] = 10_000.0
 
 
-class RecoverySettings(Strict, frozen=True, kw_only=True):
+class RecoverySettings(StrictStruct, frozen=True, kw_only=True):
     """Recovery of a front after a restart: it accepts requests at once, and probes the servers.
 
     Attributes:
@@ -210,7 +210,7 @@
     kept_list: bool = True
 
 
-class ReleaseSettings(Strict, frozen=True, kw_only=True):
+class ReleaseSettings(StrictStruct, frozen=True, kw_only=True):
     """Rollouts: the fronts agree on which fronts and servers may be out of service at a time.
 
     Plans of operators obey these limits, which must be equal at all fronts. After a front has ended, a
@@ -222,13 +222,13 @@
     halls: Annotated[list[Name], Meta(max_length=1000)] = field(
         default_factory=list
     )  # the zones of the fronts, by index
-    fronts_out: SomeCount = 1
-    fronts_out_hall: SomeCount = 1
-    boxes_out: SomeCount = 1
-    boxes_out_hall: SomeCount = 1
-    boxes_out_title: SomeCount = 1  # of the replicas of one title
-    margin: Share = 0.1  # the fraction of the remaining capacity that must stay free of load
-    front_load: Share = 0.0  # the fraction of a front's capacity that is in use at peak load
+    fronts_out: PositiveCount = 1
+    fronts_out_hall: PositiveCount = 1
+    boxes_out: PositiveCount = 1
+    boxes_out_hall: PositiveCount = 1
+    boxes_out_title: PositiveCount = 1  # of the replicas of one title
+    margin: UnitFraction = 0.1  # the fraction of the remaining capacity that must stay free of load
+    front_load: UnitFraction = 0.0  # the fraction of a front's capacity that is in use at peak load
     beat_ms: PositiveMilliseconds = 250.0
     window_ms: PositiveMilliseconds = 2000.0
     silent_ms: PositiveMilliseconds = 2000.0
@@ -236,7 +236,7 @@
     drain_ms: Milliseconds = 1000.0  # for redirecting new clients to other fronts before this one ends
 
 
-class ShapeSettings(Strict, frozen=True, kw_only=True):
+class ShapeSettings(StrictStruct, frozen=True, kw_only=True):
     """Optional features of the fleet; each default turns its feature off.
 
     Attributes:
@@ -248,13 +248,13 @@
     switch_cost_ms: Milliseconds = 0.0
     goal: UtilityWeights = UtilityWeights()
     tenants: Annotated[list[TenantQuota], Meta(max_length=1000)] = field(default_factory=list)
-    over_quota_worth: Share = 1.0
+    over_quota_worth: UnitFraction = 1.0
     reports_unasked: bool = True
     probes: ProbeSettings | None = None
     peers: PeerSettings | None = None
 
 
-class FleetSettings(Strict, frozen=True, kw_only=True):
+class FleetSettings(StrictStruct, frozen=True, kw_only=True):
     """What is known about the servers in advance.
 
     Attributes:
@@ -267,19 +267,19 @@
     """
 
     kinds: Annotated[list[ServerKind], Meta(min_length=1, max_length=64)]
-    cells: SomeCount = 1
-    racks: SomeCount = 1
-    kb_per_weight: Figure = 0.0
-    all_links_kb: Figure = 0.0
-    uplink_kb: Figure = 0.0
+    cells: PositiveCount = 1
+    racks: PositiveCount = 1
+    kb_per_weight: NonNegativeNumber = 0.0
+    all_links_kb: NonNegativeNumber = 0.0
+    uplink_kb: NonNegativeNumber = 0.0
     uplinks_told: bool = True
     sizes_listed: bool = True
     seen_after_ms: Milliseconds = 1000.0
     reports_every_ms: Milliseconds = 1000.0
-    guard: Figure = 0.0
+    guard: NonNegativeNumber = 0.0
 
 
-class Rules(Strict, frozen=True, kw_only=True):
+class Rules(StrictStruct, frozen=True, kw_only=True):
     """The limits that this front must observe.
 
     Attributes:
@@ -297,13 +297,13 @@
     ramp_ms: Milliseconds = 0.0
     fall_multiple: Annotated[float, Meta(ge=1, le=1000)] = 1.0
     tip_after_ms: Milliseconds = 0.0
-    join_cap: SomeCount | None = None
-    budget_free: Figure | None = None
-    budget_ratio: Figure = 0.0
+    join_cap: PositiveCount | None = None
+    budget_free: NonNegativeNumber | None = None
+    budget_ratio: NonNegativeNumber = 0.0
     budget_span_ms: Milliseconds = 0.0
 
 
-class DiscoverySettings(Strict, frozen=True, kw_only=True):
+class DiscoverySettings(StrictStruct, frozen=True, kw_only=True):
     """The service from which the front gets the list of servers.
 
     Attributes:
@@ -316,26 +316,26 @@
     ask_within_ms: PositiveMilliseconds | None = None
 
 
-class Limits(Strict, frozen=True, kw_only=True):
+class Limits(StrictStruct, frozen=True, kw_only=True):
     """Limits on the resources of the front; above any of them, the response is an immediate 503."""
 
-    connections: SomeCount = 1024
-    waiting: SomeCount = 512
-    held: SomeCount = 100_000
-    buffered_bytes: SomeCount = 1_000_000
+    connections: PositiveCount = 1024
+    waiting: PositiveCount = 512
+    held: PositiveCount = 100_000
+    buffered_bytes: PositiveCount = 1_000_000
     head_bytes: Annotated[int, Meta(ge=256, le=1_000_000)] = 16_384
     head_count: Annotated[int, Meta(ge=4, le=1000)] = 64
     body_bytes: Annotated[int, Meta(ge=64, le=1_000_000)] = 16_384
     head_ms: PositiveMilliseconds = 5000.0
     idle_ms: PositiveMilliseconds = 30_000.0
     write_ms: PositiveMilliseconds = 5000.0
-    box_connections: SomeCount = 16
+    box_connections: PositiveCount = 16
     stop_ms: PositiveMilliseconds = 5000.0
     silent_ms: PositiveMilliseconds = 30_000.0
     stack_kib: Annotated[int, Meta(ge=64, le=8192)] = 256
 
 
-class StormSettings(Strict, frozen=True, kw_only=True):
+class RetryStormSettings(StrictStruct, frozen=True, kw_only=True):
     """Damping of retry storms.
 
     With a `key_file`, which `fennelcove storm key` creates, queue tickets stay valid after a restart of the
@@ -347,7 +347,7 @@
     key_file: Annotated[str, Meta(max_length=1000)] | None = None
 
 
-class WebSocketSettings(Strict, frozen=True, kw_only=True):
+class WebSocketSettings(StrictStruct, frozen=True, kw_only=True):
     """The WebSocket API.
 
     The web pages of `origins` may open a connection, each as `https://host`; without origins, all pages may.
@@ -361,7 +361,7 @@
     message_bytes: Annotated[int, Meta(ge=1024, le=1_000_000)] = 16_384
 
 
-class ViewerSettings(Strict, frozen=True, kw_only=True):
+class AccessTokenSettings(StrictStruct, frozen=True, kw_only=True):
     """With a key file, clients need an access token that is signed with one of its keys.
 
     `fennelcove keys pass` creates such tokens.
@@ -370,7 +370,7 @@
     key_file: Annotated[str, Meta(max_length=1000)] | None = None
 
 
-class OperatorKey(Strict, frozen=True, kw_only=True):
+class OperatorKey(StrictStruct, frozen=True, kw_only=True):
     """A key of operators, in a file that `fennelcove storm key` creates."""
 
     name: Annotated[str, Meta(min_length=1, max_length=32, pattern=r"^[A-Za-z0-9._-]+$")]
@@ -378,21 +378,21 @@
     may_change: bool = True
 
 
-class ControlSettings(Strict, frozen=True, kw_only=True):
+class ControlSettings(StrictStruct, frozen=True, kw_only=True):
     """Commands of operators; none is accepted without a key. The file `audit` records each command."""
 
     keys: list[OperatorKey] = field(default_factory=list)
     audit: Annotated[str, Meta(max_length=1000)] | None = None
 
 
-class StoreSettings(Strict, frozen=True, kw_only=True):
+class StoreSettings(StrictStruct, frozen=True, kw_only=True):
     """A persistent folder of this front alone, whose state survives restarts."""
 
     folder: Annotated[str, Meta(min_length=1, max_length=1000)]
     most_mb: Annotated[int, Meta(ge=1, le=100_000)] = 64
 
 
-class TlsSettings(Strict, frozen=True, kw_only=True):
+class TlsSettings(StrictStruct, frozen=True, kw_only=True):
     """The certificate chain and the key as PEM files, which are reloaded when they change.
 
     `fennelcove keys new` creates such files.
@@ -402,14 +402,14 @@
     key: Annotated[str, Meta(max_length=1000)]
 
 
-class Weight(Strict, frozen=True, kw_only=True):
+class TenantWeight(StrictStruct, frozen=True, kw_only=True):
     """A tenant, and its weight in the sharing of slot time."""
 
     name: Annotated[str, Meta(min_length=1, max_length=64)]
     weight: Annotated[float, Meta(gt=0, le=1000)] = 1.0
 
 
-class FairSettings(Strict, frozen=True, kw_only=True):
+class FairQueueingSettings(StrictStruct, frozen=True, kw_only=True):
     """Fair sharing of slot time at servers among tenants.
 
     Attributes:
@@ -421,13 +421,13 @@
     """
 
     slots: Annotated[int, Meta(ge=2, le=10_000)]
-    weights: Annotated[list[Weight], Meta(max_length=1000)] = field(default_factory=list)
+    weights: Annotated[list[TenantWeight], Meta(max_length=1000)] = field(default_factory=list)
     strangers: Annotated[float, Meta(gt=0, le=1000)] = 1.0
     wait_ms: Annotated[float, Meta(gt=0, le=60_000)] = 200.0
     waiting: Annotated[int, Meta(ge=1, le=10_000)] = 256
 
 
-class FrontSettings(Strict, frozen=True, kw_only=True):
+class FrontSettings(StrictStruct, frozen=True, kw_only=True):
     """The settings file of a front."""
 
     HEAD: ClassVar[str] = "front"
@@ -438,29 +438,29 @@
     source: Annotated[str, Meta(max_length=64, pattern=r"^[0-9.]*$")] = (
         ""  # the local address of outgoing connections
     )
-    room_types: Annotated[list[RoomTypeSettings], Meta(min_length=1, max_length=64)]
+    room_types: Annotated[list[ServiceClassSettings], Meta(min_length=1, max_length=64)]
     ladder: Annotated[list[Rung], Meta(min_length=1, max_length=64)]
     fleet: FleetSettings
     titles: Annotated[list[Title], Meta(min_length=1, max_length=100_000)]
     instance: Instance = Instance()
     rules: Rules = Rules()
     stitch: StitchSettings = StitchSettings()
-    storm: StormSettings = StormSettings()
+    storm: RetryStormSettings = RetryStormSettings()
     websocket: WebSocketSettings = WebSocketSettings()
-    viewers: ViewerSettings = ViewerSettings()
+    viewers: AccessTokenSettings = AccessTokenSettings()
     tls: TlsSettings | None = None
     store: StoreSettings | None = None
     control: ControlSettings = ControlSettings()
     limits: Limits = Limits()
     seed: Count = 1
     max_retry_after_ms: Milliseconds | None = 2000.0
-    cross_zone_price: Figure = 0.0
+    cross_zone_price: NonNegativeNumber = 0.0
     shape: ShapeSettings = ShapeSettings()
-    company: CompanySettings | None = None
+    company: HeartbeatSettings | None = None
     recovery: RecoverySettings | None = None
     overload: OverloadSettings | None = None
     releases: ReleaseSettings | None = None
     watchers: HealthCheckSettings | None = None
     slots: SlotSettings | None = None
-    fair: FairSettings | None = None
+    fair: FairQueueingSettings | None = None
     watch: ShapeSettings | None = None  # a shape for comparison: its decisions are counted but not executed
--- a/tests/generated_clients.py
+++ b/tests/generated_clients.py
@@ -6,7 +6,7 @@
 import re
 from typing import Any
 
-from fennelcove.api.described import Described
+from fennelcove.api.described import SchemaChecker
 from fennelcove.emulators.clients import HttpClient, Response
 from fennelcove.emulators.sockets import WebSocketClient
 
@@ -20,7 +20,7 @@
 
     def __init__(self, document: dict[str, Any], player: HttpClient) -> None:
         self.document = document
-        self.described = Described(document)
+        self.described = SchemaChecker(document)
         self.player = player
         self.operations = {
             operation["operationId"]: (method.upper(), path, operation)
@@ -60,7 +60,7 @@
 
     def __init__(self, document: dict[str, Any], player: WebSocketClient) -> None:
         self.document = document
-        self.described = Described(document)
+        self.described = SchemaChecker(document)
         self.player = player
         player.observer = self
 
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -17,7 +17,7 @@
 import msgspec
 from click.testing import CliRunner
 from fennelcove.api import asyncapi, openapi
-from fennelcove.api.described import KNOWN_KEYWORDS, Described
+from fennelcove.api.described import KNOWN_KEYWORDS, SchemaChecker
 from fennelcove.api.diff import Comparison, is_breaking_version_step
 from fennelcove.cli.main import main
 from fennelcove.emulators.sockets import WebSocketClient
@@ -47,7 +47,7 @@
 
     def test_references_resolve_and_every_keyword_is_implemented(self) -> None:
         for document in (openapi.document(ROUTE_TABLE), asyncapi.document()):
-            described = Described(document)
+            described = SchemaChecker(document)
             for node in all_objects(document):
                 if "$ref" in node:
                     described._resolve(node["$ref"])
@@ -73,7 +73,9 @@
         message = msgspec.to_builtins(
             renamed(subscription="x", number=1, rung_now=1, top_rung=1, rate_kb=1.0)
         )
-        violations = Described(json.loads((PUBLISHED_FOLDER / "asyncapi.json").read_text())).message(message)
+        violations = SchemaChecker(json.loads((PUBLISHED_FOLDER / "asyncapi.json").read_text())).message(
+            message
+        )
         assert len(violations) == 2  # one field missing, one not described
         _, schemas = msgspec.json.schema_components([renamed])
         published = json.loads((PUBLISHED_FOLDER / "asyncapi.json").read_text())["components"]["schemas"][
@@ -82,7 +84,7 @@
         assert schemas["RungChanged"]["properties"].keys() != published["properties"].keys()
 
     def test_an_undescribed_notification_is_detected(self) -> None:
-        described = Described(asyncapi.document())
+        described = SchemaChecker(asyncapi.document())
         assert described.message({"type": "surprise", "subscription": "x"})
         document = asyncapi.document()
         document["operations"]["news"]["messages"] = [
@@ -90,7 +92,7 @@
         ]
         moved = {"type": "moved", "subscription": "x", "number": 1, "box": "b", "rung": 1, "rate_kb": 1.0}
         assert described.message(moved) == []
-        assert Described(document).message(moved)
+        assert SchemaChecker(document).message(moved)
 
     def test_handlers_and_descriptions_cover_the_same_messages(self) -> None:
         assert set(HANDLERS) == set(wire.RESPONSE_TYPES)
--- a/tests/test_concurrency_limits.py
+++ b/tests/test_concurrency_limits.py
@@ -43,7 +43,7 @@
 from fennelcove.core.learned_limits import LearnedLimits, ListedServer
 from fennelcove.decisions.fleet.shared_quotas import QuotaRequest, QuotaTransfer, Resource
 from fennelcove.scenarios import slots as slot_checker
-from fennelcove.settings.schema import Instance, RoomTypeSettings, SlotSettings
+from fennelcove.settings.schema import Instance, ServiceClassSettings, SlotSettings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -523,7 +523,7 @@
 
 
 def learned_limits(index: int = 0, fronts: int = 3) -> LearnedLimits:
-    service_classes = [RoomTypeSettings(name="live", objective_ms=500, client_timeout_ms=2000)]
+    service_classes = [ServiceClassSettings(name="live", objective_ms=500, client_timeout_ms=2000)]
     slot_settings, clock = SlotSettings(start=9), FixedClock()
     instance = Instance(index=index, fronts=fronts)
     limits = LearnedLimits(
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -11,8 +11,8 @@
 from fennelcove.emulators.clients import Response
 from fennelcove.emulators.media_server import SetUpTimes
 from fennelcove.fair_queueing.usage_gossip import UsageReport, UsageRow
-from fennelcove.settings.checks import amiss
-from fennelcove.settings.schema import FairSettings, SlotSettings, Weight
+from fennelcove.settings.checks import find_violations
+from fennelcove.settings.schema import FairQueueingSettings, SlotSettings, TenantWeight
 
 from tests.rig import FrontTestCase, wait_for
 
@@ -21,7 +21,7 @@
     SERVER_COUNT = 1
 
     def start_with_fair_queue(self, service_ms: float, **changes: Any) -> None:
-        self.start_system(fair=FairSettings(**{"slots": 2, "wait_ms": 10_000.0, **changes}))
+        self.start_system(fair=FairQueueingSettings(**{"slots": 2, "wait_ms": 10_000.0, **changes}))
         self.ask()  # a request without any history counts as long, and never gets the last slot
         self.boxes[0].set_up_times = SetUpTimes(service_ms)
         self.ask()
@@ -104,7 +104,7 @@
         # Fifty slots are configured, and at most two are learned: a queue that used the configured number
         # would grant slots to all eight requests, and the learned limit would then reject six of them.
         learned = SlotSettings(start=2, least=2, most=2)
-        self.start_system(fair=FairSettings(slots=50, wait_ms=10_000.0), slots=learned)
+        self.start_system(fair=FairQueueingSettings(slots=50, wait_ms=10_000.0), slots=learned)
         # Set before any request: compared with an immediate set-up, all others would count as long.
         self.boxes[0].set_up_times = SetUpTimes(60)
         address = self.boxes[0].address
@@ -127,11 +127,12 @@
 
     def test_a_duplicate_tenant_name_is_rejected(self) -> None:
         self.start_system(
-            start=False, fair=FairSettings(slots=2, weights=[Weight(name="a"), Weight(name="a")])
+            start=False,
+            fair=FairQueueingSettings(slots=2, weights=[TenantWeight(name="a"), TenantWeight(name="a")]),
         )
-        assert any("fair.weights[1].name" in line for line in amiss(self.settings))
-        without_duplicate = self.changed(fair=FairSettings(slots=2))
-        assert [line for line in amiss(without_duplicate) if "fair" in line] == []
+        assert any("fair.weights[1].name" in line for line in find_violations(self.settings))
+        without_duplicate = self.changed(fair=FairQueueingSettings(slots=2))
+        assert [line for line in find_violations(without_duplicate) if "fair" in line] == []
 
 
 class UsageMessagesTest(unittest.TestCase):
--- a/tests/test_release_side.py
+++ b/tests/test_release_side.py
@@ -36,7 +36,7 @@
 )
 from fennelcove.scenarios import outages
 from fennelcove.scenarios.faults import MISSING_FAULT_RULE, TOO_MANY_OUT_RULE
-from fennelcove.settings.checks import amiss
+from fennelcove.settings.checks import find_violations
 from fennelcove.settings.reader import parse
 from fennelcove.settings.schema import FrontSettings, StoreSettings
 from hypothesis import given
@@ -227,7 +227,7 @@
         more = f"""(instance (index 0) (fronts 3))
           (company (addresses "127.0.0.1:1" "127.0.0.1:2" "127.0.0.1:3")) {releases})"""
         text = SETTINGS.rstrip().removesuffix(")") + more
-        return list(amiss(parse(text, FrontSettings, "test")))
+        return list(find_violations(parse(text, FrontSettings, "test")))
 
     def test_inconsistent_settings_are_rejected_with_advice(self) -> None:
         assert self.faults('(releases (version 1) (wanted "w"))') == []
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 from fennelcove.cli.main import main
 from fennelcove.scenarios.script import names, read
-from fennelcove.settings.checks import load_front, module_settings
+from fennelcove.settings.checks import load_front, to_policy_settings
 from fennelcove.settings.reader import SettingsError, parse
 from fennelcove.settings.schema import FrontSettings
 from fennelcove.settings.writer import write
@@ -52,7 +52,7 @@
         front = load_front(str(self.file))
         assert (front.name, front.room_types[0].floor, front.limits.waiting) == ("f1", 1, 512)
         assert parse(write(front), FrontSettings, "again") == front
-        assert module_settings(front).service_classes["live"].latency_objective_us == 500000
+        assert to_policy_settings(front).service_classes["live"].latency_objective_us == 500000
 
     def test_every_included_scenario_is_valid(self) -> None:
         for name in names():
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -20,7 +20,7 @@
     TopRungChanged,
 )
 from fennelcove.messages import encode
-from fennelcove.settings.checks import amiss, module_settings
+from fennelcove.settings.checks import find_violations, to_policy_settings
 from fennelcove.settings.reader import parse
 from fennelcove.settings.schema import (
     FrontSettings,
@@ -51,7 +51,7 @@
 
 class ShapeSettingsTest(unittest.TestCase):
     def test_every_default_turns_its_feature_off(self) -> None:
-        policy_settings = module_settings(parse(SETTINGS_TEXT, FrontSettings, "test"))
+        policy_settings = to_policy_settings(parse(SETTINGS_TEXT, FrontSettings, "test"))
         defaults = {"probe_price": None, "peer_price": None, "has_unsolicited_reports": True, "quotas": {}}
         defaults |= {"over_quota_utility": 1.0, "worst_class_weight": 0.0, "rung_switch_cost_us": 0}
         assert {name: getattr(policy_settings, name) for name in defaults} == defaults
@@ -61,7 +61,9 @@
           (over-quota-worth 0.1)
           (tenants (item (name "a") (quota-per-s 18))) (reports-unasked false) (probes (price 0.01))
           (peers (price 0.012) (addresses "127.0.0.1:9"))))"""
-        policy_settings = module_settings(parse(SETTINGS_TEXT.rstrip()[:-1] + shape, FrontSettings, "test"))
+        policy_settings = to_policy_settings(
+            parse(SETTINGS_TEXT.rstrip()[:-1] + shape, FrontSettings, "test")
+        )
         assert (
             policy_settings.rung_switch_cost_us,
             policy_settings.worst_class_weight,
@@ -83,14 +85,14 @@
             (ShapeSettings(reports_unasked=False), "probes"),
             (ShapeSettings(peers=PeerSettings(addresses=["127.0.0.1:1", "127.0.0.1:2"])), "peers.addresses"),
         ):
-            assert f"shape.{path}" in next(amiss(msgspec.structs.replace(front, shape=shape)))
-            assert f"watch.{path}" in next(amiss(msgspec.structs.replace(front, watch=shape)))
+            assert f"shape.{path}" in next(find_violations(msgspec.structs.replace(front, shape=shape)))
+            assert f"watch.{path}" in next(find_violations(msgspec.structs.replace(front, watch=shape)))
         many_cells = msgspec.structs.replace(
             front.fleet, cells=70_000
         )  # a message encodes a cell in two bytes
         peers = ShapeSettings(peers=PeerSettings(addresses=["127.0.0.1:1"]))
         assert "shape.peers: found 70000" in next(
-            amiss(msgspec.structs.replace(front, fleet=many_cells, shape=peers))
+            find_violations(msgspec.structs.replace(front, fleet=many_cells, shape=peers))
         )
 
 
--- a/tests/test_slots_front.py
+++ b/tests/test_slots_front.py
@@ -9,8 +9,8 @@
 
 from fennelcove.concurrency_limits import persisted
 from fennelcove.emulators.media_server import SetUpTimes
-from fennelcove.settings.checks import amiss
-from fennelcove.settings.schema import FairSettings, SlotSettings, StoreSettings
+from fennelcove.settings.checks import find_violations
+from fennelcove.settings.schema import FairQueueingSettings, SlotSettings, StoreSettings
 
 from tests.rig import FrontTestCase, wait_for
 
@@ -41,7 +41,9 @@
         )
 
     def test_with_a_wait_queue_all_are_served_and_the_limit_is_not_exceeded(self) -> None:
-        self.start_system(slots=SlotSettings(start=2, most=2), fair=FairSettings(slots=2, wait_ms=10_000.0))
+        self.start_system(
+            slots=SlotSettings(start=2, most=2), fair=FairQueueingSettings(slots=2, wait_ms=10_000.0)
+        )
         # Set before any request: compared with an immediate set-up, all others would count as long.
         self.boxes[0].set_up_times = SetUpTimes(50)
         address = self.boxes[0].address
@@ -66,7 +68,7 @@
 
     def test_settings_require_loans_that_outlast_attempts_and_a_consistent_minimum(self) -> None:
         self.start_system(start=False, slots=SlotSettings(loan_ms=4000.0, start=1, least=2))
-        errors = [line for line in amiss(self.settings) if line.startswith("slots.")]
+        errors = [line for line in find_violations(self.settings) if line.startswith("slots.")]
         assert len(errors) == 2
 
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -33,7 +33,7 @@
 from fennelcove.log import silent
 from fennelcove.scenarios import plots, replays
 from fennelcove.settings.reader import parse
-from fennelcove.settings.schema import FrontSettings, StormSettings
+from fennelcove.settings.schema import FrontSettings, RetryStormSettings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from msgspec.structs import replace
@@ -363,7 +363,9 @@
         )
 
     def new_core(self, key: bytes) -> Core:
-        front_settings = replace(parse(SETTINGS, FrontSettings, "test"), storm=StormSettings(damping=True))
+        front_settings = replace(
+            parse(SETTINGS, FrontSettings, "test"), storm=RetryStormSettings(damping=True)
+        )
         return Core(
             front_settings, self.clock, Timers(self.clock), silent, recorded_ports(), SessionIds(key * 32)
         )
--- a/tests/test_websocket_sessions.py
+++ b/tests/test_websocket_sessions.py
@@ -20,11 +20,11 @@
 from fennelcove.emulators.sockets import WebSocketClient
 from fennelcove.ingress.websocket_session import QueuedMessage
 from fennelcove.settings.schema import (
+    AccessTokenSettings,
     Author,
     MediaSettings,
     StitchSettings,
     Title,
-    ViewerSettings,
     WebSocketSettings,
 )
 from fennelcove.websocket.frames import write
@@ -343,7 +343,7 @@
         key_file.rotate(path, 1)
         self.mac = keyed_mac(key_file.load(path, 1)[0])
         self.start_system(
-            viewers=ViewerSettings(key_file=path),
+            viewers=AccessTokenSettings(key_file=path),
             websocket=WebSocketSettings(origins=["https://own.example"]),
         )
 
