--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -23,7 +23,7 @@
 from fennelcove.hints import cmcd, cmsd
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.reader import MessageAssembler, Reader
 from fennelcove.interface import ListEntry, Outcome, ServerState
 from fennelcove.settings.reader import parse
 from fennelcove.settings.schema import FrontSettings
@@ -72,7 +72,7 @@
 
 
 def make_reader(raw: bytes, is_request: bool) -> Callable[[], object]:
-    reader = Gatherer(Reader(is_request, CodecLimits()))
+    reader = MessageAssembler(Reader(is_request, CodecLimits()))
 
     def read() -> object:
         reader.reader.feed(raw)
@@ -116,7 +116,7 @@
         "codec: write a response", lambda: writer.response(201, [("CMSD-Dynamic", DYNAMIC)], SETUP_BODY)
     )
     hints_us = measure("hints: a client's CMCD, three headers", lambda: cmcd.read(HEADERS, {}))
-    cache = cmsd.Memo()
+    cache = cmsd.CmsdCache()
     measure("hints: a server's CMSD, not cached", lambda: cmsd.read(None, DYNAMIC))
     hints_us += measure("hints: a server's CMSD, cached", lambda: cache.read(None, DYNAMIC))
     hints_us += measure(
--- a/benchmarks/sockets.py
+++ b/benchmarks/sockets.py
@@ -33,7 +33,7 @@
 from fennelcove.scenarios.script import Scenario, read
 from fennelcove.settings.schema import TlsSettings
 from fennelcove.websocket.deflate import Inflater, deflate
-from fennelcove.websocket.frames import masked
+from fennelcove.websocket.frames import apply_mask
 
 JSON = ("Content-Type", "application/json")
 CONNECTIONS_PER_THREAD = 30
@@ -251,7 +251,7 @@
     text = msgspec.json.encode(message)
     compressed = deflate(text)
     for name, function in (
-        ("masking", lambda: masked(text, b"abcd")),
+        ("masking", lambda: apply_mask(text, b"abcd")),
         ("deflating", lambda: deflate(text)),
         ("inflating", lambda: Inflater(65_536).add(compressed)),
     ):
--- a/packages/api/src/fennelcove/api/openapi.py
+++ b/packages/api/src/fennelcove/api/openapi.py
@@ -106,7 +106,7 @@
             {"name": key, "in": "query", "description": description, "schema": {"type": "string"}}
         )
     if operation.accepts_cmcd:
-        for header in cmcd.NAMES:
+        for header in cmcd.HEADER_NAMES:
             parameters.append({"name": header, "in": "header", "schema": {"type": "string"}})
         parameters.append({"name": "CMCD", "in": "query", "schema": {"type": "string"}})
     operation_object: dict[str, Any] = {
--- a/packages/codecs/src/fennelcove/hints/cmcd.py
+++ b/packages/codecs/src/fennelcove/hints/cmcd.py
@@ -14,9 +14,9 @@
 from urllib.parse import unquote
 
 import msgspec
-from fennelcove.hints.fields import Bare, Item, Token, parse_dictionary, write_dictionary
+from fennelcove.hints.fields import BareItem, Item, Token, parse_dictionary, write_dictionary
 
-NAMES = ("CMCD-Request", "CMCD-Object", "CMCD-Status", "CMCD-Session")
+HEADER_NAMES = ("CMCD-Request", "CMCD-Object", "CMCD-Status", "CMCD-Session")
 HEADER_KEYS = ("cmcd-request", "cmcd-object", "cmcd-status", "cmcd-session")
 QUERY_KEY = "CMCD"
 
@@ -31,8 +31,8 @@
         dropped: the number of malformed or unknown hints.
     """
 
-    values: dict[str, Bare] = field(default_factory=dict)
-    custom: dict[str, Bare] = field(default_factory=dict)
+    values: dict[str, BareItem] = field(default_factory=dict)
+    custom: dict[str, BareItem] = field(default_factory=dict)
     dropped: int = 0
 
     def number(self, key: str) -> float | None:
@@ -50,38 +50,38 @@
         return self.values.get(key) is True
 
 
-def _non_negative_integer(value: Bare) -> Bare | None:
+def _non_negative_integer(value: BareItem) -> BareItem | None:
     # Senders must round some values to the nearest hundred; a value that is not rounded is accepted.
     is_valid = isinstance(value, int) and not isinstance(value, bool) and value >= 0
     return value if is_valid else None
 
 
-def _non_negative_number(value: Bare) -> Bare | None:
+def _non_negative_number(value: BareItem) -> BareItem | None:
     is_valid = isinstance(value, int | float) and not isinstance(value, bool) and value >= 0
     return float(value) if is_valid and not isinstance(value, str | bytes) else None
 
 
-def _boolean(value: Bare) -> Bare | None:
+def _boolean(value: BareItem) -> BareItem | None:
     return value if isinstance(value, bool) else None
 
 
-def _string(max_chars: int) -> Callable[[Bare], Bare | None]:
-    def check(value: Bare) -> Bare | None:
+def _string(max_chars: int) -> Callable[[BareItem], BareItem | None]:
+    def check(value: BareItem) -> BareItem | None:
         is_valid = isinstance(value, str) and not isinstance(value, Token) and len(value) <= max_chars
         return value if is_valid else None
 
     return check
 
 
-def _token(*allowed: str) -> Callable[[Bare], Bare | None]:
-    def check(value: Bare) -> Bare | None:
+def _token(*allowed: str) -> Callable[[BareItem], BareItem | None]:
+    def check(value: BareItem) -> BareItem | None:
         # JSON and some players send strings where the specification has tokens.
         return Token(value) if isinstance(value, str) and (not allowed or value in allowed) else None
 
     return check
 
 
-_V1: Mapping[str, Callable[[Bare], Bare | None]] = {
+_V1: Mapping[str, Callable[[BareItem], BareItem | None]] = {
     "br": _non_negative_integer,
     "bl": _non_negative_integer,
     "bs": _boolean,
@@ -101,7 +101,7 @@
     "tb": _non_negative_integer,
     "v": _non_negative_integer,
 }
-_V2: Mapping[str, Callable[[Bare], Bare | None]] = {
+_V2: Mapping[str, Callable[[BareItem], BareItem | None]] = {
     "ab": _non_negative_integer,
     "bg": _boolean,
     "bsa": _non_negative_integer,
@@ -134,8 +134,9 @@
     "ttlb": _non_negative_integer,
     "url": _string(2048),
 }
-RESERVED_KEYS: Mapping[str, Callable[[Bare], Bare | None]] = {**_V1, **_V2}
-# The index in `NAMES` of the header that version 1 assigns to each key; on reception any header is accepted.
+RESERVED_KEYS: Mapping[str, Callable[[BareItem], BareItem | None]] = {**_V1, **_V2}
+# The index in `HEADER_NAMES` of the header that version 1 assigns to each key; on reception any header is
+# accepted.
 HEADER_INDEX = {
     "bl": 0,
     "dl": 0,
@@ -158,7 +159,7 @@
 }
 
 
-def _add(hints: Cmcd, key: str, value: Bare) -> None:
+def _add(hints: Cmcd, key: str, value: BareItem) -> None:
     if "-" in key:
         hints.custom[key] = value
         return
@@ -170,7 +171,7 @@
         hints.values[key] = checked
 
 
-def _first_value(item: Item) -> Bare | None:
+def _first_value(item: Item) -> BareItem | None:
     """Return the value, or the first item of an inner list: version 2 lists numbers by object type."""
     if isinstance(item.value, tuple):
         first = item.value[0].value if item.value else None
@@ -238,14 +239,16 @@
     return found
 
 
-def write_headers(values: Mapping[str, Bare]) -> list[tuple[str, str]]:
+def write_headers(values: Mapping[str, BareItem]) -> list[tuple[str, str]]:
     """Serialize hints as the four headers with sorted keys; for players and emulated clients.
 
     Raises:
         FieldError: a value can't be represented.
     """
-    groups: list[dict[str, Bare]] = [{}, {}, {}, {}]
+    groups: list[dict[str, BareItem]] = [{}, {}, {}, {}]
     for key in sorted(values):
         if values[key] is not False:
             groups[HEADER_INDEX.get(key, 3)][key] = values[key]
-    return [(name, write_dictionary(group)) for name, group in zip(NAMES, groups, strict=True) if group]
+    return [
+        (name, write_dictionary(group)) for name, group in zip(HEADER_NAMES, groups, strict=True) if group
+    ]
--- a/packages/codecs/src/fennelcove/hints/cmsd.py
+++ b/packages/codecs/src/fennelcove/hints/cmsd.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from fennelcove.hints.fields import (
-    Bare,
+    BareItem,
     Item,
     Params,
     parse_dictionary,
@@ -53,7 +53,7 @@
     """The hints of one server on the path; rates are in kb/s, times in ms."""
 
     name: str
-    values: Mapping[str, Bare]
+    values: Mapping[str, BareItem]
 
     def number(self, key: str) -> float | None:
         """Return the number of a key, or None if it is absent or not a number."""
@@ -70,19 +70,19 @@
 class Cmsd:
     """The hints of one response, and the number of malformed or unknown ones that were dropped."""
 
-    static: Mapping[str, Bare] = field(default_factory=dict)
+    static: Mapping[str, BareItem] = field(default_factory=dict)
     hops: tuple[Hop, ...] = ()
     dropped: int = 0
 
 
-def _has_type(value: Bare, value_type: type) -> bool:
+def _has_type(value: BareItem, value_type: type) -> bool:
     if value_type is bool or isinstance(value, bool):
         return value_type is bool and isinstance(value, bool)
     return isinstance(value, value_type)
 
 
-def _check_types(values: Mapping[str, Bare], key_types: KeyTypes) -> tuple[dict[str, Bare], int]:
-    found: dict[str, Bare] = {}
+def _check_types(values: Mapping[str, BareItem], key_types: KeyTypes) -> tuple[dict[str, BareItem], int]:
+    found: dict[str, BareItem] = {}
     dropped = 0
     for key, value in values.items():
         if "-" in key or (key in key_types and _has_type(value, key_types[key])):
@@ -95,7 +95,7 @@
 def read(static: str | None, dynamic: str | None) -> Cmsd:
     """Parse the values of the two headers; a malformed entry or key is dropped without the others."""
     dropped = 0
-    static_values: dict[str, Bare] = {}
+    static_values: dict[str, BareItem] = {}
     if static:
         items, dropped = parse_dictionary(static)
         bare_items = {key: item.value for key, item in items.items() if not isinstance(item.value, tuple)}
@@ -120,7 +120,7 @@
     return Hop(str(entry.value), values), dropped_now
 
 
-def write_static(values: Mapping[str, Bare]) -> str:
+def write_static(values: Mapping[str, BareItem]) -> str:
     """Serialize the value of CMSD-Static with sorted keys.
 
     Raises:
@@ -138,7 +138,7 @@
     return write_bare(name) + write_params({key: values[key] for key in sorted(values)})
 
 
-class Memo:
+class CmsdCache:
     """A least-recently-used cache of parsed hints; a server repeats its values from response to response.
 
     Not thread-safe.
--- a/packages/codecs/src/fennelcove/hints/fields.py
+++ b/packages/codecs/src/fennelcove/hints/fields.py
@@ -25,14 +25,14 @@
     __slots__ = ()
 
 
-Bare = int | float | str | bool | bytes
-Params = dict[str, Bare]
+BareItem = int | float | str | bool | bytes
+Params = dict[str, BareItem]
 
 
 class Item(NamedTuple):
     """A bare item or an inner list, with its parameters."""
 
-    value: Bare | tuple[Item, ...]
+    value: BareItem | tuple[Item, ...]
     params: Params
 
 
@@ -51,7 +51,7 @@
 _MEMBER = re.compile(r'(?:"(?:[^"\\]|\\.)*"?|[^,"()]|\((?:"(?:[^"\\]|\\.)*"?|[^")])*\)?|\))+')
 
 
-def _parse_bare(text: str, position: int) -> tuple[Bare, int]:
+def _parse_bare(text: str, position: int) -> tuple[BareItem, int]:
     first_char = text[position : position + 1]
     if first_char == '"' and (match := _STRING.match(text, position)):
         return re.sub(r"\\(.)", r"\1", match[1]), match.end()
@@ -199,7 +199,7 @@
     return found, dropped
 
 
-def write_bare(value: Bare) -> str:
+def write_bare(value: BareItem) -> str:
     """Serialize a bare item (RFC 8941 section 4.1).
 
     Raises:
@@ -241,7 +241,7 @@
     )
 
 
-def write_dictionary(values: dict[str, Bare]) -> str:
+def write_dictionary(values: dict[str, BareItem]) -> str:
     """Serialize a dictionary of bare items; true is written as the key alone.
 
     Raises:
--- a/packages/codecs/src/fennelcove/http1/messages.py
+++ b/packages/codecs/src/fennelcove/http1/messages.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Whole:
+class CompleteMessage:
     """A complete message: the head, and the body in one piece."""
 
     head: RequestHead | ResponseHead
--- a/packages/codecs/src/fennelcove/http1/reader.py
+++ b/packages/codecs/src/fennelcove/http1/reader.py
@@ -6,7 +6,15 @@
 from enum import Enum
 
 from fennelcove.http1 import syntax
-from fennelcove.http1.messages import CodecLimits, Data, End, ProtocolError, RequestHead, ResponseHead, Whole
+from fennelcove.http1.messages import (
+    CodecLimits,
+    CompleteMessage,
+    Data,
+    End,
+    ProtocolError,
+    RequestHead,
+    ResponseHead,
+)
 
 Event = RequestHead | ResponseHead | Data | End
 
@@ -55,7 +63,7 @@
             self.is_peer_closed = True
 
     @property
-    def between(self) -> bool:
+    def is_between_messages(self) -> bool:
         """Whether no part of the next message has been received."""
         return self.state is State.HEAD and not self.buffer
 
@@ -76,7 +84,7 @@
 
     def _check_peer_open(self) -> None:
         """Raise a ProtocolError if the peer has closed in the middle of a message."""
-        if self.is_peer_closed and not self.between:
+        if self.is_peer_closed and not self.is_between_messages:
             raise ProtocolError(400, "closed in mid-message")
 
     def _read_head(self) -> Event | None:
@@ -225,7 +233,7 @@
 }
 
 
-class Gatherer:
+class MessageAssembler:
     """Assembles the events of a reader into complete messages; interim responses are skipped."""
 
     def __init__(self, reader: Reader) -> None:
@@ -233,7 +241,7 @@
         self.head: RequestHead | ResponseHead | None = None
         self.body = bytearray()
 
-    def next(self) -> Whole | None:
+    def next(self) -> CompleteMessage | None:
         """Return the next complete message, or None if more bytes are needed.
 
         Raises:
@@ -244,7 +252,7 @@
                 self.body += event.body
             elif isinstance(event, End):
                 assert self.head is not None
-                message = Whole(self.head, bytes(self.body))
+                message = CompleteMessage(self.head, bytes(self.body))
                 self.head = None
                 self.body.clear()
                 return message
--- a/packages/codecs/src/fennelcove/websocket/conversation.py
+++ b/packages/codecs/src/fennelcove/websocket/conversation.py
@@ -21,7 +21,7 @@
     Bounds,
     CloseCode,
     Opcode,
-    Violation,
+    ProtocolViolationError,
     is_valid_close_code,
 )
 
@@ -36,14 +36,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pinged:
+class PingReceived:
     """The peer sent a ping; if the connection is open, the pong is in `outgoing`."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Ponged:
+class PongReceived:
     """The peer sent a pong."""
 
     data: bytes
@@ -58,7 +58,7 @@
     clean: bool
 
 
-Event = Message | Pinged | Ponged | Closed
+Event = Message | PingReceived | PongReceived | Closed
 
 
 class MessageState(Enum):
@@ -139,7 +139,7 @@
 }
 
 
-class Conversation:
+class WebSocketProtocol:
     """One side of a connection.
 
     Args:
@@ -169,7 +169,7 @@
         self.decoder: codecs.IncrementalDecoder | None = None
 
     @property
-    def over(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the connection is closed: no event follows, and nothing more is sent."""
         return self.state is State.CLOSED
 
@@ -182,7 +182,7 @@
             The events, in order.
         """
         self.events = []
-        if self.over:
+        if self.is_closed:
             return []
         if not data:
             self._apply(
@@ -194,9 +194,9 @@
             return self.events
         self.reader.feed(data)
         try:
-            while not self.over and (part := self.reader.next()) is not None:
+            while not self.is_closed and (part := self.reader.next()) is not None:
                 self._on_frame_part(part)
-        except Violation as error:
+        except ProtocolViolationError as error:
             self._apply(CloseEvent.PROTOCOL_VIOLATED, error.code, str(error), False)
         return self.events
 
@@ -205,9 +205,9 @@
         if opcode is Opcode.PING:
             if self.state is State.OPEN:
                 self._write(Opcode.PONG, part.data)
-            self.events.append(Pinged(part.data))
+            self.events.append(PingReceived(part.data))
         elif opcode is Opcode.PONG:
-            self.events.append(Ponged(part.data))
+            self.events.append(PongReceived(part.data))
         elif opcode is Opcode.CLOSE:
             code, reason = _decode_close(part.data)
             self._apply(CloseEvent.CLOSE_RECEIVED, code, reason, True)
@@ -221,19 +221,25 @@
             action = MESSAGES[self.message_state, header.opcode]
             if action is DataAction.REJECT:
                 phrase = "goes on with" if header.opcode is Opcode.CONTINUATION else "breaks into"
-                raise Violation(CloseCode.PROTOCOL_ERROR, f"a frame {phrase} no message or another one")
+                raise ProtocolViolationError(
+                    CloseCode.PROTOCOL_ERROR, f"a frame {phrase} no message or another one"
+                )
             if action is not DataAction.CONTINUE:
                 self._begin_message(action, header.compressed)
             self.fragments += 1
             if self.fragments > self.bounds.fragments:
-                raise Violation(CloseCode.TOO_BIG, f"a message of over {self.bounds.fragments} frames")
+                raise ProtocolViolationError(
+                    CloseCode.TOO_BIG, f"a message of over {self.bounds.fragments} frames"
+                )
         data = self.inflater.add(part.data) if self.inflater is not None else part.data
         is_complete = part.is_last and header.fin
         if is_complete and self.inflater is not None:
             data += self.inflater.end()
         self.size += len(data)
         if self.size > self.bounds.message_bytes:
-            raise Violation(CloseCode.TOO_BIG, f"a message of over {self.bounds.message_bytes} bytes")
+            raise ProtocolViolationError(
+                CloseCode.TOO_BIG, f"a message of over {self.bounds.message_bytes} bytes"
+            )
         self._add_payload(data, is_complete)
         if is_complete:
             self._end_message()
@@ -251,7 +257,7 @@
         try:
             self.text_parts.append(self.decoder.decode(data, is_complete))
         except UnicodeDecodeError:
-            raise Violation(CloseCode.BAD_DATA, "a text is not UTF-8") from None
+            raise ProtocolViolationError(CloseCode.BAD_DATA, "a text is not UTF-8") from None
 
     def _end_message(self) -> None:
         data = bytes(self.payload) if self.decoder is None else "".join(self.text_parts)
@@ -315,8 +321,8 @@
         return CloseCode.NO_STATUS, ""
     code = int.from_bytes(data[:2], "big")
     if len(data) == 1 or not is_valid_close_code(code):
-        raise Violation(CloseCode.PROTOCOL_ERROR, "a close with no valid code")
+        raise ProtocolViolationError(CloseCode.PROTOCOL_ERROR, "a close with no valid code")
     try:
         return code, data[2:].decode()
     except UnicodeDecodeError:
-        raise Violation(CloseCode.BAD_DATA, "a close's reason is not UTF-8") from None
+        raise ProtocolViolationError(CloseCode.BAD_DATA, "a close's reason is not UTF-8") from None
--- a/packages/codecs/src/fennelcove/websocket/deflate.py
+++ b/packages/codecs/src/fennelcove/websocket/deflate.py
@@ -8,7 +8,7 @@
 
 import zlib
 
-from fennelcove.websocket.terms import CloseCode, Violation
+from fennelcove.websocket.terms import CloseCode, ProtocolViolationError
 
 FLUSH_TAIL = b"\x00\x00\xff\xff"  # of a sync flush; the sender removes it (section 7.2.1)
 COMPRESSION_LEVEL = 1  # messages are short; a higher level saves almost nothing
@@ -34,22 +34,24 @@
         """Inflate the next part of the message.
 
         Raises:
-            Violation: the message exceeds the limit or is not valid deflate data.
+            ProtocolViolationError: the message exceeds the limit or is not valid deflate data.
         """
         try:
             # Inflates at most one byte past the limit, which suffices to detect that the limit is exceeded.
             inflated = self.decompressor.decompress(data, self.max_bytes - self.size + 1)
         except zlib.error:
-            raise Violation(CloseCode.BAD_DATA, "a message can't be inflated") from None
+            raise ProtocolViolationError(CloseCode.BAD_DATA, "a message can't be inflated") from None
         self.size += len(inflated)
         if self.size > self.max_bytes or self.decompressor.unconsumed_tail:
-            raise Violation(CloseCode.TOO_BIG, f"a message inflates to over {self.max_bytes} bytes")
+            raise ProtocolViolationError(
+                CloseCode.TOO_BIG, f"a message inflates to over {self.max_bytes} bytes"
+            )
         return inflated
 
     def end(self) -> bytes:
         """Return the rest of the message; no part follows.
 
         Raises:
-            Violation: as for `add`.
+            ProtocolViolationError: as for `add`.
         """
         return self.add(FLUSH_TAIL) if not self.decompressor.eof else b""
--- a/packages/codecs/src/fennelcove/websocket/frames.py
+++ b/packages/codecs/src/fennelcove/websocket/frames.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from fennelcove.websocket.terms import MAX_CONTROL_BYTES, Bounds, CloseCode, Opcode, Violation
+from fennelcove.websocket.terms import MAX_CONTROL_BYTES, Bounds, CloseCode, Opcode, ProtocolViolationError
 
 FIN, COMPRESSED, RESERVED = 0x80, 0x40, 0x30
 MASKED = 0x80
@@ -31,7 +31,7 @@
     is_last: bool
 
 
-def masked(data: bytes, mask: bytes, offset: int = 0) -> bytes:
+def apply_mask(data: bytes, mask: bytes, offset: int = 0) -> bytes:
     """Mask or unmask payload data (section 5.3).
 
     One exclusive or of two long integers is forty times as fast as a loop over the bytes.
@@ -65,7 +65,7 @@
         header.append(mask_bit | 127)
         header += count.to_bytes(8, "big")
     if mask is not None:
-        return bytes(header) + mask + masked(data, mask)
+        return bytes(header) + mask + apply_mask(data, mask)
     return bytes(header) + data
 
 
@@ -96,7 +96,7 @@
         """Return the next part, or None if more bytes are needed.
 
         Raises:
-            Violation: a frame is malformed or exceeds the size limit.
+            ProtocolViolationError: a frame is malformed or exceeds the size limit.
         """
         if self.header is None:
             self.header = self._read_header()
@@ -111,7 +111,7 @@
         data = bytes(self.buffer[:remaining])
         del self.buffer[:remaining]
         if header.mask is not None:
-            data = masked(data, header.mask, self.received)
+            data = apply_mask(data, header.mask, self.received)
         self.received += len(data)
         is_last = self.received == header.length
         if is_last:
@@ -124,33 +124,37 @@
             return None
         first, second = buffer[0], buffer[1]
         if first & RESERVED or (first & COMPRESSED and not self.deflates):
-            raise Violation(CloseCode.PROTOCOL_ERROR, "a reserved bit is set")
+            raise ProtocolViolationError(CloseCode.PROTOCOL_ERROR, "a reserved bit is set")
         try:
             opcode = Opcode(first & 0x0F)
         except ValueError:
-            raise Violation(CloseCode.PROTOCOL_ERROR, f"opcode {first & 0x0F} is reserved") from None
+            raise ProtocolViolationError(
+                CloseCode.PROTOCOL_ERROR, f"opcode {first & 0x0F} is reserved"
+            ) from None
         fin, length_code = bool(first & FIN), second & 0x7F
         if opcode >= FIRST_CONTROL_OPCODE and (
             not fin or length_code > MAX_CONTROL_BYTES or first & COMPRESSED
         ):
-            raise Violation(CloseCode.PROTOCOL_ERROR, "a control frame is fragmented, compressed or too long")
+            raise ProtocolViolationError(
+                CloseCode.PROTOCOL_ERROR, "a control frame is fragmented, compressed or too long"
+            )
         if first & COMPRESSED and opcode is Opcode.CONTINUATION:
-            raise Violation(
+            raise ProtocolViolationError(
                 CloseCode.PROTOCOL_ERROR, "only a message's first frame says that it is compressed"
             )
         has_mask = bool(second & MASKED)
         if has_mask is not self.from_client:
             reason = "a client's frame is not masked" if self.from_client else "a server's frame is masked"
-            raise Violation(CloseCode.PROTOCOL_ERROR, reason)
+            raise ProtocolViolationError(CloseCode.PROTOCOL_ERROR, reason)
         length_bytes = {126: 2, 127: 8}.get(length_code, 0)
         header_bytes = 2 + length_bytes + (4 if has_mask else 0)
         if len(buffer) < 2 + length_bytes:
             return None
         length = int.from_bytes(buffer[2 : 2 + length_bytes], "big") if length_bytes else length_code
         if (length_bytes == 2 and length <= 125) or (length_bytes == 8 and (length < 65_536 or length >> 63)):
-            raise Violation(CloseCode.PROTOCOL_ERROR, "a length is not written the shortest way")
+            raise ProtocolViolationError(CloseCode.PROTOCOL_ERROR, "a length is not written the shortest way")
         if length > self.bounds.frame_bytes:
-            raise Violation(
+            raise ProtocolViolationError(
                 CloseCode.TOO_BIG, f"a frame of {length} bytes; {self.bounds.frame_bytes} at most"
             )
         if len(buffer) < header_bytes:
--- a/packages/codecs/src/fennelcove/websocket/handshake.py
+++ b/packages/codecs/src/fennelcove/websocket/handshake.py
@@ -21,7 +21,7 @@
 Fields = list[tuple[str, str]]
 
 
-class Refused(Exception):
+class HandshakeError(Exception):
     """The handshake failed.
 
     Attributes:
@@ -49,7 +49,7 @@
     return base64.b64encode(hashlib.sha1(key.encode() + GUID, usedforsecurity=False).digest()).decode()
 
 
-def wanted(head: RequestHead) -> bool:
+def is_upgrade_request(head: RequestHead) -> bool:
     """Return whether a request asks for an upgrade to WebSocket."""
     return "websocket" in _list_items(head.get(b"upgrade"))
 
@@ -73,33 +73,33 @@
         allow_deflate: whether an offer of permessage-deflate may be accepted.
 
     Raises:
-        Refused: the request can't be accepted.
+        HandshakeError: the request can't be accepted.
     """
     if head.method != "GET":
-        raise Refused(405, "a WebSocket opens with GET", [("Allow", "GET")])
+        raise HandshakeError(405, "a WebSocket opens with GET", [("Allow", "GET")])
     version = (head.get(b"sec-websocket-version") or b"").decode("latin-1").strip()
     if version != VERSION:
-        raise Refused(
+        raise HandshakeError(
             426, "this is version 13", [("Sec-WebSocket-Version", VERSION), ("Upgrade", "websocket")]
         )
     if "upgrade" not in _list_items(head.get(b"connection")):
-        raise Refused(400, "Connection: Upgrade is missing")
+        raise HandshakeError(400, "Connection: Upgrade is missing")
     key = (head.get(b"sec-websocket-key") or b"").decode("latin-1").strip()
     try:
         is_valid_key = len(base64.b64decode(key, validate=True)) == 16
     except (binascii.Error, ValueError):
         is_valid_key = False
     if not is_valid_key:
-        raise Refused(400, "Sec-WebSocket-Key must be 16 bytes in base64")
+        raise HandshakeError(400, "Sec-WebSocket-Key must be 16 bytes in base64")
     origin = head.get(b"origin")
     if origins and origin is not None and origin.decode("latin-1").strip().lower() not in origins:
-        raise Refused(403, "not from this origin")
+        raise HandshakeError(403, "not from this origin")
     requested = [
         item.strip() for item in (head.get(b"sec-websocket-protocol") or b"").decode("latin-1").split(",")
     ]
     protocol = next((name for name in protocols if name in requested), "")
     if protocols and not protocol:
-        raise Refused(400, f"ask for a subprotocol of {', '.join(protocols)}")
+        raise HandshakeError(400, f"ask for a subprotocol of {', '.join(protocols)}")
     deflates = allow_deflate and _has_acceptable_offer(head.get(b"sec-websocket-extensions"))
     fields: Fields = [("Upgrade", "websocket"), ("Connection", "Upgrade")]
     fields.append(("Sec-WebSocket-Accept", accept_key(key)))
@@ -136,20 +136,22 @@
     """Check the response to a request with the header fields of `client` (section 4.1).
 
     Raises:
-        Refused: the server rejected the request, or its response doesn't match it.
+        HandshakeError: the server rejected the request, or its response doesn't match it.
     """
     if head.status != 101:
-        raise Refused(head.status, "the server rejected the upgrade to WebSocket")
+        raise HandshakeError(head.status, "the server rejected the upgrade to WebSocket")
     accept = (head.get(b"sec-websocket-accept") or b"").decode("latin-1").strip()
     upgraded = is_upgrade_response(head)
     if not upgraded or accept != accept_key(base64.b64encode(key).decode()):
-        raise Refused(502, "the response lacks the upgrade or the Sec-WebSocket-Accept value of this request")
+        raise HandshakeError(
+            502, "the response lacks the upgrade or the Sec-WebSocket-Accept value of this request"
+        )
     protocol = (head.get(b"sec-websocket-protocol") or b"").decode("latin-1").strip()
     if protocol and protocol not in protocols:
-        raise Refused(502, f"the server chose the subprotocol {protocol!r}, which was not requested")
+        raise HandshakeError(502, f"the server chose the subprotocol {protocol!r}, which was not requested")
     extensions = (head.get(b"sec-websocket-extensions") or b"").decode("latin-1")
     if extensions and not (deflates and extensions.split(";")[0].strip() == DEFLATE):
-        raise Refused(502, "the server chose an extension that was not requested")
+        raise HandshakeError(502, "the server chose an extension that was not requested")
     return HandshakeResult([], protocol, bool(extensions))
 
 
--- a/packages/codecs/src/fennelcove/websocket/terms.py
+++ b/packages/codecs/src/fennelcove/websocket/terms.py
@@ -42,7 +42,7 @@
     return 1000 <= code <= 1003 or 1007 <= code <= 1014 or 3000 <= code <= 4999
 
 
-class Violation(Exception):
+class ProtocolViolationError(Exception):
     """The peer violated the protocol or exceeded a limit.
 
     Attributes:
--- a/packages/emulators/src/fennelcove/emulators/clients.py
+++ b/packages/emulators/src/fennelcove/emulators/clients.py
@@ -17,10 +17,10 @@
 from fennelcove.clock import Clock
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.hints import cmcd
-from fennelcove.hints.fields import Bare, Token
+from fennelcove.hints.fields import BareItem, Token
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits, ProtocolError, ResponseHead
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.reader import MessageAssembler, Reader
 
 JSON = ("Content-Type", "application/json")
 LIMITS = CodecLimits(body_bytes=1_000_000)  # a front's API description is larger than any request
@@ -99,7 +99,7 @@
         self.clock = clock
         self.observer = observer
         self.sock: socket.socket | None = None
-        self.answers = Gatherer(Reader(False, LIMITS))
+        self.answers = MessageAssembler(Reader(False, LIMITS))
 
     def ask(
         self,
@@ -122,7 +122,7 @@
                 self.sock = socket.create_connection((host, int(port)), timeout_s)
                 if self.context is not None:
                     self.sock = self.context.wrap_socket(self.sock, server_hostname="localhost")
-                self.answers = Gatherer(Reader(False, LIMITS))
+                self.answers = MessageAssembler(Reader(False, LIMITS))
             self.sock.settimeout(timeout_s)
             self.sock.sendall(writer.request(method, path, self.address, fields, body))
             while (received := self.answers.next()) is None:
@@ -246,7 +246,7 @@
     ) -> list[tuple[str, str]]:
         """Return the CMCD headers of one request."""
         behavior = self.behavior
-        values: dict[str, Bare] = {"sid": self.name, "cid": behavior.title, "sf": Token("h"), "v": 1}
+        values: dict[str, BareItem] = {"sid": self.name, "cid": behavior.title, "sf": Token("h"), "v": 1}
         if behavior.top_kbit is not None:
             values["tb"] = behavior.top_kbit
         measured = measured_kbit if measured_kbit is not None else behavior.measured_kbit
--- a/packages/emulators/src/fennelcove/emulators/server.py
+++ b/packages/emulators/src/fennelcove/emulators/server.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from fennelcove.http1.messages import CodecLimits, ProtocolError, RequestHead
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.reader import MessageAssembler, Reader
 
 Handler = Callable[[RequestHead, bytes, "Peer"], bool]
 
@@ -108,7 +108,7 @@
             thread.start()
 
     def _serve(self, sock: socket.socket) -> None:
-        requests = Gatherer(Reader(True, CodecLimits(body_bytes=1_000_000)))
+        requests = MessageAssembler(Reader(True, CodecLimits(body_bytes=1_000_000)))
         peer = Peer(sock)
         try:
             while True:
--- a/packages/emulators/src/fennelcove/emulators/sockets.py
+++ b/packages/emulators/src/fennelcove/emulators/sockets.py
@@ -14,9 +14,9 @@
 from fennelcove.emulators.clients import ResponseObserver, Unanswered
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits, ProtocolError, ResponseHead
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.reader import MessageAssembler, Reader
 from fennelcove.websocket import handshake
-from fennelcove.websocket.conversation import Closed, Conversation, Message
+from fennelcove.websocket.conversation import Closed, Message, WebSocketProtocol
 from fennelcove.websocket.terms import Bounds, CloseCode
 from fennelcove.wire.socket import PATH, SUBPROTOCOL
 
@@ -48,7 +48,7 @@
         self.sock = self._connect(timeout_s, context)
         key = rng.randbytes(16)
         request_headers = [*handshake.client(key, [SUBPROTOCOL], deflates), *(fields or [])]
-        gatherer = Gatherer(Reader(False, CodecLimits()))
+        gatherer = MessageAssembler(Reader(False, CodecLimits()))
         try:
             self.sock.sendall(writer.request("GET", PATH, address, request_headers))
             while (response := gatherer.next()) is None:
@@ -58,7 +58,7 @@
                     raise Unanswered("reset")
             assert isinstance(response.head, ResponseHead)
             accepted = handshake.opened(response.head, key, [SUBPROTOCOL], deflates)
-        except handshake.Refused as error:
+        except handshake.HandshakeError as error:
             self.sock.close()
             raise Unanswered(f"refused with {error.status}") from None
         except TimeoutError:
@@ -67,7 +67,7 @@
         except (OSError, ProtocolError):
             self.sock.close()
             raise Unanswered("reset") from None
-        self.conversation = Conversation(Bounds(), accepted.deflates, lambda: rng.randbytes(4))
+        self.conversation = WebSocketProtocol(Bounds(), accepted.deflates, lambda: rng.randbytes(4))
         self._receive(bytes(gatherer.reader.buffer))
 
     def _connect(self, timeout_s: float, context: ssl.SSLContext | None) -> socket.socket:
--- a/packages/errors/src/fennelcove/errors/__main__.py
+++ b/packages/errors/src/fennelcove/errors/__main__.py
@@ -31,8 +31,8 @@
     "fennelcove.emulators.disk.PowerCut": "emulators only: handled by the test of a power failure",
     "fennelcove.emulators.clients.Unanswered": "emulators only: written to the recording",
     "fennelcove.state_machine.UnknownTransitionError": "a program error, which is logged",
-    "fennelcove.websocket.handshake.Refused": "the client gets a response with its status code",
-    "fennelcove.websocket.terms.Violation": "the connection is closed with its close code",
+    "fennelcove.websocket.handshake.HandshakeError": "the client gets a response with its status code",
+    "fennelcove.websocket.terms.ProtocolViolationError": "the connection is closed with its close code",
     "fennelcove.wire.events.EventError": "the stream is closed, which is reported as `peer-stream-broken`",
 }
 
--- a/packages/fleet/src/fennelcove/fleet/asker.py
+++ b/packages/fleet/src/fennelcove/fleet/asker.py
@@ -16,7 +16,7 @@
 from fennelcove.fleet.inventory import FrontEntry
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits, ProtocolError, ResponseHead
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.reader import MessageAssembler, Reader
 
 READ_BYTES = 65_536
 CODEC_LIMITS = CodecLimits(body_bytes=1_000_000)
@@ -119,7 +119,7 @@
             headers.append(("Content-Type", "application/json"))
         sock.settimeout(max(0.001, (deadline_us - clock.now_us()) / 1e6))
         sock.sendall(writer.request(call.method, call.path, line.address, headers, call.body))
-        gatherer = Gatherer(Reader(False, CODEC_LIMITS))
+        gatherer = MessageAssembler(Reader(False, CODEC_LIMITS))
         while (message := gatherer.next()) is None:
             remaining_us = deadline_us - clock.now_us()
             if remaining_us <= 0:
--- a/packages/ingress/src/fennelcove/ingress/connection.py
+++ b/packages/ingress/src/fennelcove/ingress/connection.py
@@ -13,7 +13,7 @@
 from fennelcove.core.core import Core
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits, ProtocolError, RequestHead
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.reader import MessageAssembler, Reader
 from fennelcove.ingress.tls import TlsKeys
 from fennelcove.upstream.wakeups import CancellationLatch, WakeReason, wait
 
@@ -78,7 +78,7 @@
         self.clock = clock
         self.limits = limits
         self.closing: CancellationLatch | None = closing
-        self.requests = Gatherer(Reader(True, codec))
+        self.requests = MessageAssembler(Reader(True, codec))
         self.reserved_bytes = 0
         self.continue_sent = False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -99,7 +99,7 @@
                 assert isinstance(message.head, RequestHead)
                 return ReceivedRequest(message.head, message.body, self.clock.now_us())
             self._send_continue_if_expected()
-            started = not self.requests.reader.between or self.requests.head is not None
+            started = not self.requests.reader.is_between_messages or self.requests.head is not None
             now_us = self.clock.now_us()
             if started and started_us is None:
                 started_us = now_us
--- a/packages/ingress/src/fennelcove/ingress/http_server.py
+++ b/packages/ingress/src/fennelcove/ingress/http_server.py
@@ -184,7 +184,7 @@
             if received is None:
                 return False
             close = not received.head.keep_alive or self.closing.is_set
-            if handshake.wanted(received.head) and received.head.target.partition("?")[0] == PATH:
+            if handshake.is_upgrade_request(received.head) and received.head.target.partition("?")[0] == PATH:
                 return self.websocket_server.serve(connection, received)
             handled = self.routes.handle(received)
             if isinstance(handled, SessionRequest):
--- a/packages/ingress/src/fennelcove/ingress/websocket_server.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_server.py
@@ -15,7 +15,7 @@
 from fennelcove.ingress.session_setups import SessionSetups
 from fennelcove.ingress.websocket_session import WebSocketSession
 from fennelcove.websocket import handshake
-from fennelcove.websocket.conversation import Conversation
+from fennelcove.websocket.conversation import WebSocketProtocol
 from fennelcove.websocket.terms import Bounds
 from fennelcove.wire.socket import SUBPROTOCOL
 
@@ -48,7 +48,7 @@
         head = received.head
         try:
             opened = handshake.server(head, [SUBPROTOCOL], self.settings.origins, self.settings.deflate)
-        except handshake.Refused as error:
+        except handshake.HandshakeError as error:
             reply = replies.fault("malformed", str(error), error.status)
             reply.fields += error.fields
             return connection.write(reply.to_bytes(True))
@@ -56,7 +56,7 @@
         if not connection.write(writer.response(101, opened.fields)):
             return False
         max_bytes = self.settings.message_bytes
-        conversation = Conversation(Bounds(max_bytes, max_bytes), opened.deflates)
+        conversation = WebSocketProtocol(Bounds(max_bytes, max_bytes), opened.deflates)
         session = WebSocketSession(
             connection.sock,
             conversation,
--- a/packages/ingress/src/fennelcove/ingress/websocket_session.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_session.py
@@ -34,7 +34,7 @@
 from fennelcove.ingress.replies import playing_state
 from fennelcove.ingress.session_setups import SessionSetups, SetUpResult
 from fennelcove.upstream.wakeups import WakeReason, Wakeup, wait
-from fennelcove.websocket.conversation import Closed, Conversation, Message, Pinged, State
+from fennelcove.websocket.conversation import Closed, Message, PingReceived, State, WebSocketProtocol
 from fennelcove.websocket.terms import CloseCode
 from fennelcove.wire import socket as wire
 from fennelcove.wire.sessions import PROBLEM_KINDS
@@ -59,7 +59,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        conversation: Conversation,
+        conversation: WebSocketProtocol,
         core: Core,
         clock: Clock,
         setups: SessionSetups,
@@ -162,7 +162,7 @@
         while True:
             if data is not None and not self._on_data(data):
                 return self._flush()
-            if not self._flush() or self.conversation.over:
+            if not self._flush() or self.conversation.is_closed:
                 return True
             self._close_if_finished()
             if not self._flush():
@@ -226,7 +226,7 @@
         for event in self.conversation.receive(data):
             if isinstance(event, Closed):
                 return False
-            if isinstance(event, Message | Pinged) and not self.rate_limit.try_acquire(now_us):
+            if isinstance(event, Message | PingReceived) and not self.rate_limit.try_acquire(now_us):
                 self._close(CloseCode.POLICY, "too many messages")
                 return True
             if isinstance(event, Message):
--- a/packages/node/src/fennelcove/node/discovery_client.py
+++ b/packages/node/src/fennelcove/node/discovery_client.py
@@ -12,8 +12,8 @@
 from fennelcove.clock import Clock
 from fennelcove.errors import OperatorError
 from fennelcove.http1 import writer
-from fennelcove.http1.messages import CodecLimits, ResponseHead, Whole
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.messages import CodecLimits, CompleteMessage, ResponseHead
+from fennelcove.http1.reader import MessageAssembler, Reader
 from fennelcove.node.address import Address
 from fennelcove.node.descriptor_budget import Descriptor, DescriptorUse
 from fennelcove.node.discovery_events import DiscoveryBatch, DiscoveryError
@@ -66,7 +66,7 @@
 
     descriptor: Descriptor
     sock: socket.socket
-    responses: Gatherer
+    responses: MessageAssembler
 
 
 class DiscoveryClient:
@@ -202,7 +202,7 @@
         except OSError:
             descriptor.close()
             raise
-        responses = Gatherer(Reader(False, CodecLimits(body_bytes=MAX_RESPONSE_BYTES)))
+        responses = MessageAssembler(Reader(False, CodecLimits(body_bytes=MAX_RESPONSE_BYTES)))
         connection = _Connection(descriptor, sock, responses)
         with self.changed:
             # Registered before it connects, so that a change of address can interrupt a connect that hangs.
@@ -219,7 +219,7 @@
         connection.sock.settimeout(CONNECT_TIMEOUT_US / 1e6)
         connection.sock.sendall(request)
 
-    def _receive_response(self, connection: _Connection) -> Whole:
+    def _receive_response(self, connection: _Connection) -> CompleteMessage:
         sock, responses = connection.sock, connection.responses
         receive_deadline_us = self.clock.now_us() + LONG_POLL_MS * 1000 + RESPONSE_GRACE_US
         deadline_us = receive_deadline_us + MAX_RESPONSE_US
@@ -233,7 +233,7 @@
             # A large list on a slow path takes longer than a poll may wait; it only has to make progress.
             receive_deadline_us = max(receive_deadline_us, self.clock.now_us() + RESPONSE_GRACE_US)
             responses.reader.feed(data)
-            if not data and responses.reader.between:
+            if not data and responses.reader.is_between_messages:
                 raise ConnectionResetError("the discovery service closed the connection before its response")
         return response
 
@@ -275,7 +275,7 @@
     try:
         connection.sock.recv(1)
     except BlockingIOError:
-        return connection.responses.reader.between
+        return connection.responses.reader.is_between_messages
     except OSError:
         pass
     return False
--- a/packages/upstream/src/fennelcove/upstream/attempts.py
+++ b/packages/upstream/src/fennelcove/upstream/attempts.py
@@ -20,7 +20,7 @@
 from fennelcove.decisions.servers.load_signals import ServerHints
 from fennelcove.hints import cmsd
 from fennelcove.http1 import writer
-from fennelcove.http1.messages import ProtocolError, ResponseHead, Whole
+from fennelcove.http1.messages import CompleteMessage, ProtocolError, ResponseHead
 from fennelcove.interface import Effect, Outcome
 from fennelcove.upstream.connection_pool import READ_BYTES, ConnectionPool, DialLimits, ServerConnection, dial
 from fennelcove.upstream.wakeups import CancellationLatch, WakeReason, wait
@@ -43,7 +43,7 @@
     """Parses servers' CMSD headers, with a cache that all threads share."""
 
     def __init__(self) -> None:
-        self.cache = cmsd.Memo()
+        self.cache = cmsd.CmsdCache()
         self.lock = threading.Lock()
         self.dropped_count = 0
 
@@ -231,14 +231,18 @@
                 return self._completed_attempt(exchange, started_us), connection, False
 
     def _on_response(
-        self, response: Whole, connection: ServerConnection, exchange: AttemptExchange, started_us: int
+        self,
+        response: CompleteMessage,
+        connection: ServerConnection,
+        exchange: AttemptExchange,
+        started_us: int,
     ) -> tuple[CompletedAttempt, ServerConnection, bool]:
         head = response.head
         assert isinstance(head, ResponseHead)
         dynamic = header_text(head, cmsd.DYNAMIC.encode())
         server_hints = self.hints.read(header_text(head, cmsd.STATIC.encode()), dynamic)
         exchange.apply(_response_event(head, response.body))
-        is_reusable = head.keep_alive and connection.responses.reader.between
+        is_reusable = head.keep_alive and connection.responses.reader.is_between_messages
         return (
             self._completed_attempt(exchange, started_us, server_hints, dynamic or ""),
             connection,
--- a/packages/upstream/src/fennelcove/upstream/command_senders.py
+++ b/packages/upstream/src/fennelcove/upstream/command_senders.py
@@ -107,4 +107,4 @@
         assert isinstance(response.head, ResponseHead)
         if response.head.status >= 500:
             raise ConnectionError(f"response status {response.head.status}")
-        return response.head.keep_alive and connection.responses.reader.between
+        return response.head.keep_alive and connection.responses.reader.is_between_messages
--- a/packages/upstream/src/fennelcove/upstream/connection_pool.py
+++ b/packages/upstream/src/fennelcove/upstream/connection_pool.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 
 from fennelcove.clock import Clock
-from fennelcove.http1.messages import CodecLimits, Whole
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.messages import CodecLimits, CompleteMessage
+from fennelcove.http1.reader import MessageAssembler, Reader
 
 READ_BYTES = 16_384
 
@@ -29,10 +29,10 @@
 
     server: str
     sock: socket.socket
-    responses: Gatherer
+    responses: MessageAssembler
     idle_since_us: int = 0
 
-    def read_response(self) -> Whole:
+    def read_response(self) -> CompleteMessage:
         """Read the next complete response, within the timeout of the socket.
 
         Raises:
@@ -42,7 +42,7 @@
         while (response := self.responses.next()) is None:
             data = self.sock.recv(READ_BYTES)
             self.responses.reader.feed(data)
-            if not data and self.responses.reader.between:
+            if not data and self.responses.reader.is_between_messages:
                 raise ConnectionResetError("connection closed before a response")
         return response
 
@@ -63,7 +63,7 @@
     source_address = (limits.source_address, 0) if limits.source_address else None
     sock = socket.create_connection((host, int(port)), max(0.001, timeout_us / 1e6), source_address)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return ServerConnection(address, sock, Gatherer(Reader(False, limits, stream)))
+    return ServerConnection(address, sock, MessageAssembler(Reader(False, limits, stream)))
 
 
 class ConnectionPool:
--- a/packages/upstream/src/fennelcove/upstream/event_stream.py
+++ b/packages/upstream/src/fennelcove/upstream/event_stream.py
@@ -87,7 +87,7 @@
                     raise StreamBrokenError("end of the response", self.address)
             data = sock.recv(READ_BYTES)
             reader.feed(data)
-            if not data and reader.between:
+            if not data and reader.is_between_messages:
                 raise StreamBrokenError("connection closed by the peer", self.address)
 
     def close(self) -> None:
--- a/tests/discovery_harness.py
+++ b/tests/discovery_harness.py
@@ -14,7 +14,7 @@
 
 from fennelcove.http1 import writer as http
 from fennelcove.http1.messages import CodecLimits, RequestHead
-from fennelcove.http1.reader import Gatherer
+from fennelcove.http1.reader import MessageAssembler
 from fennelcove.http1.reader import Reader as HttpReader
 
 from tests.node_harness import WAIT_TIMEOUT_S, FakeServer, NodeProcess, notice
@@ -81,7 +81,7 @@
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
-        requests, ended = Gatherer(HttpReader(True, CodecLimits())), threading.Event()
+        requests, ended = MessageAssembler(HttpReader(True, CodecLimits())), threading.Event()
         with suppress(OSError), sock:  # closed by the node or by the test
             while data := sock.recv(4096):
                 requests.reader.feed(data)
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -18,7 +18,7 @@
 
 from fennelcove.http1 import writer as http
 from fennelcove.http1.messages import CodecLimits, RequestHead
-from fennelcove.http1.reader import Gatherer
+from fennelcove.http1.reader import MessageAssembler
 from fennelcove.http1.reader import Reader as HttpReader
 from fennelcove.isup import writer as isup
 from fennelcove.isup.messages import Cause, MessageKind, Parameter
@@ -172,7 +172,7 @@
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
-        requests = Gatherer(HttpReader(True, CodecLimits()))
+        requests = MessageAssembler(HttpReader(True, CodecLimits()))
         with suppress(OSError):  # the node process has ended
             while data := sock.recv(4096):
                 requests.reader.feed(data)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -21,7 +21,7 @@
 from fennelcove.emulators.model import RackModel, ServerModel
 from fennelcove.emulators.recorder import Record, Recorder
 from fennelcove.http1.messages import CodecLimits, ResponseHead
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.reader import MessageAssembler, Reader
 from fennelcove.settings.reader import parse
 from fennelcove.settings.schema import FrontSettings
 
@@ -180,7 +180,7 @@
 
 def read_responses(sock: Any, count: int) -> list[tuple[int, bytes]]:
     """Read `count` responses from a socket; return their statuses and bodies."""
-    gatherer = Gatherer(Reader(False, CodecLimits()))
+    gatherer = MessageAssembler(Reader(False, CodecLimits()))
     responses: list[tuple[int, bytes]] = []
     sock.settimeout(WAIT_TIMEOUT_S)
     while len(responses) < count:
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -12,7 +12,7 @@
 
 from fennelcove.http1 import writer as http
 from fennelcove.http1.messages import CodecLimits, RequestHead
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.reader import MessageAssembler, Reader
 
 from tests.soak.loop import reset
 from tests.soak.plan import Plan
@@ -83,7 +83,7 @@
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
-        requests = Gatherer(Reader(True, CodecLimits()))
+        requests = MessageAssembler(Reader(True, CodecLimits()))
         with suppress(OSError):
             while data := sock.recv(4096):
                 requests.reader.feed(data)
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -34,7 +34,7 @@
 class FieldsTest(unittest.TestCase):
     @given(st.dictionaries(keys, bare_items, max_size=6))
     @settings(max_examples=150, deadline=None)
-    def test_both_parsers_read_a_written_dictionary_alike(self, values: dict[str, fields.Bare]) -> None:
+    def test_both_parsers_read_a_written_dictionary_alike(self, values: dict[str, fields.BareItem]) -> None:
         text = fields.write_dictionary(values)
         parsed, dropped = fields.parse_dictionary(text)
         reference = http_sfv.Dictionary()
@@ -117,7 +117,14 @@
         cmcd.read({}, cmcd.query_arguments(query), {header: query})
 
     def test_written_headers_read_back(self) -> None:
-        values: dict[str, fields.Bare] = {"mtp": 900, "bs": False, "su": True, "cid": "t", "tb": 5, "rtp": 9}
+        values: dict[str, fields.BareItem] = {
+            "mtp": 900,
+            "bs": False,
+            "su": True,
+            "cid": "t",
+            "tb": 5,
+            "rtp": 9,
+        }
         headers = {name.lower(): value for name, value in cmcd.write_headers(values)}
         assert headers["cmcd-request"] == "mtp=900,su"
         assert cmcd.read(headers, {}).values == {k: v for k, v in values.items() if v is not False}
@@ -143,7 +150,7 @@
         assert found.dropped == 4
 
     def test_the_cache_is_bounded_and_returns_what_read_returns(self) -> None:
-        cache = cmsd.Memo(max_entries=3)
+        cache = cmsd.CmsdCache(max_entries=3)
         for i in range(10):
             text = cmsd.write_hop("server", {"etp": i})
             assert cache.read(None, text) == cmsd.read(None, text)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -5,8 +5,16 @@
 import unittest
 
 from fennelcove.http1 import writer
-from fennelcove.http1.messages import CodecLimits, Data, End, ProtocolError, RequestHead, ResponseHead, Whole
-from fennelcove.http1.reader import Event, Gatherer, Reader
+from fennelcove.http1.messages import (
+    CodecLimits,
+    CompleteMessage,
+    Data,
+    End,
+    ProtocolError,
+    RequestHead,
+    ResponseHead,
+)
+from fennelcove.http1.reader import Event, MessageAssembler, Reader
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -56,11 +64,11 @@
         assert reader.next() == End()
 
     def test_responses_to_head_204_304_and_interim_responses_have_no_body(self) -> None:
-        reader = Gatherer(Reader(False, LIMITS))
+        reader = MessageAssembler(Reader(False, LIMITS))
         reader.reader.expect_response_to("HEAD")
         reader.reader.feed(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
         message = reader.next()
-        assert isinstance(message, Whole) and isinstance(message.head, ResponseHead)
+        assert isinstance(message, CompleteMessage) and isinstance(message.head, ResponseHead)
         assert (message.head.status, message.body) == (200, b"")
         assert isinstance(read(b"HTTP/1.1 204 No Content\r\n\r\n", reads_requests=False)[-1], End)
 
@@ -159,8 +167,8 @@
         self, fields: list[tuple[str, str]], body: bytes, part_sizes: list[int]
     ) -> None:
         raw = writer.request("POST", "/p", "h", fields, body) * 2
-        reader = Gatherer(Reader(True, LIMITS))
-        messages: list[Whole] = []
+        reader = MessageAssembler(Reader(True, LIMITS))
+        messages: list[CompleteMessage] = []
         position = 0
         for size in [*part_sizes, len(raw)]:
             reader.reader.feed(raw[position : position + size] or b"")
--- a/tests/test_websocket_codec.py
+++ b/tests/test_websocket_codec.py
@@ -10,24 +10,24 @@
 
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits, RequestHead
-from fennelcove.http1.reader import Gatherer, Reader
+from fennelcove.http1.reader import MessageAssembler, Reader
 from fennelcove.websocket import frames, handshake
 from fennelcove.websocket.conversation import (
     CLOSING,
     MESSAGES,
     Closed,
     CloseEvent,
-    Conversation,
     Event,
     Message,
     MessageState,
-    Pinged,
-    Ponged,
+    PingReceived,
+    PongReceived,
     State,
+    WebSocketProtocol,
 )
 from fennelcove.websocket.deflate import Inflater, deflate
-from fennelcove.websocket.frames import masked, write
-from fennelcove.websocket.terms import Bounds, CloseCode, Opcode, Violation, is_valid_close_code
+from fennelcove.websocket.frames import apply_mask, write
+from fennelcove.websocket.terms import Bounds, CloseCode, Opcode, ProtocolViolationError, is_valid_close_code
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from websockets.client import ClientProtocol
@@ -80,11 +80,11 @@
     ),
     "4 GiB announced": ([raw_frame(0x81, 0x80 | 127, (1 << 32).to_bytes(8, "big"))], 1009),
     # Pings and pongs.
-    "ping of 125": ([client(PING, b"\x00\xff" * 62 + b"x")], [Pinged]),
+    "ping of 125": ([client(PING, b"\x00\xff" * 62 + b"x")], [PingReceived]),
     "ping of 126": ([client(PING, b"*" * 126)], 1002),
     "ping in fragments": ([client(PING, b"x", False)], 1002),
     "compressed ping": ([raw_frame(0x80 | 0x40 | 9, 0x80, MASK)], 1002),
-    "unsolicited pong": ([client(PONG, b"x")], [Ponged]),
+    "unsolicited pong": ([client(PONG, b"x")], [PongReceived]),
     "pong in fragments": ([client(PONG, b"x", False)], 1002),
     "close in fragments": ([client(CLOSE, b"", False)], 1002),
     # Fragments.
@@ -95,11 +95,11 @@
     ),
     "ping between fragments": (
         [client(TEXT, b"a", False), client(PING, b"p"), client(CONTINUATION, b"b")],
-        [Pinged, "ab"],
+        [PingReceived, "ab"],
     ),
     "pong between fragments": (
         [client(BINARY, b"a", False), client(PONG), client(CONTINUATION, b"b")],
-        [Ponged, b"ab"],
+        [PongReceived, b"ab"],
     ),
     "close between fragments": ([client(TEXT, b"a", False), client_close(1000)], 1000),
     "continuation without a message": ([client(CONTINUATION, b"a")], 1002),
@@ -180,7 +180,7 @@
 
 
 def receive_all(
-    conversation: Conversation, parts: Iterable[bytes], byte_by_byte: bool = False
+    conversation: WebSocketProtocol, parts: Iterable[bytes], byte_by_byte: bool = False
 ) -> tuple[list[Event], list[object]]:
     events: list[Event] = []
     for part in parts:
@@ -195,7 +195,7 @@
         for deflates, table in ((False, CASES), (True, DEFLATED)):
             for (name, (parts, expected)), byte_by_byte in itertools.product(table.items(), (False, True)):
                 with self.subTest(name, byte_by_byte=byte_by_byte):
-                    server = Conversation(BOUNDS, deflates)
+                    server = WebSocketProtocol(BOUNDS, deflates)
                     events, results = receive_all(server, parts, byte_by_byte)
                     if isinstance(expected, int):
                         last = events[-1]
@@ -218,16 +218,16 @@
         assert [n for n in (1004, 1005, 1006, 1015, 2999) if is_valid_close_code(n)] == []
 
     def test_a_server_that_masks_and_a_client_that_does_not(self) -> None:
-        connection = Conversation(BOUNDS, mask=lambda: MASK)
+        connection = WebSocketProtocol(BOUNDS, mask=lambda: MASK)
         (event,) = connection.receive(client(TEXT, b"x"))
         assert isinstance(event, Closed)
         assert event.code == CloseCode.PROTOCOL_ERROR
 
     def test_a_ping_is_answered_and_simultaneous_closes_end_both_sides(self) -> None:
-        server, client_side = Conversation(BOUNDS), Conversation(BOUNDS, mask=lambda: MASK)
+        server, client_side = WebSocketProtocol(BOUNDS), WebSocketProtocol(BOUNDS, mask=lambda: MASK)
         client_side.ping(b"here")
-        assert server.receive(client_side.take()) == [Pinged(b"here")]
-        assert client_side.receive(server.take()) == [Ponged(b"here")]
+        assert server.receive(client_side.take()) == [PingReceived(b"here")]
+        assert client_side.receive(server.take()) == [PongReceived(b"here")]
         server.close(CloseCode.RESTART, "we restart")
         client_side.close(CloseCode.NORMAL, "done")
         server.send("never sent")
@@ -239,19 +239,19 @@
         assert (server.receive(b"x"), server.receive(b""), server.take()) == ([], [], b"")
 
     def test_messages_after_a_close_of_this_side_are_ignored(self) -> None:
-        server = Conversation(BOUNDS)
+        server = WebSocketProtocol(BOUNDS)
         server.close(CloseCode.GOING_AWAY)
         events, _ = receive_all(server, [client(TEXT, b"late"), client(PING, b"x"), client_close(1001)])
-        assert [type(event) for event in events] == [Pinged, Closed]
+        assert [type(event) for event in events] == [PingReceived, Closed]
 
     def test_a_peer_that_disconnects_without_a_close_frame(self) -> None:
-        server = Conversation(BOUNDS)
+        server = WebSocketProtocol(BOUNDS)
         server.receive(client(TEXT, b"half", False))
         (event,) = server.receive(b"")
         assert event == Closed(CloseCode.ABNORMAL, "the peer disconnected without a close frame", False)
 
     def test_a_long_reason_is_cut_at_a_character_boundary(self) -> None:
-        server = Conversation(BOUNDS)
+        server = WebSocketProtocol(BOUNDS)
         server.close(CloseCode.NORMAL, "é" * 200)
         frame = server.take()
         assert frame[1] <= 125
@@ -262,11 +262,12 @@
     def test_masking_is_its_own_inverse_wherever_it_is_split(
         self, data: bytes, position: int, split: int
     ) -> None:
-        masked_data = masked(data, MASK, position)
-        assert masked(masked_data, MASK, position) == data
+        masked_data = apply_mask(data, MASK, position)
+        assert apply_mask(masked_data, MASK, position) == data
         split = min(split, len(data))
         assert (
-            masked(data[:split], MASK, position) + masked(data[split:], MASK, position + split) == masked_data
+            apply_mask(data[:split], MASK, position) + apply_mask(data[split:], MASK, position + split)
+            == masked_data
         )
 
     @given(st.binary(max_size=3000))
@@ -274,7 +275,7 @@
     def test_deflated_data_is_restored_and_never_exceeds_the_limit(self, data: bytes) -> None:
         inflater = Inflater(2000)
         if len(data) > 2000:
-            with self.assertRaises(Violation):
+            with self.assertRaises(ProtocolViolationError):
                 inflater.add(deflate(data)) + inflater.end()
         else:
             assert inflater.add(deflate(data)) + inflater.end() == data
@@ -298,7 +299,7 @@
             self.assert_bounded(bytes(traffic), True)
 
     def assert_bounded(self, data: bytes, deflates: bool) -> None:
-        server = Conversation(BOUNDS, deflates)
+        server = WebSocketProtocol(BOUNDS, deflates)
         position = 0
         for size in itertools.cycle((1, 7, 50)):
             for event in server.receive(data[position : position + size] or b""):
@@ -312,7 +313,7 @@
 
 
 def request(fields: list[tuple[str, str]], method: str = "GET") -> RequestHead:
-    gatherer = Gatherer(Reader(True, CodecLimits()))
+    gatherer = MessageAssembler(Reader(True, CodecLimits()))
     gatherer.reader.feed(writer.request(method, "/v1/session", "here", fields))
     message = gatherer.next()
     assert message is not None and isinstance(message.head, RequestHead)
@@ -343,10 +344,10 @@
             (400, {"Sec_WebSocket_Protocol": "other"}),
             (403, {"Origin": "https://evil.example"}),
         ):
-            with self.assertRaises(handshake.Refused) as caught:
+            with self.assertRaises(handshake.HandshakeError) as caught:
                 handshake.server(request(self.fields(**changes)), ["v1"], ["https://own.example"], True)
             assert caught.exception.status == status, changes
-        with self.assertRaises(handshake.Refused):
+        with self.assertRaises(handshake.HandshakeError):
             handshake.server(request(self.fields(), "POST"), ["v1"], [], True)
 
     def test_allowed_origins_and_requests_without_an_origin(self) -> None:
@@ -380,7 +381,7 @@
             extensions=extensions,
         )
         peer.send_request(peer.connect())
-        gatherer = Gatherer(Reader(True, CodecLimits()))
+        gatherer = MessageAssembler(Reader(True, CodecLimits()))
         gatherer.reader.feed(b"".join(peer.data_to_send()))
         message = gatherer.next()
         assert message is not None and isinstance(message.head, RequestHead)
@@ -389,7 +390,7 @@
         peer.receive_data(writer.response(101, result.fields).replace(b"Content-Length: 0\r\n", b""))
         assert peer.state is PeerState.OPEN, peer.handshake_exc
         peer.events_received()
-        server = Conversation(Bounds(), result.deflates)
+        server = WebSocketProtocol(Bounds(), result.deflates)
         for text in ("x", "lesson " * 400, "☃" * 900):
             peer.send_text(text.encode())
             (event,) = server.receive(b"".join(peer.data_to_send()))
@@ -401,7 +402,7 @@
             assert (frame.opcode, frame.data) == (PeerOpcode.TEXT, text.encode())
         server.ping(b"p")
         peer.receive_data(server.take())
-        assert Ponged(b"p") in server.receive(b"".join(peer.data_to_send()))
+        assert PongReceived(b"p") in server.receive(b"".join(peer.data_to_send()))
         server.close(CloseCode.RESTART, "again")
         peer.receive_data(server.take())
         server.receive(b"".join(peer.data_to_send()))
