--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -69,7 +69,7 @@
         return [call for call in self.calls if call[0] == name]
 
 
-def entry(address: str, cell: int, **changes: Any) -> ListEntry:
+def list_entry(address: str, cell: int, **changes: Any) -> ListEntry:
     return replace(ListEntry(address, "here", "kind", cell, ServerState.ACTIVE, 1.0, 0), **changes)
 
 
@@ -83,7 +83,7 @@
     service_classes = {"standard": replace(SERVICE_CLASS, **(service_class or {}))}
     effects = Recorder()
     policy = PlacementPolicy(replace(SETTINGS, service_classes=service_classes, **settings), 7, effects, 0)
-    policy.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(servers))), 0)
+    policy.handle(ListUpdate(ListMode.FULL, tuple(list_entry(f"s{i}", i) for i in range(servers))), 0)
     policy.now_us = 100 * SECOND_US if warm else 0
     for server in policy.servers.values():
         server.link.observe(0.0, policy.now_us - 1)
@@ -92,9 +92,11 @@
     return policy, effects
 
 
-def request_session(policy: PlacementPolicy, id: str = "a", at: int | None = None, **changes: Any) -> None:
+def request_session(
+    policy: PlacementPolicy, id: str = "a", time_us: int | None = None, **changes: Any
+) -> None:
     request = replace(Request(id, "standard", 5, 0, 3, 2, 3 * SECOND_US), **changes)
-    policy.handle(request, policy.now_us if at is None else at)
+    policy.handle(request, policy.now_us if time_us is None else time_us)
 
 
 def complete_attempt(
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -71,32 +71,32 @@
         """Start the servers and the list service, and a front unless `start` is False."""
         self.clock = SystemClock()
         self.recorder = Recorder(self.clock)
-        self.lists = EmulatedListService(self.clock, self.recorder)
+        self.list_service = EmulatedListService(self.clock, self.recorder)
         rack = RackModel(15_000)
-        self.boxes: list[EmulatedServer] = []
+        self.servers: list[EmulatedServer] = []
         for i in range(self.SERVER_COUNT):
             model = ServerModel(5000, 50, rack, 1_000_000, 0.5, 2.0, 1_000_000)
             rack.servers.append(model)
-            self.boxes.append(EmulatedServer(f"box-{i}", model, self.clock, self.recorder, 0.05))
-        for server in self.boxes:
+            self.servers.append(EmulatedServer(f"box-{i}", model, self.clock, self.recorder, 0.05))
+        for server in self.servers:
             server.start()
             self.addCleanup(server.stop)
-        self.known = [
-            ListedServer(server.address, "zone", "k", i, 1.0) for i, server in enumerate(self.boxes)
+        self.listed_servers = [
+            ListedServer(server.address, "zone", "k", i, 1.0) for i, server in enumerate(self.servers)
         ]
-        self.lists.publish(*self.known)
-        self.lists.start()
-        self.addCleanup(self.lists.stop)
-        self.settings = self.changed(**changes)
+        self.list_service.publish(*self.listed_servers)
+        self.list_service.start()
+        self.addCleanup(self.list_service.stop)
+        self.settings = self.make_settings(**changes)
         self.started_fronts: list[FrontDaemon] = []
         self.addCleanup(self.stop_fronts)
         if start:
             self.front = self.start_front()
 
-    def changed(self, **changes: Any) -> FrontSettings:
+    def make_settings(self, **changes: Any) -> FrontSettings:
         """Return the test settings with changed groups; `limits` and `rules` are merged with the test's."""
         settings = parse(SETTINGS, FrontSettings, "test")
-        lists = msgspec.structs.replace(settings.lists, address=self.lists.address)
+        lists = msgspec.structs.replace(settings.lists, address=self.list_service.address)
         for group in ("limits", "rules"):
             if group in changes:
                 changes[group] = msgspec.structs.replace(getattr(settings, group), **changes[group])
@@ -114,24 +114,27 @@
         for front in self.started_fronts:
             front.stop()
 
-    def player(self) -> HttpClient:
+    def new_client(self) -> HttpClient:
         """Return a new client of the front, which is closed after the test."""
         client = HttpClient(self.front.http_server.address, self.clock)
         self.addCleanup(client.close)
         return client
 
-    def ask(
+    def request_session(
         self, service_class: str = "free", client: HttpClient | None = None, headers: Any = (), **body: Any
     ) -> Response:
         """Request a session and return the response."""
         content = msgspec.json.encode({"room_type": service_class, "title": "t1", **body})
         fields = [("Content-Type", "application/json"), *headers]
-        return (client or self.player()).ask("POST", "/v1/subscriptions", fields, content, WAIT_TIMEOUT_S)
+        return (client or self.new_client()).ask("POST", "/v1/subscriptions", fields, content, WAIT_TIMEOUT_S)
 
     def request_concurrently(self, count: int, **body: Any) -> list[Response]:
         """Request `count` sessions concurrently and return the responses."""
         responses: list[Response] = []
-        threads = [threading.Thread(target=lambda: responses.append(self.ask(**body))) for _ in range(count)]
+        threads = [
+            threading.Thread(target=lambda: responses.append(self.request_session(**body)))
+            for _ in range(count)
+        ]
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -147,7 +150,7 @@
         return maximum
 
     def get(self, path: str, headers: Any = (), method: str = "GET") -> Response:
-        return self.player().ask(method, path, list(headers), b"", WAIT_TIMEOUT_S)
+        return self.new_client().ask(method, path, list(headers), b"", WAIT_TIMEOUT_S)
 
     def find_records(self, what: str, **fields: Any) -> list[Record]:
         """Return the records of a kind with these field values."""
@@ -168,13 +171,13 @@
 
     def leave_one_active(self, index: int) -> None:
         """Publish a list on which only the server with this index is active."""
-        self.lists.publish(
+        self.list_service.publish(
             *[
                 ListedServer(server.address, "zone", "k", i, 1.0, "active" if i == index else "leaving")
-                for i, server in enumerate(self.known)
+                for i, server in enumerate(self.listed_servers)
             ]
         )
-        version = self.lists.version
+        version = self.list_service.version
         wait_for(lambda: self.front.core.endpoint_tracker.version == version, "the new endpoint list")
 
 
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -30,7 +30,7 @@
 
 from tests.generated_clients import GeneratedHttp, GeneratedSocket, UndescribedError
 from tests.rig import FrontTestCase
-from tests.test_content_insertion import hashed
+from tests.test_content_insertion import hash_key
 
 PUBLISHED_FOLDER = Path(__file__).parent.parent / "docs" / "api"
 Document = dict[str, Any]
@@ -131,7 +131,7 @@
                 Title(name="t1", cells=3, media=MediaSettings(segment_ticks=400, segments=20)),
                 Title(name="rest", cells=3, media=MediaSettings(segment_ticks=400, segments=1)),
             ],
-            stitch=StitchSettings(authors=[Author(name="amal", key_hash=hashed("k1"))]),
+            stitch=StitchSettings(authors=[Author(name="amal", key_hash=hash_key("k1"))]),
         )
 
     def values(self) -> dict[str, Any]:
@@ -152,7 +152,7 @@
         }
 
     def test_every_http_operation_can_be_called_by_its_description(self) -> None:
-        client = GeneratedHttp(json.loads(self.get("/v1/openapi.json").text), self.player())
+        client = GeneratedHttp(json.loads(self.get("/v1/openapi.json").text), self.new_client())
         key = [("Authorization", "Bearer k1")]
         values = self.values()
         values["id"] = client.call("setUp", values).body["id"]
@@ -210,7 +210,7 @@
         document = json.loads(self.get("/v1/openapi.json").text)
         schema = document["components"]["schemas"]["Playing"]
         schema["properties"]["bitrate"] = schema["properties"].pop("rate_kb")
-        client = GeneratedHttp(document, self.player())
+        client = GeneratedHttp(document, self.new_client())
         with self.assertRaises(UndescribedError):
             client.call("setUp", self.values())
 
--- a/tests/test_content_insertion.py
+++ b/tests/test_content_insertion.py
@@ -24,7 +24,7 @@
 JSON = ("Content-Type", "application/json")
 
 
-def hashed(key: str) -> str:
+def hash_key(key: str) -> str:
     return blake3.blake3(key.encode()).hexdigest()
 
 
@@ -36,7 +36,7 @@
         self.start_system(start=False)
         lesson = MediaSettings(timescale=30_000, segment_ticks=12_012, segments=20)
         clip = MediaSettings(timescale=7, segment_ticks=3, segments=3)
-        self.settings = self.changed(
+        self.settings = self.make_settings(
             titles=[
                 Title(name="t1", cells=3, media=lesson),
                 Title(name="rest", first_cell=1, cells=2, media=clip),
@@ -44,8 +44,8 @@
             ],
             stitch=StitchSettings(
                 authors=[
-                    Author(name="amal", key_hash=hashed("k1")),
-                    Author(name="reader", key_hash=hashed("k2"), may_change=False),
+                    Author(name="amal", key_hash=hash_key("k1")),
+                    Author(name="reader", key_hash=hash_key("k2"), may_change=False),
                 ],
                 ledger=str(self.ledger_path),
                 slate="slate",
@@ -55,7 +55,7 @@
 
     def send_request(self, method: str, path: str, key: str | None = "k1", **body: Any) -> Response:
         fields = [JSON] if key is None else [JSON, ("Authorization", f"Bearer {key}")]
-        return self.player().ask(method, path, fields, json.dumps(body).encode() if body else b"", 5.0)
+        return self.new_client().ask(method, path, fields, json.dumps(body).encode() if body else b"", 5.0)
 
     def insert(self, id: str = "c1", at: str = "0.8", **more: Any) -> Response:
         return self.send_request(
@@ -74,7 +74,7 @@
         return (response.head.get(b"location") or b"").decode().removeprefix("http://")
 
     def server_at(self, address: str) -> EmulatedServer:
-        return next(server for server in self.boxes if address.startswith(server.address))
+        return next(server for server in self.servers if address.startswith(server.address))
 
     def test_requests_without_a_valid_key_change_nothing(self) -> None:
         for key, status in ((None, 401), ("no", 401), ("", 401), ("k2", 403)):
@@ -103,19 +103,19 @@
 
     def test_a_clip_is_served_from_the_next_replica_when_one_fails_or_drains(self) -> None:
         self.insert(at="0")
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         self.manifest(id)
         first_server = self.server_at(self.segment_location(id, 0))
         second_server = self.server_at(self.segment_location(id, 0))
         assert (
             first_server is not second_server
         ), "a repeated request must not be redirected to the server that failed"
-        replicas = [server for server in self.boxes if self.boxes.index(server) in (1, 2)]
+        replicas = [server for server in self.servers if self.servers.index(server) in (1, 2)]
         home_server = self.front.core.sessions[id].server
         for server in replicas:
-            number = self.boxes.index(server)
-            self.lists.publish(ListedServer(server.address, "zone", "k", number, 1.0, "leaving"))
-        version = self.lists.version
+            number = self.servers.index(server)
+            self.list_service.publish(ListedServer(server.address, "zone", "k", number, 1.0, "leaving"))
+        version = self.list_service.version
         wait_for(lambda: self.front.core.endpoint_tracker.version == version, "the drains to be received")
         self.get(f"/v1/subscriptions/{id}/media.m3u8")
         location = self.segment_location(id, 1)
@@ -123,7 +123,7 @@
 
     def test_a_change_before_or_after_a_migration_applies_once(self) -> None:
         for number, (change_first, at) in enumerate(((True, "3"), (False, "5"))):
-            id = self.ask().body["id"]
+            id = self.request_session().body["id"]
             self.manifest(id)
             old_server = self.server_at(self.front.core.sessions[id].server)
             steps = [
@@ -141,24 +141,24 @@
                 assert not location.startswith(old_server.address), "redirected to a drained server"
                 media_names.append(location.split("/")[2])
             assert media_names.count("rest") == 3 * (number + 1)
-            self.lists.publish(
-                ListedServer(old_server.address, "zone", "k", self.boxes.index(old_server), 1.0)
+            self.list_service.publish(
+                ListedServer(old_server.address, "zone", "k", self.servers.index(old_server), 1.0)
             )
 
     def drain_server(self, server: EmulatedServer) -> None:
-        self.lists.publish(
-            ListedServer(server.address, "zone", "k", self.boxes.index(server), 1.0, "leaving")
+        self.list_service.publish(
+            ListedServer(server.address, "zone", "k", self.servers.index(server), 1.0, "leaving")
         )
 
     def test_a_front_that_restarts_within_a_clip_continues_the_timeline(self) -> None:
         self.insert(at="0.8")
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         self.manifest(id)
         self.segment_location(id, 0)
         manifest_before = self.manifest(id)
         assert self.front.core.content.players[id].track.cursor.clip_progress is not None
         wait_for(
-            lambda: any(self.has_newest_token(server, id) for server in self.boxes),
+            lambda: any(self.has_newest_token(server, id) for server in self.servers),
             "the newest resume token at the server",
         )
         wait_for(lambda: self.front.core.commands.queue.count == 0, "the last command to be sent")
@@ -181,7 +181,7 @@
     def test_a_started_interstitial_is_served_after_withdrawal_and_restart(self) -> None:
         self.insert(at="0.8")
         self.insert("c2", at="1.6")
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         path = f"/v1/subscriptions/{id}"
         assert self.get(f"{path}/asset/c1.m3u8").status == 404, "requested before a manifest listed it"
         first_manifest = m3u8.loads(self.get(f"{path}/media.m3u8?interstitials=1").text)
@@ -192,7 +192,7 @@
         assert len(clip.segments) == 3
         self.send_request("DELETE", "/v1/changes/c1")
         self.send_request("DELETE", "/v1/changes/c2")
-        replicas = {self.boxes[1].address, self.boxes[2].address}
+        replicas = {self.servers[1].address, self.servers[2].address}
         media_names = []
         for segment in clip.segments:
             response = self.get(f"{path}/asset/{segment.uri}")
@@ -208,7 +208,7 @@
         assert self.get(f"{path}/asset/c2.m3u8").status == 404, "withdrawn before it was requested"
         assert self.get(f"{path}/asset/c1/3.m4s").status == 404
         wait_for(
-            lambda: any(self.has_newest_token(server, id) for server in self.boxes),
+            lambda: any(self.has_newest_token(server, id) for server in self.servers),
             "the newest resume token at the server",
         )
         wait_for(lambda: self.front.core.commands.queue.count == 0, "the last command to be sent")
@@ -229,7 +229,7 @@
         )
 
     def test_changes_after_a_resume_token_do_not_affect_segments_that_may_have_been_listed(self) -> None:
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         self.manifest(id)
         track = self.front.core.content.players[id].track
         copy = resume_tokens.decode(resume_tokens.encode(track))
@@ -243,7 +243,7 @@
         assert not any(segment.discontinuity for segment in listed.segments)
 
     def test_unlisted_segments_and_ended_sessions_are_denied(self) -> None:
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         self.manifest(id)
         for path in ("seg/9.m4s", "init/rest/1.mp4", "init/../x"):
             assert self.get(f"/v1/subscriptions/{id}/{path}").status == 404
@@ -269,7 +269,7 @@
         self.front.stop()
         assert run("list").exit_code == 3
         with self.assertRaises(Unanswered):
-            self.ask()
+            self.request_session()
 
 
 class LedgerFileTest(unittest.TestCase):
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -22,9 +22,9 @@
 
     def start_with_fair_queue(self, service_ms: float, **changes: Any) -> None:
         self.start_system(fair=FairQueueingSettings(**{"slots": 2, "wait_ms": 10_000.0, **changes}))
-        self.ask()  # a request without any history counts as long, and never gets the last slot
-        self.boxes[0].set_up_times = SetUpTimes(service_ms)
-        self.ask()
+        self.request_session()  # a request without any history counts as long, and never gets the last slot
+        self.servers[0].set_up_times = SetUpTimes(service_ms)
+        self.request_session()
         self.recorder.records.clear()
 
     def scheduler(self) -> Any:
@@ -48,11 +48,11 @@
 
     def test_a_disconnected_client_leaves_the_queue_and_the_slots_unchanged(self) -> None:
         self.start_with_fair_queue(600)
-        in_flight = [threading.Thread(target=self.ask) for _ in range(2)]
+        in_flight = [threading.Thread(target=self.request_session) for _ in range(2)]
         for thread in in_flight:
             thread.start()
         wait_for(lambda: self.scheduler().status()["out"] == 2, "both slots in use")
-        client = self.player()
+        client = self.new_client()
         waiting = threading.Thread(target=lambda: self._send_interrupted_request(client))
         waiting.start()
         wait_for(lambda: self.scheduler().status()["waiting"] == 1, "one waiting request")
@@ -67,14 +67,16 @@
 
     def _send_interrupted_request(self, client: Any) -> None:
         try:
-            self.ask(client=client)
+            self.request_session(client=client)
         except Exception as error:
             assert type(error).__name__ == "Unanswered"
 
     def test_a_stopping_front_answers_all_waiting_requests(self) -> None:
         self.start_with_fair_queue(1500)
         responses: list[Response] = []
-        threads = [threading.Thread(target=lambda: responses.append(self.ask())) for _ in range(4)]
+        threads = [
+            threading.Thread(target=lambda: responses.append(self.request_session())) for _ in range(4)
+        ]
         for thread in threads:
             thread.start()
         wait_for(lambda: self.scheduler().status()["waiting"] == 2, "two waiting requests")
@@ -86,11 +88,11 @@
     def test_a_tenant_within_its_share_goes_before_one_that_used_more(self) -> None:
         self.start_with_fair_queue(100)
         self.request_concurrently(6, tenant="noisy")
-        rest = [threading.Thread(target=lambda: self.ask(tenant="noisy")) for _ in range(6)]
+        rest = [threading.Thread(target=lambda: self.request_session(tenant="noisy")) for _ in range(6)]
         for thread in rest:
             thread.start()
         wait_for(lambda: self.scheduler().status()["waiting"] >= 4, "waiting requests of the noisy tenant")
-        self.ask(tenant="other")
+        self.request_session(tenant="other")
         before = self.scheduler().status()["waiting"]
         for thread in rest:
             thread.join()
@@ -106,14 +108,14 @@
         learned = SlotSettings(start=2, least=2, most=2)
         self.start_system(fair=FairQueueingSettings(slots=50, wait_ms=10_000.0), slots=learned)
         # Set before any request: compared with an immediate set-up, all others would count as long.
-        self.boxes[0].set_up_times = SetUpTimes(60)
-        address = self.boxes[0].address
+        self.servers[0].set_up_times = SetUpTimes(60)
+        address = self.servers[0].address
         # A front that just started has no share of a server until its first window closes; earlier requests
         # are rejected.
         status: Any = lambda: self.front.core.status().to_json_fields()  # noqa: E731
         wait_for(lambda: status()["slots"]["boxes"].get(address, {}).get("here"), "a share of the server")
-        self.ask()
-        threads = [threading.Thread(target=self.ask) for _ in range(8)]
+        self.request_session()
+        threads = [threading.Thread(target=self.request_session) for _ in range(8)]
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -131,7 +133,7 @@
             fair=FairQueueingSettings(slots=2, weights=[TenantWeight(name="a"), TenantWeight(name="a")]),
         )
         assert any("fair.weights[1].name" in line for line in find_violations(self.settings))
-        without_duplicate = self.changed(fair=FairQueueingSettings(slots=2))
+        without_duplicate = self.make_settings(fair=FairQueueingSettings(slots=2))
         assert [line for line in find_violations(without_duplicate) if "fair" in line] == []
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -307,7 +307,7 @@
             OperatorKey(name="read-only", key_file=self.keys["read-only"], may_change=False),
         ]
         control = ControlSettings(keys=keys, audit=str(self.folder / f"{name}.audit"))
-        settings = msgspec.structs.replace(self.changed(control=control), name=name)
+        settings = msgspec.structs.replace(self.make_settings(control=control), name=name)
         front_process = FrontDaemon(settings, log.silent)
         self.started_fronts.append(front_process)
         front_process.start()
@@ -361,11 +361,11 @@
             self.fronts[f"front-{self.FRONT_COUNT:02}"].core.admission_controller.state is AdmissionState.OPEN
         )
         self.front = self.fronts["front-01"]
-        playing = self.ask()
+        playing = self.request_session()
         assert playing.status == 503
         assert "drains" in playing.body["detail"]
         assert self.run_command("undrain", "hall=east").exit_code == 0
-        assert self.ask().status == 201
+        assert self.request_session().status == 201
         audit = (self.folder / "front-01.audit").read_text()
         assert (audit.count('"granted"'), check(str(self.folder / "front-01.audit"))) == (2, None)
 
@@ -376,13 +376,13 @@
         assert self.fronts["front-00"].core.admission_controller.state is AdmissionState.OPEN
 
     def test_sessions_continue_while_a_front_drains(self) -> None:
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         self.run_command("drain", "front-00")
         assert self.get(f"/v1/subscriptions/{id}").status == 200
         assert self.get(f"/v1/subscriptions/{id}", method="DELETE").status == 204
 
     def test_waiting_ends_once_all_fronts_are_in_the_state(self) -> None:
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         self.run_command("drain", "hall=west")
         timed_out = self.run_command("wait", "hall=west", "--held-most", "0", "--for-s", "0.3")
         assert timed_out.exit_code == 1
--- a/tests/test_http_sessions.py
+++ b/tests/test_http_sessions.py
@@ -37,7 +37,7 @@
         return sock
 
     def test_session_is_set_up_queried_limited_and_released(self) -> None:
-        response = self.ask(top_rung=1, headers=[("CMCD-Request", "mtp=9000")])
+        response = self.request_session(top_rung=1, headers=[("CMCD-Request", "mtp=9000")])
         assert (response.status, response.body["rung"], response.body["rate_kb"]) == (201, 1, 200.0)
         hints = response.head.get(b"cmsd-dynamic") or b""
         assert b"fennelcove-link" in hints
@@ -75,10 +75,10 @@
                 assert kind in reply.json()["type"]
 
     def test_hints_limit_the_rung_and_malformed_hints_are_ignored(self) -> None:
-        response = self.ask(headers=[("CMCD-Object", "tb=1700,br=;;"), ("CMCD-Request", "mtp=x")])
+        response = self.request_session(headers=[("CMCD-Object", "tb=1700,br=;;"), ("CMCD-Request", "mtp=x")])
         assert (response.status, response.body["rung"]) == (201, 1)
         assert self.front.http_server.routes.dropped_hint_count > 0
-        limited = self.ask(cmcd={"mtp": 900})
+        limited = self.request_session(cmcd={"mtp": 900})
         assert limited.body["rung"] == 0
 
     def test_pipelined_requests_and_request_sent_byte_by_byte_with_expect(self) -> None:
@@ -104,8 +104,8 @@
 
     def test_server_that_reports_overload_but_accepts_gets_no_new_sessions(self) -> None:
         for _ in range(6):
-            assert self.ask(top_rung=0).status == 201
-        overloaded = self.boxes[0]
+            assert self.request_session(top_rung=0).status == 201
+        overloaded = self.servers[0]
         overloaded.faults.full = True
         reached_servers = {record["box"] for record in self.find_records("set_up")}
         assert overloaded.address in reached_servers
@@ -113,14 +113,14 @@
         wait_for(lambda: (server.link.report or 0) >= 1.0, "the report of overload")
         before = len(self.find_records("set_up", box=overloaded.address))
         for _ in range(20):
-            assert self.ask(top_rung=0).status == 201
+            assert self.request_session(top_rung=0).status == 201
         assert len(self.find_records("set_up", box=overloaded.address)) == before
 
     def test_client_disconnects_while_its_attempt_is_in_flight(self) -> None:
-        for media_server in self.boxes:
+        for media_server in self.servers:
             media_server.faults.slow_ms = 400
         with self.assertRaises(Unanswered):
-            self.player().ask(
+            self.new_client().ask(
                 "POST", "/v1/subscriptions", [("Content-Type", "application/json")], SET_UP_BODY, 0.1
             )
         self.wait_for_records("set_up_over", how="front_closed")
@@ -132,43 +132,45 @@
         assert len(self.find_records("set_up")) == 1
 
     def test_server_that_responds_after_the_timeout_gets_a_release(self) -> None:
-        self.boxes[0].faults.slow_ms = 1500
+        self.servers[0].faults.slow_ms = 1500
         self.leave_one_active(0)
-        response = self.ask(client_timeout_ms=600)
+        response = self.request_session(client_timeout_ms=600)
         assert response.status == 503
         assert response.head.get(b"retry-after")
         self.wait_for_records("released")
         self.wait_for_records("set_up_over", how="front_closed")
-        wait_for(lambda: not self.boxes[0].model.playing, "the sessions to be released")
+        wait_for(lambda: not self.servers[0].model.playing, "the sessions to be released")
 
     def test_seats_are_never_assigned_twice(self) -> None:
-        statuses = [self.ask("few").status for _ in range(4)]
+        statuses = [self.request_session("few").status for _ in range(4)]
         assert statuses == [201, 201, 503, 503]
 
     def test_lowest_rung_of_a_class_holds_against_a_low_measured_throughput(self) -> None:
-        assert self.ask("high", cmcd={"mtp": 100}).body["rung"] == 1
-        assert self.ask("high", top_rung=0).status == 503
+        assert self.request_session("high", cmcd={"mtp": 100}).body["rung"] == 1
+        assert self.request_session("high", top_rung=0).status == 503
 
     def test_endpoint_lists_that_are_empty_invalid_or_name_a_server_twice(self) -> None:
         core = self.front.core
-        version = self.lists.version
-        self.lists.send_raw(b'{"version":%d,"boxes":[]}' % (version + 1))
+        version = self.list_service.version
+        self.list_service.send_raw(b'{"version":%d,"boxes":[]}' % (version + 1))
         wait_for(lambda: core.counts.get("lists_refused"), "the list to be rejected")
         stream = self.front.endpoint_list_client.stream
-        self.lists.send_raw(b"not json")
+        self.list_service.send_raw(b"not json")
         entry = b'{"address":"%s","zone":"zone","kind":"k","cell":0,"state":"%s"}'
-        address = self.boxes[0].address.encode()
+        address = self.servers[0].address.encode()
         wait_for(lambda: self.front.endpoint_list_client.stream is not stream, "a new list stream")
         self.leave_one_active(1)
         entries = b",".join(entry % (address, state) for state in (b"leaving", b"active"))
-        self.lists.send_raw(b'{"version":%d,"base":%d,"boxes":[%b]}' % (version + 2, version + 1, entries))
+        self.list_service.send_raw(
+            b'{"version":%d,"base":%d,"boxes":[%b]}' % (version + 2, version + 1, entries)
+        )
         wait_for(lambda: core.endpoint_tracker.version == version + 2, "the list that names a server twice")
-        assert self.ask().body["box"] == self.boxes[1].address
+        assert self.request_session().body["box"] == self.servers[1].address
 
     def test_clients_that_starve_together_mark_their_server_as_short(self) -> None:
         self.leave_one_active(0)
-        paths = [f"/v1/subscriptions/{self.ask(top_rung=0).body['id']}" for _ in range(2)]
-        link = self.front.core.policy.servers[self.boxes[0].address].link
+        paths = [f"/v1/subscriptions/{self.request_session(top_rung=0).body['id']}" for _ in range(2)]
+        link = self.front.core.policy.servers[self.servers[0].address].link
         for path in paths:
             assert self.get(path, [("CMCD-Status", "bs"), ("CMCD-Request", "mtp=400")]).status == 200
         assert link.full_until_us > self.clock.now_us()
@@ -176,10 +178,10 @@
 
     def server_of(self, id: str) -> EmulatedServer:
         address = self.front.core.sessions[id].server
-        return next(media_server for media_server in self.boxes if media_server.address == address)
+        return next(media_server for media_server in self.servers if media_server.address == address)
 
     def test_crashed_server_loses_only_sessions_that_must_not_be_set_up_twice(self) -> None:
-        once_id, free_id = self.ask("once").body["id"], self.ask("free").body["id"]
+        once_id, free_id = self.request_session("once").body["id"], self.request_session("free").body["id"]
         crashed = {self.server_of(id) for id in (once_id, free_id)}
         for media_server in crashed:
             media_server.crash()
@@ -193,11 +195,11 @@
         assert migrated.body["box"] not in {media_server.address for media_server in crashed}
 
     def drain(self, media_server: EmulatedServer, state: ListingState = "leaving") -> None:
-        number = self.boxes.index(media_server)
-        self.lists.publish(ListedServer(media_server.address, "zone", "k", number, 1.0, state))
+        number = self.servers.index(media_server)
+        self.list_service.publish(ListedServer(media_server.address, "zone", "k", number, 1.0, state))
 
     def test_drain_migrates_sessions_before_their_server_releases_them(self) -> None:
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         source = self.server_of(id)
         self.drain(source)
         self.wait_for_records("released", subscription=id, box=source.address, held=True)
@@ -217,7 +219,7 @@
         )
 
     def test_drain_leaves_a_session_that_may_be_set_up_only_once(self) -> None:
-        id = self.ask("once").body["id"]
+        id = self.request_session("once").body["id"]
         source = self.server_of(id)
         self.drain(source)
         wait_for(lambda: self.front.core.counts.get("moves_given_up"), "the migration to be abandoned")
@@ -232,7 +234,7 @@
         assert self.find_records("released", subscription=id) == []
 
     def test_session_that_may_be_set_up_only_once_ends_when_its_server_leaves_the_list(self) -> None:
-        id = self.ask("once").body["id"]
+        id = self.request_session("once").body["id"]
         self.drain(self.server_of(id), "left")
         wait_for(lambda: id not in self.front.core.sessions, "the session to end")
         ended = self.get(f"/v1/subscriptions/{id}")
@@ -240,24 +242,24 @@
         assert len(self.find_records("set_up", subscription=id)) == 1
 
     def test_session_released_during_its_migration_leaves_nothing_on_either_server(self) -> None:
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         source = self.server_of(id)
-        for media_server in self.boxes:
+        for media_server in self.servers:
             media_server.faults.slow_ms = 200
         self.drain(source)
         self.wait_for_records("set_up", 2, subscription=id)
         assert self.get(f"/v1/subscriptions/{id}", method="DELETE").status == 204
         self.wait_for_records("released", 2, subscription=id)
-        for media_server in self.boxes:
+        for media_server in self.servers:
             wait_for(
                 lambda media_server=media_server: not media_server.model.playing,
                 "the sessions to be released",
             )
 
     def test_migration_retries_another_server_and_never_has_two_attempts_in_flight(self) -> None:
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         source = self.server_of(id)
-        other_servers = [media_server for media_server in self.boxes if media_server is not source]
+        other_servers = [media_server for media_server in self.servers if media_server is not source]
         other_servers[0].faults.errors = other_servers[1].faults.errors = True
         self.drain(source)
         self.wait_for_records("set_up_over", 2, subscription=id, how="error")
@@ -272,7 +274,7 @@
         assert self.get(f"/v1/subscriptions/{id}").status == 200
 
     def test_server_whose_drain_is_cancelled_keeps_its_remaining_sessions(self) -> None:
-        ids = [self.ask("once").body["id"] for _ in range(3)]
+        ids = [self.request_session("once").body["id"] for _ in range(3)]
         source = self.server_of(ids[0])
         self.drain(source)
         wait_for(lambda: self.front.core.draining.is_draining(source.address), "the drain to start")
@@ -292,20 +294,20 @@
         self.start_system(rules={"ramp_ms": 0.0})
 
     def test_retry_after_an_attempt_that_may_have_run_depends_on_the_service_class(self) -> None:
-        self.boxes[0].faults.reset = True
+        self.servers[0].faults.reset = True
         self.leave_one_active(0)
-        assert self.ask("free").status == 503
-        assert self.ask("keyed").status == 503
-        interrupted = self.ask("once")
+        assert self.request_session("free").status == 503
+        assert self.request_session("keyed").status == 503
+        interrupted = self.request_session("once")
         assert (interrupted.status, interrupted.body["may_have_run"]) == (502, True)
-        self.boxes[0].faults.reset = False
-        self.boxes[0].server.down()
-        refused = self.ask("once")
+        self.servers[0].faults.reset = False
+        self.servers[0].server.down()
+        refused = self.request_session("once")
         assert refused.status == 503
         assert self.front.core.counts["joins_" + Outcome.NO_CONNECTION.value] == 1
 
     def test_each_kind_of_server_response_has_its_outcome(self) -> None:
-        media_server = self.boxes[0]
+        media_server = self.servers[0]
         self.leave_one_active(0)
         for fault, outcome in (
             ("errors", Outcome.SERVER_ERROR),
@@ -315,23 +317,23 @@
         ):
             before = self.front.core.counts.get(f"joins_{outcome.value}", 0)
             setattr(media_server.faults, fault, True)
-            assert self.ask().status == 503
+            assert self.request_session().status == 503
             setattr(media_server.faults, fault, False)
             assert self.front.core.counts[f"joins_{outcome.value}"] == before + 1, fault
         media_server.model.streams = 0
-        assert self.ask().status == 503
+        assert self.request_session().status == 503
         assert self.front.core.counts["joins_turned_away"] == 1
 
 
 class RetryBudgetTest(FrontTestCase):
     def count_attempts_per_setup(self, count: int) -> list[int]:
         """Return the attempts of each of `count` set-ups while every server resets its connections."""
-        for media_server in self.boxes:
+        for media_server in self.servers:
             media_server.faults.reset = True
         attempt_counts: list[int] = []
         for _ in range(count):
             before = len(self.find_records("set_up"))
-            assert self.ask().status == 503
+            assert self.request_session().status == 503
             attempt_counts.append(len(self.find_records("set_up")) - before)
         return attempt_counts
 
@@ -359,7 +361,7 @@
 
     def test_client_whose_fifth_attempt_times_out_gets_one_response_in_time(self) -> None:
         self.start_system(start=False)
-        self.settings = self.changed(
+        self.settings = self.make_settings(
             fleet=self.settings.fleet.__class__(
                 **{
                     **{
@@ -372,10 +374,10 @@
             titles=[self.settings.titles[0].__class__(name="t1", first_cell=0, cells=6)],
         )
         self.front = self.start_front()
-        for media_server in self.boxes:
+        for media_server in self.servers:
             media_server.faults.hang = True
-        client = self.player()
-        response = self.ask(client=client)
+        client = self.new_client()
+        response = self.request_session(client=client)
         assert response.status == 503
         assert response.head.get(b"retry-after")
         id = response.body["instance"].rpartition("/")[2]
@@ -394,12 +396,12 @@
         for sock in connections:
             self.addCleanup(sock.close)
         wait_for(lambda: self.front.core.admission_controller.connections == 3, "three connections")
-        refused = self.ask()
+        refused = self.request_session()
         assert refused.status == 503
         assert refused.head.get(b"retry-after")
         connections[0].close()
         wait_for(lambda: self.front.core.admission_controller.connections < 3, "a free connection")
-        assert self.ask().status == 201
+        assert self.request_session().status == 201
 
     def test_hundreds_of_slow_senders_do_not_block_other_clients(self) -> None:
         # Long enough to accept all of them, even on a busy machine, before the first one times out.
@@ -423,11 +425,11 @@
             wait_for(
                 lambda: self.front.core.admission_controller.connections >= 250, "half of the connections"
             )
-            assert self.ask().status == 201
+            assert self.request_session().status == 201
             wait_for(
                 lambda: self.front.core.admission_controller.connections <= 2, "the slow senders to time out"
             )
-            assert self.ask().status == 201
+            assert self.request_session().status == 201
         finally:
             done.set()
             thread.join()
@@ -442,12 +444,12 @@
 class ShutdownTest(FrontTestCase):
     def test_front_stopped_with_attempts_in_flight_answers_each_and_exits(self) -> None:
         self.start_system(limits={"stop_ms": 400})
-        for media_server in self.boxes:
+        for media_server in self.servers:
             media_server.faults.hang = True
         responses: list[tuple[str, int]] = []
 
         def set_up(service_class: str) -> None:
-            responses.append((service_class, self.ask(service_class).status))
+            responses.append((service_class, self.request_session(service_class).status))
 
         threads = [
             threading.Thread(target=set_up, args=(service_class,)) for service_class in ("free", "once") * 4
@@ -461,7 +463,7 @@
         assert sorted(set(responses)) == [("free", 503), ("once", 502)]
         assert len(responses) == 8
         with self.assertRaises(Unanswered):
-            self.ask()
+            self.request_session()
         remaining_threads = [
             thread.name for thread in threading.enumerate() if thread.name in ("viewer", "timers", "acceptor")
         ]
@@ -469,24 +471,24 @@
 
     def test_restarted_front_adopts_the_sessions_of_its_servers(self) -> None:
         self.start_system()
-        ids = [self.ask("few").body["id"] for _ in range(2)]
-        free = self.ask(top_rung=1).body
+        ids = [self.request_session("few").body["id"] for _ in range(2)]
+        free = self.request_session(top_rung=1).body
         self.front.stop()
         self.front = self.start_front()
         assert self.get(f"/v1/subscriptions/{free['id']}").body["rung"] == 1
-        assert self.ask("few").status == 503
+        assert self.request_session("few").status == 503
         assert self.get(f"/v1/subscriptions/{ids[0]}", method="DELETE").status == 204
         self.wait_for_records("released", subscription=ids[0], held=True)
-        assert self.ask("few").status == 201
+        assert self.request_session("few").status == 201
 
     def test_restarted_front_releases_sessions_of_an_unknown_service_class(self) -> None:
         self.start_system()
-        id = self.ask("high").body["id"]
+        id = self.request_session("high").body["id"]
         self.front.stop()
         service_classes = [
             service_class for service_class in self.settings.room_types if service_class.name != "high"
         ]
-        self.settings = self.changed(room_types=service_classes)
+        self.settings = self.make_settings(room_types=service_classes)
         self.front = self.start_front()
         self.wait_for_records("released", subscription=id, held=True)
         assert self.get(f"/v1/subscriptions/{id}").status == 404
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -113,7 +113,7 @@
         assert "fennelcove keys new" in str(caught.exception)
 
     def test_a_connection_without_a_handshake_is_closed(self) -> None:
-        player = self.player()
+        player = self.new_client()
         with self.assertRaises(Exception):  # noqa: B017 - plain HTTP on a TLS port: reset or garbage
             player.ask("GET", "/v1/status", [], b"", 5.0)
         wait_for(lambda: self.front.core.admission_controller.connections == 0, "the connection to close")
--- a/tests/test_placement_policy.py
+++ b/tests/test_placement_policy.py
@@ -42,8 +42,8 @@
     SECOND_US,
     Recorder,
     complete_attempt,
-    entry,
     establish_session,
+    list_entry,
     make_policy,
     report_measurement,
     request_session,
@@ -199,7 +199,7 @@
 
     def test_events_handled_late_use_the_list_update_and_the_time_left(self) -> None:
         policy, effects = make_policy(2)  # a front that stalled handles both at once
-        update = (entry("s0", 0, state=ServerState.LEAVING),)
+        update = (list_entry("s0", 0, state=ServerState.LEAVING),)
         policy.handle(ListUpdate(ListMode.INCREMENTAL, update), policy.now_us)
         request_session(policy, timeout_us=SECOND_US // 10)
         ((_, _, server, timeout_us),) = effects.named("start_attempt")
@@ -208,7 +208,7 @@
     def test_servers_that_left_the_list_are_deleted(self) -> None:
         policy, _ = make_policy(3)
         establish_session(policy, first_cell=1, cell_count=1)
-        departed = tuple(entry(f"s{i}", i, state=ServerState.LEFT) for i in (0, 1))
+        departed = tuple(list_entry(f"s{i}", i, state=ServerState.LEFT) for i in (0, 1))
         policy.handle(ListUpdate(ListMode.INCREMENTAL, departed), policy.now_us)
         assert list(policy.servers) == ["s1", "s2"]  # its session must still be able to end
         assert policy.replicas[0] == []
@@ -374,7 +374,7 @@
 
     def test_no_attempt_is_sent_to_a_draining_or_delisted_server(self) -> None:
         policy, effects = make_policy(2)
-        leaving = entry("s0", 0, state=ServerState.LEAVING)
+        leaving = list_entry("s0", 0, state=ServerState.LEAVING)
         policy.handle(ListUpdate(ListMode.INCREMENTAL, (leaving,)), policy.now_us)
         request_session(policy)
         assert effects.named("start_attempt")[0][2] == "s1"
@@ -442,7 +442,7 @@
     def test_start_times_on_a_saved_list_are_not_trusted(self) -> None:
         policy, effects = make_policy(1, warm=False)
         policy.list_is_fresh, policy.created_us = False, 1
-        policy.handle(ListUpdate(ListMode.SAVED, (entry("s0", 0),)), 1)
+        policy.handle(ListUpdate(ListMode.SAVED, (list_entry("s0", 0),)), 1)
         assert effects.calls == [("fetch_list",)]
         assert policy.is_warming_up(policy.servers["s0"])
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -101,7 +101,7 @@
         self.start_system(store=StoreSettings(folder=str(Path(directory.name) / "store")))
 
     def request_with_key(self, key: str = "k1", service_class: str = "free", **fields: Any) -> Any:
-        return self.ask(service_class, key=key, cmcd={"sid": "v"}, **fields)
+        return self.request_session(service_class, key=key, cmcd={"sid": "v"}, **fields)
 
     def test_repeated_request_gets_the_session_and_after_its_end_a_410(self) -> None:
         first, repeated = self.request_with_key(), self.request_with_key(retry=True)
@@ -115,7 +115,7 @@
         assert self.request_with_key("k2", "keyed").status == 422
 
     def test_ten_concurrent_requests_with_one_key_are_one_set_up(self) -> None:
-        for server in self.boxes:
+        for server in self.servers:
             server.faults.slow_ms = 200.0
         import threading
 
@@ -134,7 +134,7 @@
         assert self.front.core.admission_controller.sessions == 1
 
     def test_session_whose_websocket_response_was_lost_is_found_over_http(self) -> None:
-        for server in self.boxes:
+        for server in self.servers:
             server.faults.slow_ms = 150.0
         first = WebSocketClient(self.front.http_server.address, self.clock, random.Random(1))
         request = {"room_type": "free", "title": "t1", "key": "k9", "cmcd": {"sid": "v"}}
@@ -148,17 +148,19 @@
         assert len(self.find_records("set_up")) == 1
 
     def test_rejected_request_may_be_repeated(self) -> None:
-        established = [self.ask("few").body["id"] for _ in range(2)]
+        established = [self.request_session("few").body["id"] for _ in range(2)]
         assert self.request_with_key(service_class="few").status == 503
         self.get(f"/v1/subscriptions/{established[0]}", method="DELETE")
         assert self.request_with_key(service_class="few").status == 201
 
     def test_set_up_that_may_have_run_is_not_repeated_after_the_front_is_killed(self) -> None:
-        for server in self.boxes:
+        for server in self.servers:
             server.faults.hang = True
         with self.assertRaises(Unanswered):
             raw = b'{"room_type":"once","title":"t1","key":"k1","cmcd":{"sid":"v"}}'
-            self.player().ask("POST", "/v1/subscriptions", [("Content-Type", "application/json")], raw, 0.5)
+            self.new_client().ask(
+                "POST", "/v1/subscriptions", [("Content-Type", "application/json")], raw, 0.5
+            )
         self.wait_for_records("set_up")
         writer = self.front.store_writer
         assert writer is not None
@@ -168,10 +170,10 @@
             "the key to be stored",
         )
         values = dict(writer.store.values)
-        for server in self.boxes:
+        for server in self.servers:
             server.faults.hang = False
         self.front.stop()
-        self.settings = self.changed()
+        self.settings = self.make_settings()
         self.front = self.start_front()
         # The records as the killed process left them, not those that the clean stop wrote.
         self.front.core.snapshots.restore(values)
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -151,7 +151,7 @@
         self.front = self.start_front()
 
     def settings_with_seat_duration(self, seat_ms: float) -> Any:
-        base = self.changed(store=self.store)
+        base = self.make_settings(store=self.store)
         service_classes = [
             msgspec.structs.replace(item, seat_ms=seat_ms) if item.name == "few" else item
             for item in base.room_types
@@ -162,11 +162,11 @@
         return self.front.core.seat_leases.leases.counts[POOL]
 
     def post(self, path: str, body: bytes = b"{}") -> Any:
-        return self.player().ask("POST", path, [("Content-Type", "application/json")], body, 5.0)
+        return self.new_client().ask("POST", path, [("Content-Type", "application/json")], body, 5.0)
 
     def test_seat_that_is_not_renewed_expires_and_is_available_again(self) -> None:
-        ids = [self.ask("few").body["id"] for _ in range(2)]
-        assert self.ask("few").status == 503
+        ids = [self.request_session("few").body["id"] for _ in range(2)]
+        assert self.request_session("few").status == 503
         socket = WebSocketClient(self.front.http_server.address, self.clock, random.Random(1))
         self.addCleanup(socket.close)
         socket.ask("resume", subscription=ids[0])
@@ -180,17 +180,17 @@
         wait_for(renewed, "the other seat to expire")
         assert self.get(f"/v1/subscriptions/{ids[1]}").status == 410
         assert self.post(f"/v1/subscriptions/{ids[1]}/seat").status == 410
-        assert (self.ask("few").status, self.seat_count()) == (201, 2)
+        assert (self.request_session("few").status, self.seat_count()) == (201, 2)
 
     def test_renewal_returns_the_remaining_time(self) -> None:
-        response = self.ask("few")
+        response = self.request_session("few")
         assert response.body["seat_for_ms"] <= 700
         path = f"/v1/subscriptions/{response.body['id']}/seat"
         first = self.post(path, b'{"key":"k"}')
         repeated = self.post(path, b'{"key":"k"}')
         assert (first.status, repeated.status) == (200, 200)
         assert repeated.body["seat_for_ms"] <= first.body["seat_for_ms"]
-        free = self.ask("free").body
+        free = self.request_session("free").body
         assert "seat_for_ms" not in free
         assert self.post(f"/v1/subscriptions/{free['id']}/seat").status == 409
 
@@ -198,14 +198,14 @@
         self.front.stop()
         self.settings = self.settings_with_seat_duration(60_000.0)
         self.front = self.start_front()
-        ids = [self.ask("few").body["id"] for _ in range(2)]
+        ids = [self.request_session("few").body["id"] for _ in range(2)]
         before = {id: self.front.core.seat_leases.leases.seats[id].expires_wall_us for id in ids}
         self.front.stop()
         self.front = self.start_front()
         wait_for(lambda: self.seat_count() == 2, "both seats to be restored")
         after = {id: lease.expires_wall_us for id, lease in self.front.core.seat_leases.leases.seats.items()}
         assert after == before
-        assert self.ask("few").status == 503
+        assert self.request_session("few").status == 503
 
     def test_access_token_may_be_limited_to_titles(self) -> None:
         assert AccessToken("v", 0, 1).titles == ()
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -33,7 +33,7 @@
 )
 from fennelcove.upstream.front_messaging import FrontMessaging
 
-from tests.helpers import SECOND_US, SETTINGS, Recorder, entry, request_session
+from tests.helpers import SECOND_US, SETTINGS, Recorder, list_entry, request_session
 from tests.rig import SETTINGS as SETTINGS_TEXT
 from tests.rig import FrontTestCase, wait_for
 
@@ -100,7 +100,7 @@
     def shadowed_policy(self, **alternative: Any) -> tuple[ShadowedPolicy, Recorder]:
         effects = Recorder()
         policy = ShadowedPolicy(SETTINGS, replace(SETTINGS, **alternative), 7, effects, 0)
-        policy.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(3))), 0)
+        policy.handle(ListUpdate(ListMode.FULL, tuple(list_entry(f"s{i}", i) for i in range(3))), 0)
         policy.now_us = 100 * SECOND_US
         for front in (policy, policy.alternative):
             for server in front.servers.values():
@@ -109,7 +109,7 @@
 
     def run_sessions(self, policy: ShadowedPolicy) -> None:
         for i in range(30):
-            request_session(policy, str(i), at=policy.now_us + SECOND_US, tenant="t")
+            request_session(policy, str(i), time_us=policy.now_us + SECOND_US, tenant="t")
             if str(i) in policy.sessions:
                 policy.handle(SessionStarted(str(i), 0, 1000), policy.now_us + 1000)
             if i >= 10 and str(i - 10) in policy.sessions:
@@ -152,7 +152,7 @@
         first = policy.sessions["a"].server.address
         policy.handle(AttemptCompleted("a", 0, Outcome.SERVER_ERROR, False, None), policy.now_us + 1000)
         policy.handle(SessionStarted("a", 1, 1000), policy.now_us + 1000)
-        remaining = tuple(entry(f"s{i}", i) for i in range(3) if f"s{i}" != first)
+        remaining = tuple(list_entry(f"s{i}", i) for i in range(3) if f"s{i}" != first)
         policy.handle(ListUpdate(ListMode.FULL, remaining), policy.now_us + 60 * SECOND_US)
         assert first not in policy.alternative.servers
         policy.handle(TopRungChanged("a", 0), policy.now_us + 1000)
@@ -193,7 +193,7 @@
         )
         shape = ShapeSettings(reports_unasked=False, probes=ProbeSettings(price=0.01))
         self.start_system(fleet=fleet, shape=shape)
-        response = self.ask("once")
+        response = self.request_session("once")
         assert response.status == 201
         counts = self.front.core.counts
         assert counts["probes"] == 2
@@ -203,13 +203,13 @@
         addresses = unused_addresses(2)
         shape = ShapeSettings(peers=PeerSettings(addresses=addresses))
         self.start_system(instance=Instance(index=1, fronts=2), shape=shape)
-        response = self.ask(tenant="a", watch_ms=5000)
+        response = self.request_session(tenant="a", watch_ms=5000)
         assert response.status == 201
         assert self.front.core.counts["messages"] >= 2  # the query and the attempt
 
     def test_a_front_with_an_alternative_shape_responds_and_reports_counts(self) -> None:
         self.start_system(watch=ShapeSettings(switch_cost_ms=500, goal=UtilityWeights(worst_room_type=0.5)))
-        assert self.ask().status == 201
+        assert self.request_session().status == 201
         counts = self.front.core.status().to_json_fields()["watch"]
         assert isinstance(counts, dict)
         assert counts["same"] >= 1
--- a/tests/test_slots_front.py
+++ b/tests/test_slots_front.py
@@ -23,10 +23,10 @@
 
     def test_the_limit_is_not_exceeded_and_the_rest_is_rejected_at_once(self) -> None:
         self.start_system(slots=SlotSettings(start=2, most=2))
-        self.boxes[0].set_up_times = SetUpTimes(200)
+        self.servers[0].set_up_times = SetUpTimes(200)
         # A front that just started has no share of a server until its first window closes; without this wait
         # all eight requests were rejected.
-        address = self.boxes[0].address
+        address = self.servers[0].address
         wait_for(lambda: self.slots_status()["boxes"].get(address, {}).get("here"), "a share of the server")
         responses = self.request_concurrently(8)
         assert self.max_setups_in_flight() == 2
@@ -34,10 +34,11 @@
         assert len(rejected) + sum(response.status == 201 for response in responses) == 8
         assert rejected
         assert all(response.head.get(b"retry-after") for response in rejected)
-        server = self.slots_status()["boxes"][self.boxes[0].address]
+        server = self.slots_status()["boxes"][self.servers[0].address]
         assert (server["whole"], server["out"]) == (2, 0)
         wait_for(
-            lambda: self.slots_status()["boxes"][self.boxes[0].address]["holds_ms"], "a learned service time"
+            lambda: self.slots_status()["boxes"][self.servers[0].address]["holds_ms"],
+            "a learned service time",
         )
 
     def test_with_a_wait_queue_all_are_served_and_the_limit_is_not_exceeded(self) -> None:
@@ -45,12 +46,12 @@
             slots=SlotSettings(start=2, most=2), fair=FairQueueingSettings(slots=2, wait_ms=10_000.0)
         )
         # Set before any request: compared with an immediate set-up, all others would count as long.
-        self.boxes[0].set_up_times = SetUpTimes(50)
-        address = self.boxes[0].address
+        self.servers[0].set_up_times = SetUpTimes(50)
+        address = self.servers[0].address
         # A front that just started has no share of a server until its first window closes; earlier requests
         # are rejected.
         wait_for(lambda: self.slots_status()["boxes"].get(address, {}).get("here"), "a share of the server")
-        self.ask()  # a request without any history counts as long
+        self.request_session()  # a request without any history counts as long
         self.recorder.records.clear()
         responses = self.request_concurrently(8)
         assert {response.status for response in responses} == {201}
@@ -59,11 +60,11 @@
     def test_the_limit_is_stored_for_the_next_start(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             self.start_system(slots=SlotSettings(), store=StoreSettings(folder=folder))
-            self.ask()
+            self.request_session()
             wait_for(lambda: self.slots_status()["boxes"], "a listed server")
             self.front.stop()
             values = self.front.core.snapshots.stored
-            raw = values[persisted.KEY_PREFIX + self.boxes[0].address.encode()]
+            raw = values[persisted.KEY_PREFIX + self.servers[0].address.encode()]
             assert persisted.restore_limit(raw, "k", 0, 16, self.clock.wall_us()) == 16
 
     def test_settings_require_loans_that_outlast_attempts_and_a_consistent_minimum(self) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -434,9 +434,9 @@
         self.front = self.start_front()
 
     def test_strikes_last_attempts_and_the_spent_budget_survive_a_restart(self) -> None:
-        self.ask()
+        self.request_session()
         policy = self.front.core.policy
-        server = policy.servers[self.known[0].address]
+        server = policy.servers[self.listed_servers[0].address]
         with self.front.core.lock:
             for _ in range(2):
                 record_outcome(policy, server, Outcome.NO_ANSWER)
@@ -451,7 +451,7 @@
         self.restart_front()
         policy = self.front.core.policy
         assert policy is not policy_before
-        server = policy.servers[self.known[0].address]
+        server = policy.servers[self.listed_servers[0].address]
         assert server.strikes == strikes_before
         assert server.last_attempt_us is not None
         assert not within_retry_budget(policy)
@@ -459,21 +459,21 @@
 
     def test_the_record_of_a_server_that_restarted_meanwhile_is_not_used(self) -> None:
         policy = self.front.core.policy
-        server = policy.servers[self.known[0].address]
+        server = policy.servers[self.listed_servers[0].address]
         with self.front.core.lock:
             server.strikes = 4
         self.front.stop()
-        self.known[0] = replace(self.known[0], started_us=self.clock.now_us())
-        self.lists.publish(self.known[0])
+        self.listed_servers[0] = replace(self.listed_servers[0], started_us=self.clock.now_us())
+        self.list_service.publish(self.listed_servers[0])
         self.front = self.start_front()
-        assert self.front.core.policy.servers[self.known[0].address].strikes == 0
+        assert self.front.core.policy.servers[self.listed_servers[0].address].strikes == 0
 
     def test_a_front_without_a_store_works(self) -> None:
         self.front.stop()
-        self.settings = self.changed()
+        self.settings = self.make_settings()
         self.front = self.start_front()
         assert self.front.store_writer is None
-        assert self.ask().status == 201
+        assert self.request_session().status == 201
 
 
 class SnapshotEventsTest(unittest.TestCase):
--- a/tests/test_websocket_sessions.py
+++ b/tests/test_websocket_sessions.py
@@ -34,7 +34,7 @@
 from websockets.sync.client import connect
 
 from tests.rig import FrontTestCase, wait_for
-from tests.test_content_insertion import hashed
+from tests.test_content_insertion import hash_key
 
 
 class WebSocketTestCase(FrontTestCase):
@@ -84,13 +84,13 @@
         player.conversation.send("{")
         player.flush()
         assert player.next_of_type("fault").get("ref") is None
-        for media_server in self.known:
-            self.lists.publish(
+        for media_server in self.listed_servers:
+            self.list_service.publish(
                 ListedServer(
-                    media_server.address, "zone", "k", self.known.index(media_server), 1.0, "leaving"
+                    media_server.address, "zone", "k", self.listed_servers.index(media_server), 1.0, "leaving"
                 )
             )
-        wait_for(lambda: self.front.core.endpoint_tracker.version == self.lists.version, "the list")
+        wait_for(lambda: self.front.core.endpoint_tracker.version == self.list_service.version, "the list")
         answer = player.ask("set-up", ask={"room_type": "free", "title": "t1"})
         assert answer["type"] == "throttled"
         assert answer["retry_after_ms"] >= 0
@@ -104,9 +104,14 @@
         first = player.next_of_type("rung")
         assert (first["subscription"], first["number"]) == (id, 1)
         source = session.server
-        self.lists.publish(
+        self.list_service.publish(
             ListedServer(
-                source, "zone", "k", [server.address for server in self.known].index(source), 1.0, "leaving"
+                source,
+                "zone",
+                "k",
+                [server.address for server in self.listed_servers].index(source),
+                1.0,
+                "leaving",
             )
         )
         moved = player.next_of_type("moved")
@@ -140,7 +145,7 @@
         assert second.ask("release", subscription=id)["type"] == "released"
 
     def test_session_set_up_over_http_is_claimed_by_its_id(self) -> None:
-        id = self.ask().body["id"]
+        id = self.request_session().body["id"]
         player = self.connect()
         assert player.ask("resume", subscription=id)["type"] == "resumed"
         self.get(f"/v1/subscriptions/{id}", method="DELETE")
@@ -148,7 +153,7 @@
 
     def test_session_is_released_if_its_client_disconnects_during_the_attempt(self) -> None:
         self.leave_one_active(0)
-        self.boxes[0].faults.slow_ms = 300.0
+        self.servers[0].faults.slow_ms = 300.0
         player = self.connect()
         player.send_message("set-up", ask={"room_type": "free", "title": "t1"})
         self.wait_for_records("set_up")
@@ -160,7 +165,7 @@
     def test_other_requests_are_served_while_an_attempt_is_in_flight(self) -> None:
         player = self.connect()
         id = self.set_up(player)["state"]["id"]
-        for media_server in self.boxes:
+        for media_server in self.servers:
             media_server.faults.slow_ms = 400.0
         ref = player.send_message("set-up", ask={"room_type": "free", "title": "t1"})
         assert player.ask("release", subscription=id)["type"] == "released"
@@ -171,7 +176,7 @@
         player = self.connect()
         ids = [self.set_up(player)["state"]["id"] for _ in range(2)]
         assert player.ask("set-up", ask={"room_type": "free", "title": "t1"})["kind"] == "not-permitted"
-        other = self.ask().body["id"]
+        other = self.request_session().body["id"]
         assert player.ask("resume", subscription=other)["kind"] == "not-yours"
         player.ask("release", subscription=ids[0])
         assert player.ask("resume", subscription=other)["type"] == "resumed"
@@ -192,7 +197,7 @@
             assert len(self.find_records("set_up", subscription=id)) == 1
 
     def test_attempt_in_flight_when_the_front_stops_is_answered_before_the_close(self) -> None:
-        for media_server in self.boxes:
+        for media_server in self.servers:
             media_server.faults.slow_ms = 300.0
         player = self.connect()
         ref = player.send_message("set-up", ask={"room_type": "free", "title": "t1"})
@@ -239,7 +244,7 @@
 
     def test_half_open_connection_is_closed_after_the_idle_timeout_and_its_session_released(self) -> None:
         self.stop_fronts()
-        self.settings = self.changed(limits={"silent_ms": 400})
+        self.settings = self.make_settings(limits={"silent_ms": 400})
         self.front = self.start_front()
         alive, dead = self.connect(), self.connect()
         ids = [self.set_up(player)["state"]["id"] for player in (alive, dead)]
@@ -306,7 +311,7 @@
         for body in bodies:
             raw = msgspec.json.encode(body)
             fields = [("Content-Type", "application/json")]
-            self.player().ask("POST", "/v1/subscriptions", fields, raw, 5.0)
+            self.new_client().ask("POST", "/v1/subscriptions", fields, raw, 5.0)
             player.ask("set-up", ask=body)
         assert len(requests) == 2 * len(bodies)
         assert requests[::2] == requests[1::2]
@@ -319,17 +324,17 @@
                 Title(name="t1", cells=3, media=MediaSettings(segment_ticks=400, segments=20)),
                 Title(name="rest", cells=3, media=MediaSettings(segment_ticks=400, segments=1)),
             ],
-            stitch=StitchSettings(authors=[Author(name="amal", key_hash=hashed("k1"))]),
+            stitch=StitchSettings(authors=[Author(name="amal", key_hash=hash_key("k1"))]),
         )
         player, other = self.connect(), self.connect()
         id = self.set_up(player)["state"]["id"]
         self.set_up(other, "few")
         fields = [("Content-Type", "application/json"), ("Authorization", "Bearer k1")]
         order = {"id": "c", "kind": "insert", "title": "t1", "clip": "rest", "at": "4", "room_type": "free"}
-        self.player().ask("POST", "/v1/changes", fields, json.dumps(order).encode(), 5.0)
+        self.new_client().ask("POST", "/v1/changes", fields, json.dumps(order).encode(), 5.0)
         answer = player.next_of_type("stitched")
         assert (answer["subscription"], answer["change"], answer["state"]) == (id, "c", "made")
-        self.player().ask("DELETE", "/v1/changes/c", fields, b"", 5.0)
+        self.new_client().ask("DELETE", "/v1/changes/c", fields, b"", 5.0)
         assert player.next_of_type("stitched")["state"] == "withdrawn"
         other.ask("set-top", subscription="x", top_rung=1)
         assert [item for item in other.inbox if item["type"] == "stitched"] == []
@@ -357,11 +362,11 @@
         return [("Authorization", f"Bearer {token}")]
 
     def test_http_and_websocket_require_an_access_token(self) -> None:
-        response = self.ask()
+        response = self.request_session()
         assert (response.status, response.head.get(b"www-authenticate") is not None) == (401, True)
-        assert self.ask(headers=self.bearer(self.token())).status == 201
-        assert self.ask(headers=self.bearer(self.token(for_s=0))).status == 401
-        assert self.ask(headers=self.bearer(self.token() + "x")).status == 401
+        assert self.request_session(headers=self.bearer(self.token())).status == 201
+        assert self.request_session(headers=self.bearer(self.token(for_s=0))).status == 401
+        assert self.request_session(headers=self.bearer(self.token() + "x")).status == 401
         player = self.connect()
         assert player.ask("set-up", ask={"room_type": "free", "title": "t1"})["kind"] == "no-pass"
         assert player.ask("hello", token="bWFkZQ.dXA")["kind"] == "no-pass"
--- a/tests/test_work_per_event.py
+++ b/tests/test_work_per_event.py
@@ -24,8 +24,8 @@
 from tests.helpers import (
     SECOND_US,
     complete_attempt,
-    entry,
     establish_session,
+    list_entry,
     make_policy,
     report_measurement,
 )
@@ -59,7 +59,9 @@
 def policy_among(servers: int) -> PlacementPolicy:
     """A policy that knows so many servers in two racks, with one session at each of the first few."""
     policy, _ = make_policy(0, total_links_kb=1_000.0 * servers, uplink_kb=1_000.0 * servers)
-    policy.handle(ListUpdate(ListMode.FULL, tuple(entry(f"s{i}", i) for i in range(servers))), policy.now_us)
+    policy.handle(
+        ListUpdate(ListMode.FULL, tuple(list_entry(f"s{i}", i) for i in range(servers))), policy.now_us
+    )
     for i in range(SESSIONS):
         establish_session(policy, f"session-{i}", first_cell=i % policy.settings.cell_count)
     return policy
@@ -81,7 +83,7 @@
 def test_a_change_of_the_list_visits_no_unchanged_server() -> None:
     def lines_among(servers: int) -> int:
         policy = policy_among(servers)
-        draining = ListUpdate(ListMode.INCREMENTAL, (entry("s100", 100, state=ServerState.LEAVING),))
+        draining = ListUpdate(ListMode.INCREMENTAL, (list_entry("s100", 100, state=ServerState.LEAVING),))
         return lines_run(lambda: policy.handle(draining, policy.now_us))
 
     assert_no_growth(lines_among)
@@ -91,16 +93,19 @@
     policy = policy_among(30)
     busy = next(iter(policy.sessions.values())).server
     update = tuple(
-        entry(name, cell, state=ServerState.LEFT) for name, cell in ((busy.address, busy.cell), ("s20", 20))
+        list_entry(name, cell, state=ServerState.LEFT)
+        for name, cell in ((busy.address, busy.cell), ("s20", 20))
     )
     policy.handle(ListUpdate(ListMode.INCREMENTAL, update), policy.now_us)
-    policy.handle(ListUpdate(ListMode.INCREMENTAL, (entry("s30", 30), entry("s20", 20))), policy.now_us)
+    policy.handle(
+        ListUpdate(ListMode.INCREMENTAL, (list_entry("s30", 30), list_entry("s20", 20))), policy.now_us
+    )
     names = [[server.address for server in rack.servers] for rack in policy.racks]
     assert names[0] == [f"s{i}" for i in range(0, 30, 2) if i != 20] + ["s30", "s20"]
     assert names[1] == [f"s{i}" for i in range(1, 30, 2)]
     for id in list(busy.sessions):
         complete_attempt(policy, Outcome.SERVED, id.id, finished=True)
-    policy.handle(ListUpdate(ListMode.INCREMENTAL, (entry("s31", 31),)), policy.now_us)
+    policy.handle(ListUpdate(ListMode.INCREMENTAL, (list_entry("s31", 31),)), policy.now_us)
     assert busy.address not in policy.servers
     assert all(busy not in rack.servers for rack in policy.racks)
 
@@ -211,9 +216,9 @@
 def test_a_change_of_the_list_visits_no_server_that_drains_unchanged() -> None:
     def lines_among(draining: int) -> int:
         policy = policy_among(MANY_SERVERS)
-        update = tuple(entry(f"s{i}", i, state=ServerState.LEAVING) for i in range(draining))
+        update = tuple(list_entry(f"s{i}", i, state=ServerState.LEAVING) for i in range(draining))
         policy.handle(ListUpdate(ListMode.INCREMENTAL, update), policy.now_us)
-        another = ListUpdate(ListMode.INCREMENTAL, (entry("new", 7),))
+        another = ListUpdate(ListMode.INCREMENTAL, (list_entry("new", 7),))
         return lines_run(lambda: policy.handle(another, policy.now_us))
 
     assert lines_among(USUAL_SERVERS * 10) <= GROWTH * lines_among(USUAL_SERVERS)
