--- a/benchmarks/slots_worlds.py
+++ b/benchmarks/concurrency_limits_model_check.py
@@ -1,6 +1,6 @@
 """Model check of slot sharing: random walks of three to five fronts that share the slots of one server.
 
-    python -m benchmarks.slots_worlds [--walks 2000] [--steps 300] [--seed 1] [--fault NAME]
+    python -m benchmarks.concurrency_limits_model_check [--walks 2000] [--steps 300] [--seed 1] [--fault NAME]
 
 The model runs the modules of `packages/concurrency-limits` unchanged. In each step one thing happens. Time
 passes. A message is delivered, duplicated or lost. A front starts or stops waiting for slots, sends requests
--- a/benchmarks/slots_sim.py
+++ b/benchmarks/concurrency_limits_simulation.py
@@ -1,7 +1,7 @@
 """Simulates concurrency limits of servers that slow down under load, for several limit policies.
 
-    python -m benchmarks.slots_sim [--fronts 12] [--boxes 3] [--seeds 5] [--days steady,shift,skew,surge]
-                                   [--rules learned,8,16,32,alone]
+    python -m benchmarks.concurrency_limits_simulation [--fronts 12] [--boxes 3] [--seeds 5]
+                                   [--days steady,shift,skew,surge] [--rules learned,8,16,32,alone]
 
 Policies: `learned` is the fleet's learned limit; a number is a fixed limit for each front and server; with
 `alone` each front learns a limit for itself, without messages to others.
@@ -38,7 +38,7 @@
 from fennelcove.concurrency_limits.replica import LimitReport, Replica
 from fennelcove.decisions.fleet.shared_quotas import QuotaRequest, QuotaTransfer
 
-from benchmarks.events import EventScheduler
+from benchmarks.event_scheduler import EventScheduler
 
 END_S = 150.0
 WARM_UP_US = 30_000_000
--- a/benchmarks/parts.py
+++ b/benchmarks/core_cost.py
@@ -2,7 +2,7 @@
 
 Each part runs alone on one thread, without sockets.
 
-    python benchmarks/parts.py
+    python benchmarks/core_cost.py
 """
 
 from __future__ import annotations
--- a/benchmarks/fair_sim.py
+++ b/benchmarks/fair_queueing_simulation.py
@@ -1,6 +1,7 @@
 """Simulates how the slots of servers are shared among tenants, with fair queueing and with simpler policies.
 
-    python -m benchmarks.fair_sim [--fronts 12,50,200,1000] [--variants first,limit,line,fair] [--seeds 5]
+    python -m benchmarks.fair_queueing_simulation [--fronts 12,50,200,1000]
+                                  [--variants first,limit,line,fair] [--seeds 5]
                                   [--days calm,hog,spread,hop,names,slow,shift,pair] [--seconds 12]
 
 Each front has four slots at each of six servers (three from 200 fronts on). Eight tenants request titles with
@@ -45,7 +46,7 @@
 from fennelcove.fair_queueing.wait_queue import Waiter, WaitQueue
 from fennelcove.fair_queueing.waiter import WaiterAction, WaiterEvent
 
-from benchmarks.events import EventScheduler
+from benchmarks.event_scheduler import EventScheduler
 
 SLOTS_PER_SERVER, SERVICE_TIME_US, SLOW_FACTOR = 4, 100_000, 10
 TENANT_COUNT, NOISY_TENANT, GOSSIP_GROUP_SIZE = 8, 1, 50
--- a/benchmarks/fleet_sums.py
+++ b/benchmarks/fleet_simulation.py
@@ -1,6 +1,6 @@
 """Simulates what all fronts use together: quotas with and without loans, shared and separate health checks.
 
-    python -m benchmarks.fleet_sums [--fronts 50,200,1000] [--seed 1] [--watched 50,200]
+    python -m benchmarks.fleet_simulation [--fronts 50,200,1000] [--seed 1] [--watched 50,200]
 
 Runs the modules of `fennelcove.decisions.fleet` in simulated time. Messages take 1 to 30 ms, a third of them
 are lost and a tenth duplicated, and a partition into halves lasts from the 10th to the 20th of 30 seconds.
@@ -19,7 +19,7 @@
 from fennelcove.decisions.fleet.health_checks import HealthCheckAssignment, ProbeResult
 from fennelcove.decisions.fleet.shared_quotas import Quota, QuotaRequest, Resource
 
-from benchmarks.events import Callback, EventScheduler
+from benchmarks.event_scheduler import Callback, EventScheduler
 
 END_US = 30_000_000
 PARTITION_US = (10_000_000, 20_000_000)
--- a/benchmarks/watching.py
+++ b/benchmarks/health_checks.py
@@ -1,6 +1,6 @@
 """Hung servers, detected by fleet-wide health checks and by each front alone; same scenarios and seeds.
 
-    python -m benchmarks.watching [--day watch-hang] [--seeds 1,2,3,4,5] [--beside 1]
+    python -m benchmarks.health_checks [--day watch-hang] [--seeds 1,2,3,4,5] [--beside 1]
 
 Each front runs in its own process. Prints a row per variant with median and range over the seeds: attempts
 sent to a server while it hung (all, and those later than `DETECTION_S` after it began to hang), set-ups
@@ -19,7 +19,7 @@
 from fennelcove.scenarios.recovery import began_us
 from fennelcove.scenarios.script import Scenario, read
 
-from benchmarks.power import median_range
+from benchmarks.power_loss import median_range
 
 replace = msgspec.structs.replace
 DETECTION_S = 2.5  # detection time: two failed probes half a second apart, and messages that may be late
--- a/benchmarks/live_seam.py
+++ b/benchmarks/live_splice.py
@@ -1,6 +1,6 @@
 """Many players of one live title cross a splice at the same time: do their fetches cause a retry storm?
 
-    python benchmarks/live_seam.py [--players 200] [--seconds 40]
+    python benchmarks/live_splice.py [--players 200] [--seconds 40]
 
 Inserts three clips into a live title, each at a moment that all its players reach together; the only fast
 server with one of the clips goes down just before the second splice. Prints segments, retried fetches and
@@ -21,7 +21,7 @@
 from fennelcove.scenarios.script import Crowd, FaultSpec, PlaylistChange, Scenario, ServerSpec, read
 from fennelcove.settings.schema import MediaSettings, Title
 
-from benchmarks.moving import change_latency, stall_causes
+from benchmarks.session_migration import change_latency, stall_causes
 
 ARRIVE_S = 10.0
 SPLICES_S = (16.0, 24.0, 32.0)
--- a/benchmarks/floods.py
+++ b/benchmarks/load_shedding.py
@@ -1,6 +1,6 @@
 """A fleet under overload with fleet-wide shedding, with damping by each front alone, and with neither.
 
-    python -m benchmarks.floods [--days flood,flood-kill] [--seeds 1,2] [--beside 2]
+    python -m benchmarks.load_shedding [--days flood,flood-kill] [--seeds 1,2] [--beside 2]
 
 Runs each scenario in its own process, with the same seeds for all variants. Prints a row per variant and
 scenario with median and range over the seeds: benefit served per second during the crowd and in the worst 10
@@ -18,7 +18,7 @@
 from fennelcove.scenarios.script import Scenario, read
 from fennelcove.settings.schema import RetryStormSettings
 
-from benchmarks.power import median_range, run_scenario
+from benchmarks.power_loss import median_range, run_scenario
 
 replace = msgspec.structs.replace
 CROWD_INTERVAL_S = (8, 16)  # seconds of the scenario in which the crowd arrives
--- a/benchmarks/worlds.py
+++ b/benchmarks/membership_model_check.py
@@ -1,6 +1,6 @@
 """Model check of the membership of three fronts (`fennelcove.decisions.fleet.membership`), breadth first.
 
-    python -m benchmarks.worlds [--steps 6] [--most 20000] [--fault hasty|trusting]
+    python -m benchmarks.membership_model_check [--steps 6] [--most 20000] [--fault hasty|trusting]
 
 A step is two heartbeat intervals in which no front is isolated, front 0 is, front 1 is, or all are;
 heartbeats arrive at once or two intervals late. Before a step front 0 may crash or start, or front 1 may be
--- a/benchmarks/power.py
+++ b/benchmarks/power_loss.py
@@ -1,6 +1,6 @@
 """How a fleet recovers from a power loss with several variants of its settings, on the same seeds.
 
-    python -m benchmarks.power [--days power-loss] [--seeds 1,2] [--beside 3] [--variants now,today]
+    python -m benchmarks.power_loss [--days power-loss] [--seeds 1,2] [--beside 3] [--variants now,today]
 
 Each front runs in its own process. Prints a row per variant and scenario with median and range over the
 seeds: seconds until 90% of the service is restored, the share served in the first 30 s, the benefit per
--- a/benchmarks/power_sim.py
+++ b/benchmarks/power_loss_simulation.py
@@ -1,6 +1,7 @@
 """Simulates how a fleet of any size recovers from a power loss, with the decision modules unchanged.
 
-    python -m benchmarks.power_sim [--fronts 12,50,200] [--variants turns,leases] [--few] [--cut] [--seed 1]
+    python -m benchmarks.power_loss_simulation [--fronts 12,50,200] [--variants turns,leases]
+                                  [--few] [--cut] [--seed 1]
 
 The scenario power-loss is scaled up in proportion to the fronts (servers, titles and clients), without
 sockets, stores or listeners. Measured is how the fronts' turns at servers in warm-up add up.
@@ -50,9 +51,9 @@
 )
 from fennelcove.placement import PlacementPolicy
 from fennelcove.scenarios.script import Scenario, read
-from fennelcove.settings.checks import to_policy_settings
+from fennelcove.settings.validation import to_policy_settings
 
-from benchmarks.events import EventScheduler
+from benchmarks.event_scheduler import EventScheduler
 
 START_US = 1_000_000
 POWER_LOSS_S, END_S, MEAN_WATCH_US = 16, 60, 12_000_000
--- a/benchmarks/storm_parts.py
+++ b/benchmarks/retry_storm_cost.py
@@ -1,6 +1,6 @@
 """Measures the decisions in a retry storm: a hundred thousand distinct clients at one front, no sockets.
 
-    python -m benchmarks.storm_parts [--viewers 100000]
+    python -m benchmarks.retry_storm_cost [--viewers 100000]
 
 Prints the time of a decision and the memory retained, in a calm and in a storm; the time to sign and to
 verify a queue ticket; and how many requests are admitted if many clients show one ticket.
@@ -29,7 +29,7 @@
 from fennelcove.scenarios.script import read
 from fennelcove.settings.schema import RetryStormSettings
 
-from benchmarks.parts import NullPorts
+from benchmarks.core_cost import NullPorts
 
 
 def make_core(phase: StormState) -> tuple[Core, ManualClock]:
--- a/benchmarks/storms.py
+++ b/benchmarks/retry_storms.py
@@ -1,6 +1,6 @@
 """Retry storms on real fronts with each protection switched off in turn, one after another in one run.
 
-    python -m benchmarks.storms [--seed 1] [storm-hall storm-titles storm-cold storm-restart]
+    python -m benchmarks.retry_storms [--seed 1] [storm-hall storm-titles storm-cold storm-restart]
 
 Prints for each variant: service, clients served by retry behaviour, the wait from the first try until
 served, requests including retries, how long refusals continued after the last crowd, servers crashed from
--- a/benchmarks/release_worlds.py
+++ b/benchmarks/rollout_model_check.py
@@ -1,6 +1,7 @@
 """Model check of the package `rollouts` on fleets of 3 to 5 fronts.
 
-    python -m benchmarks.release_worlds [--steps 5] [--most 6000] [--walks 300] [--first 0] [--fault NAME]
+    python -m benchmarks.rollout_model_check [--steps 5] [--most 6000] [--walks 300] [--first 0]
+                                  [--fault NAME]
 
 First a breadth-first search over the states of three fronts. A step is one heartbeat interval under one of
 four network partitions, with messages in time or late; before it front 0 may crash, front 1 may pause or
@@ -42,7 +43,7 @@
 from fennelcove.rollouts.permit_requester import Requester
 from fennelcove.rollouts.record_acceptor import Acceptor
 
-from benchmarks.release_world import HEARTBEAT_US, LIMITS, PLAN, SERVERS, FleetModel
+from benchmarks.rollout_model import HEARTBEAT_US, LIMITS, PLAN, SERVERS, FleetModel
 
 
 def search_states(steps: int, max_states: int, limits: FleetLimits = LIMITS) -> tuple[int, int, list[str]]:
--- a/benchmarks/release_sim.py
+++ b/benchmarks/rollout_simulation.py
@@ -1,6 +1,6 @@
 """Simulation of a rollout to a whole fleet: coordinated by the fronts, one by one, and in blind waves.
 
-    python -m benchmarks.release_sim [--fronts 12,50,200] [--seeds 1,2,3,4,5] [--day plain|bad]
+    python -m benchmarks.rollout_simulation [--fronts 12,50,200] [--seeds 1,2,3,4,5] [--day plain|bad]
 
 `Grantor`, `Requester`, `PlanExecution`, `CanaryAnalysis` and the state machine of plans are the production
 modules. Messages are exchanged in one round per second, and a twentieth of them is lost; heartbeats,
--- a/benchmarks/seats.py
+++ b/benchmarks/seat_leases.py
@@ -1,6 +1,6 @@
 """Compares seat counts after ten thousand set-ups, renewals, retries, releases and expiries on loopback.
 
-    python -m benchmarks.seats [--steps 10000]
+    python -m benchmarks.seat_leases [--steps 10000]
 
 One front and eight clients that take random steps: some are repeated with the same idempotency key, some are
 idle. Afterwards, while the seats expire, the front's count is compared with the sessions that the emulated
--- a/benchmarks/moving.py
+++ b/benchmarks/session_migration.py
@@ -1,6 +1,6 @@
 """Rolling replacement of servers, with session migration and without, which breaks sessions when drained.
 
-    python benchmarks/moving.py [--boxes 12] [--players 200] [--seconds 60] [--replace-every 1.0]
+    python benchmarks/session_migration.py [--boxes 12] [--players 200] [--seconds 60] [--replace-every 1.0]
 
 Runs one generated scenario twice with the same seed, with migrations and without: titles with a splice every
 second segment; one server after another drains, is unlisted and down two seconds later, and a cold one
--- a/benchmarks/sockets.py
+++ b/benchmarks/websocket_load.py
@@ -1,6 +1,6 @@
 """Measures the WebSocket server under many connections, beside HTTP.
 
-    python -m benchmarks.sockets [--idle 5000] [--resume 1000] [--seconds 3]
+    python -m benchmarks.websocket_load [--idle 5000] [--resume 1000] [--seconds 3]
 
 Runs one front in a separate process. Prints its memory and threads per idle connection, the time to send one
 event to all connections, the set-ups per second over HTTP and over WebSocket in the same run, the cost of
@@ -27,7 +27,7 @@
 from fennelcove.daemon.key_file import rotate
 from fennelcove.emulators.clients import HttpClient, Unanswered
 from fennelcove.emulators.recorder import Recorder
-from fennelcove.emulators.sockets import WebSocketClient
+from fennelcove.emulators.websocket_client import WebSocketClient
 from fennelcove.scenarios.fronts import FrontProcess
 from fennelcove.scenarios.rig import Rig
 from fennelcove.scenarios.script import Scenario, read
--- a/packages/api/src/fennelcove/api/asyncapi.py
+++ b/packages/api/src/fennelcove/api/asyncapi.py
@@ -7,7 +7,7 @@
 
 import msgspec
 from fennelcove.wire import sessions
-from fennelcove.wire import socket as wire
+from fennelcove.wire import websocket_messages as wire
 
 REF_TEMPLATE = "#/components/schemas/{name}"
 
--- a/packages/api/src/fennelcove/api/openapi.py
+++ b/packages/api/src/fennelcove/api/openapi.py
@@ -11,7 +11,7 @@
 from fennelcove.api.operations import JSON_MEDIA_TYPE, OPERATIONS, PROBLEM_MEDIA_TYPE, Operation
 from fennelcove.hints import cmcd
 from fennelcove.wire import sessions
-from fennelcove.wire.orders import COMMANDS
+from fennelcove.wire.operator_commands import COMMANDS
 
 Route = tuple[str, str, Callable[..., Any], str]
 REF_TEMPLATE = "#/components/schemas/{name}"
--- a/packages/cli/src/fennelcove/cli/api.py
+++ b/packages/cli/src/fennelcove/cli/api.py
@@ -10,7 +10,7 @@
 import click
 from fennelcove.api import asyncapi, openapi
 from fennelcove.api.diff import Comparison, is_breaking_version_step
-from fennelcove.cli.telling import FileUnusableError, exit_with_error
+from fennelcove.cli.error_output import FileUnusableError, exit_with_error
 from fennelcove.ingress.routes import ROUTE_TABLE
 
 EXIT_BREAKING_CHANGE = 1
--- a/packages/cli/src/fennelcove/cli/fleet.py
+++ b/packages/cli/src/fennelcove/cli/fleet.py
@@ -10,8 +10,8 @@
 
 import click
 import msgspec
+from fennelcove.cli.error_output import exit_with_error
 from fennelcove.cli.main import LazyGroup
-from fennelcove.cli.telling import exit_with_error
 from fennelcove.clock import SystemClock
 from fennelcove.core.retry_storm_guard import keyed_mac
 from fennelcove.daemon.key_file import KeyFileError, load
@@ -20,7 +20,7 @@
 from fennelcove.decisions.operators.convergence import ConvergenceWait, DesiredState
 from fennelcove.decisions.operators.reachability import CallOutcome, CallStatus
 from fennelcove.fleet import inventory
-from fennelcove.fleet.asker import Call, CallTimeouts, Fields, call_fronts
+from fennelcove.fleet.front_calls import Call, CallTimeouts, Fields, call_fronts
 from fennelcove.fleet.inventory import FrontEntry
 from fennelcove.settings.reader import SettingsError
 from rich.console import Console
@@ -103,10 +103,10 @@
     """The commands about releases are in a module of their own, which is imported only when needed."""
 
     LAZY_COMMANDS: ClassVar[dict[str, tuple[str, str]]] = {
-        "release": ("fennelcove.cli.releases", "release"),
-        "out": ("fennelcove.cli.releases", "out"),
-        "box-out": ("fennelcove.cli.releases", "box_out"),
-        "write-off": ("fennelcove.cli.releases", "write_off"),
+        "release": ("fennelcove.cli.rollouts", "release"),
+        "out": ("fennelcove.cli.rollouts", "out"),
+        "box-out": ("fennelcove.cli.rollouts", "box_out"),
+        "write-off": ("fennelcove.cli.rollouts", "write_off"),
     }
 
 
--- a/packages/cli/src/fennelcove/cli/keys.py
+++ b/packages/cli/src/fennelcove/cli/keys.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import click
-from fennelcove.cli.telling import FileUnusableError, exit_with_error
+from fennelcove.cli.error_output import FileUnusableError, exit_with_error
 from fennelcove.clock import SystemClock
 from fennelcove.core.retry_storm_guard import keyed_mac
 from fennelcove.daemon.key_file import KeyFileError, load, rotate
--- a/packages/cli/src/fennelcove/cli/main.py
+++ b/packages/cli/src/fennelcove/cli/main.py
@@ -25,7 +25,7 @@
         "fleet": ("fennelcove.cli.fleet", "fleet"),
         "keys": ("fennelcove.cli.keys", "keys"),
         "store": ("fennelcove.cli.store", "store"),
-        "storm": ("fennelcove.cli.storms", "storm"),
+        "storm": ("fennelcove.cli.retry_storms", "storm"),
         "stitch": ("fennelcove.cli.stitch", "stitch"),
         "author-key": ("fennelcove.cli.stitch", "new_key"),
     }
@@ -81,9 +81,9 @@
 @click.argument("file", type=click.Path())
 def config_check(file: str) -> None:
     """Read FILE as a front would, and report the first error."""
-    from fennelcove.cli.telling import exit_with_error
-    from fennelcove.settings.checks import load_front
+    from fennelcove.cli.error_output import exit_with_error
     from fennelcove.settings.reader import SettingsError
+    from fennelcove.settings.validation import load_front
 
     try:
         settings = load_front(file)
@@ -118,7 +118,7 @@
 
     The exit status is 0 only if no rule was violated and the service score reached its minimum.
     """
-    from fennelcove.cli.days import play_scenario
+    from fennelcove.cli.scenarios import play_scenario
 
     sys.exit(play_scenario(name, seed, record, as_json, plot))
 
@@ -128,6 +128,6 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the verdict as a JSON object on the last line.")
 def day_judge(file: str, as_json: bool) -> None:
     """Check the recording in FILE again."""
-    from fennelcove.cli.days import check_recording_file
+    from fennelcove.cli.scenarios import check_recording_file
 
     sys.exit(check_recording_file(file, as_json))
--- a/packages/cli/src/fennelcove/cli/storms.py
+++ b/packages/cli/src/fennelcove/cli/retry_storms.py
@@ -8,8 +8,8 @@
 
 import click
 import msgspec
-from fennelcove.cli.days import print_verdict
-from fennelcove.cli.telling import FileUnusableError, ToolsMissingError, exit_with_error, print_error
+from fennelcove.cli.error_output import FileUnusableError, ToolsMissingError, exit_with_error, print_error
+from fennelcove.cli.scenarios import print_verdict
 from fennelcove.clock import SystemClock
 from fennelcove.daemon.key_file import KeyFileError, rotate
 from fennelcove.emulators.recorder import Record, load, save
--- a/packages/cli/src/fennelcove/cli/releases.py
+++ b/packages/cli/src/fennelcove/cli/rollouts.py
@@ -8,13 +8,13 @@
 
 import click
 import msgspec
+from fennelcove.cli.error_output import FleetUnresponsiveError, exit_with_error
 from fennelcove.cli.fleet import KEY_FILE_OPTION, KEY_OPTION, FleetContext, signed_call
-from fennelcove.cli.telling import FleetUnresponsiveError, exit_with_error
 from fennelcove.decisions.operators import reachability
 from fennelcove.decisions.operators.reachability import CallOutcome, CallStatus
-from fennelcove.fleet.asker import Call, call_front, call_fronts
+from fennelcove.fleet.front_calls import Call, call_front, call_fronts
 from fennelcove.fleet.inventory import FrontEntry
-from fennelcove.wire.orders import PlanOrder
+from fennelcove.wire.operator_commands import PlanOrder
 
 COLUMN_NAMES = ["version", "phase", "plan", "wanted", "reason", "fence", "leads", "fronts out", "boxes out"]
 STATUS_CALL = Call("GET", "/v1/status")
--- a/packages/cli/src/fennelcove/cli/days.py
+++ b/packages/cli/src/fennelcove/cli/scenarios.py
@@ -4,7 +4,7 @@
 
 import click
 import msgspec
-from fennelcove.cli.telling import FileUnusableError, ToolsMissingError, print_error
+from fennelcove.cli.error_output import FileUnusableError, ToolsMissingError, print_error
 from fennelcove.emulators.recorder import load, save
 from fennelcove.scenarios import outages, slots
 from fennelcove.scenarios.checker import Verdict, check_recording
--- a/packages/cli/src/fennelcove/cli/serve.py
+++ b/packages/cli/src/fennelcove/cli/serve.py
@@ -9,7 +9,7 @@
 
 import click
 from fennelcove import log
-from fennelcove.cli.telling import ListenError, print_error
+from fennelcove.cli.error_output import ListenError, print_error
 from fennelcove.clock import SystemClock
 from fennelcove.daemon.front_daemon import FrontDaemon
 from fennelcove.daemon.key_file import KeyFileError
@@ -17,9 +17,9 @@
 from fennelcove.emulators.model import RackModel, ServerModel
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.ingress.tls import TlsError
-from fennelcove.settings.checks import load_front
 from fennelcove.settings.reader import SettingsError, load
 from fennelcove.settings.schema import Name, PositiveCount, PositiveMilliseconds, PositiveNumber, StrictStruct
+from fennelcove.settings.validation import load_front
 from fennelcove.store.directory import StoreError
 from msgspec import Meta
 
--- a/packages/cli/src/fennelcove/cli/stitch.py
+++ b/packages/cli/src/fennelcove/cli/stitch.py
@@ -12,7 +12,7 @@
 import click
 import msgspec
 from fennelcove.cli.client import FrontCallError, call
-from fennelcove.cli.telling import FileUnusableError, exit_with_error
+from fennelcove.cli.error_output import FileUnusableError, exit_with_error
 from rich.console import Console
 from rich.table import Table
 
--- a/packages/cli/src/fennelcove/cli/store.py
+++ b/packages/cli/src/fennelcove/cli/store.py
@@ -9,7 +9,7 @@
 
 import click
 import msgspec
-from fennelcove.cli.telling import exit_with_error
+from fennelcove.cli.error_output import exit_with_error
 from fennelcove.core.snapshot_records import FRONT_KEY, SERVER_KEY_PREFIX
 from fennelcove.decisions.recovery import snapshot
 from fennelcove.store.base import BASE_FILE_NAME, BaseFileError
--- a/packages/codecs/src/fennelcove/hints/cmcd.py
+++ b/packages/codecs/src/fennelcove/hints/cmcd.py
@@ -14,7 +14,7 @@
 from urllib.parse import unquote
 
 import msgspec
-from fennelcove.hints.fields import BareItem, Item, Token, parse_dictionary, write_dictionary
+from fennelcove.hints.structured_fields import BareItem, Item, Token, parse_dictionary, write_dictionary
 
 HEADER_NAMES = ("CMCD-Request", "CMCD-Object", "CMCD-Status", "CMCD-Session")
 HEADER_KEYS = ("cmcd-request", "cmcd-object", "cmcd-status", "cmcd-session")
--- a/packages/codecs/src/fennelcove/hints/cmsd.py
+++ b/packages/codecs/src/fennelcove/hints/cmsd.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from fennelcove.hints.fields import (
+from fennelcove.hints.structured_fields import (
     BareItem,
     Item,
     Params,
--- a/packages/codecs/src/fennelcove/http1/reader.py
+++ b/packages/codecs/src/fennelcove/http1/reader.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from fennelcove.http1 import syntax
+from fennelcove.http1 import head_parser
 from fennelcove.http1.messages import (
     CodecLimits,
     CompleteMessage,
@@ -92,7 +92,7 @@
             del self.buffer[:2]  # one empty line before a request is ignored (RFC 9112 section 2.2)
         end = self.buffer.find(b"\r\n\r\n", max(0, self.scanned - 3))
         length = len(self.buffer) if end < 0 else end
-        if syntax.BARE_LF.search(self.buffer, max(0, self.scanned - 1), length):
+        if head_parser.BARE_LF.search(self.buffer, max(0, self.scanned - 1), length):
             raise ProtocolError(400, "a line feed without its carriage return")
         if length > self.limits.head_bytes:
             raise ProtocolError(431, f"a head longer than {self.limits.head_bytes} bytes")
@@ -106,19 +106,21 @@
         return self._start_request(raw) if self.reads_requests else self._start_response(raw)
 
     def _start_request(self, raw: bytes) -> RequestHead:
-        head = syntax.parse_request_head(raw, self.limits)
-        self._set_body_length(syntax.body_length(head.headers, 0, head.keep_alive))
+        head = head_parser.parse_request_head(raw, self.limits)
+        self._set_body_length(head_parser.body_length(head.headers, 0, head.keep_alive))
         return head
 
     def _start_response(self, raw: bytes) -> ResponseHead:
-        head = syntax.parse_response_head(raw, self.limits)
+        head = head_parser.parse_response_head(raw, self.limits)
         if head.status < 200 and head.status != SWITCHING_PROTOCOLS:
             self.state = State.HEAD  # an interim response has no body; the final response follows
             return head
         if self.no_body_expected or head.status in (*NO_BODY_STATUSES, SWITCHING_PROTOCOLS):
             self._set_body_length(0)
         else:
-            self._set_body_length(syntax.body_length(head.headers, syntax.UNTIL_CLOSE, head.keep_alive))
+            self._set_body_length(
+                head_parser.body_length(head.headers, head_parser.UNTIL_CLOSE, head.keep_alive)
+            )
         if self.state is State.UNTIL_CLOSE:
             head.keep_alive = False
         return head
@@ -126,7 +128,7 @@
     def _set_body_length(self, length: int) -> None:
         if length > self.limits.body_bytes and not self.stream:
             raise ProtocolError(413, f"a body longer than {self.limits.body_bytes} bytes")
-        body_states = {syntax.CHUNKED: State.CHUNK_SIZE, syntax.UNTIL_CLOSE: State.UNTIL_CLOSE}
+        body_states = {head_parser.CHUNKED: State.CHUNK_SIZE, head_parser.UNTIL_CLOSE: State.UNTIL_CLOSE}
         self.state = body_states.get(length, State.LENGTH)
         self.remaining = max(0, length)
 
@@ -153,7 +155,7 @@
     def _read_line(self) -> bytes | None:
         end = self.buffer.find(b"\r\n")
         length = len(self.buffer) if end < 0 else end
-        if syntax.BARE_LF.search(self.buffer, 0, length):
+        if head_parser.BARE_LF.search(self.buffer, 0, length):
             raise ProtocolError(400, "a line feed without its carriage return")
         if length > MAX_LINE_BYTES:
             raise ProtocolError(400, "a chunk line without end")
@@ -168,7 +170,7 @@
         line = self._read_line()
         if line is None:
             return None
-        match = syntax.CHUNK_SIZE_LINE.fullmatch(line)
+        match = head_parser.CHUNK_SIZE_LINE.fullmatch(line)
         if match is None:
             raise ProtocolError(400, "a chunk size that is no hexadecimal number")
         self.remaining = int(match[1], 16)
@@ -201,7 +203,7 @@
             if not line:
                 self.state = State.HEAD
                 return End()
-            syntax.parse_fields([line], self.limits)
+            head_parser.parse_fields([line], self.limits)
             self.trailer_count += 1
             if self.trailer_count > self.limits.head_count:
                 raise ProtocolError(431, f"more than {self.limits.head_count} trailer fields")
--- a/packages/codecs/src/fennelcove/websocket/deflate.py
+++ b/packages/codecs/src/fennelcove/websocket/deflate.py
@@ -8,7 +8,7 @@
 
 import zlib
 
-from fennelcove.websocket.terms import CloseCode, ProtocolViolationError
+from fennelcove.websocket.protocol_constants import CloseCode, ProtocolViolationError
 
 FLUSH_TAIL = b"\x00\x00\xff\xff"  # of a sync flush; the sender removes it (section 7.2.1)
 COMPRESSION_LEVEL = 1  # messages are short; a higher level saves almost nothing
--- a/packages/codecs/src/fennelcove/websocket/frames.py
+++ b/packages/codecs/src/fennelcove/websocket/frames.py
@@ -4,7 +4,13 @@
 
 from dataclasses import dataclass
 
-from fennelcove.websocket.terms import MAX_CONTROL_BYTES, Bounds, CloseCode, Opcode, ProtocolViolationError
+from fennelcove.websocket.protocol_constants import (
+    MAX_CONTROL_BYTES,
+    Bounds,
+    CloseCode,
+    Opcode,
+    ProtocolViolationError,
+)
 
 FIN, COMPRESSED, RESERVED = 0x80, 0x40, 0x30
 MASKED = 0x80
--- a/packages/codecs/src/fennelcove/websocket/handshake.py
+++ b/packages/codecs/src/fennelcove/websocket/handshake.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from fennelcove.http1.messages import RequestHead, ResponseHead
-from fennelcove.websocket.terms import GUID
+from fennelcove.websocket.protocol_constants import GUID
 
 VERSION = "13"
 DEFLATE = "permessage-deflate"
--- a/packages/codecs/src/fennelcove/websocket/conversation.py
+++ b/packages/codecs/src/fennelcove/websocket/protocol.py
@@ -16,7 +16,7 @@
 from fennelcove.websocket import frames
 from fennelcove.websocket.deflate import Inflater, deflate
 from fennelcove.websocket.frames import FramePart, FrameReader
-from fennelcove.websocket.terms import (
+from fennelcove.websocket.protocol_constants import (
     MAX_CONTROL_BYTES,
     Bounds,
     CloseCode,
--- a/packages/core/src/fennelcove/core/assembly.py
+++ b/packages/core/src/fennelcove/core/assembly.py
@@ -44,8 +44,8 @@
 from fennelcove.decisions.operators.shadow_policy import ShadowedPolicy
 from fennelcove.decisions.servers.endpoint_list import EndpointListTracker
 from fennelcove.placement import PlacementPolicy
-from fennelcove.settings.checks import to_policy_settings
 from fennelcove.settings.schema import FrontSettings
+from fennelcove.settings.validation import to_policy_settings
 
 
 class CoreAssembly:
--- a/packages/core/src/fennelcove/core/server_registry.py
+++ b/packages/core/src/fennelcove/core/server_registry.py
@@ -19,7 +19,7 @@
 from fennelcove.decisions.servers.event_stream import StreamEvent
 from fennelcove.decisions.servers.load_signals import ServerHints
 from fennelcove.interface import ListUpdate, ReportKind, ServerState
-from fennelcove.wire.boxes import Held
+from fennelcove.wire.servers import Held
 
 RECOVERY_POLL_S = 0.05
 
--- a/packages/core/src/fennelcove/core/session_adoption.py
+++ b/packages/core/src/fennelcove/core/session_adoption.py
@@ -16,7 +16,7 @@
 from fennelcove.decisions.recovery.reconciliation import ClaimAction
 from fennelcove.interface import Handover, Outcome, ReportKind, Request, SessionReport
 from fennelcove.placement import PlacementPolicy
-from fennelcove.wire.boxes import Held
+from fennelcove.wire.servers import Held
 
 
 class SessionAdoption:
--- a/packages/daemon/src/fennelcove/daemon/front_daemon.py
+++ b/packages/daemon/src/fennelcove/daemon/front_daemon.py
@@ -38,15 +38,15 @@
 from fennelcove.decisions.recovery.background_scheduler import TaskPriority
 from fennelcove.decisions.servers import event_stream
 from fennelcove.ingress.connection import ConnectionLimits
-from fennelcove.ingress.control import OperatorCommands
 from fennelcove.ingress.http_server import HttpServer
+from fennelcove.ingress.operator_commands import OperatorCommands
 from fennelcove.ingress.operator_routes import OperatorRoutes
 from fennelcove.ingress.session_setups import SessionSetups
 from fennelcove.ingress.tls import TlsKeys
 from fennelcove.ingress.websocket_server import WebSocketServer
 from fennelcove.interface import Effect, ServerState
-from fennelcove.settings.checks import to_policy_settings
 from fennelcove.settings.schema import FrontSettings
+from fennelcove.settings.validation import to_policy_settings
 from fennelcove.store.directory import Store
 from fennelcove.store.writer import StoreWriter
 from fennelcove.upstream.attempts import AttemptSender, HintReader
--- a/packages/emulators/src/fennelcove/emulators/clients.py
+++ b/packages/emulators/src/fennelcove/emulators/clients.py
@@ -17,7 +17,7 @@
 from fennelcove.clock import Clock
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.hints import cmcd
-from fennelcove.hints.fields import BareItem, Token
+from fennelcove.hints.structured_fields import BareItem, Token
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import CodecLimits, ProtocolError, ResponseHead
 from fennelcove.http1.reader import MessageAssembler, Reader
--- a/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
+++ b/packages/emulators/src/fennelcove/emulators/endpoint_list_service.py
@@ -13,8 +13,8 @@
 from fennelcove.emulators.server import LoopbackServer, Peer
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import RequestHead
+from fennelcove.wire.endpoint_list import ListedBox, ListMessage
 from fennelcove.wire.events import HEARTBEAT, write_event
-from fennelcove.wire.lists import ListedBox, ListMessage
 
 JSON = ("Content-Type", "application/json")
 HEARTBEAT_INTERVAL_S = 0.5
--- a/packages/emulators/src/fennelcove/emulators/media_server.py
+++ b/packages/emulators/src/fennelcove/emulators/media_server.py
@@ -19,7 +19,8 @@
 from fennelcove.hints import cmsd
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import RequestHead
-from fennelcove.wire.boxes import (
+from fennelcove.wire.events import write_event
+from fennelcove.wire.servers import (
     ENDED,
     HELLO,
     REPORT,
@@ -32,7 +33,6 @@
     Report,
     RungOrder,
 )
-from fennelcove.wire.events import write_event
 from fennelcove.wire.sessions import Problem
 from msgspec.structs import replace
 
--- a/packages/emulators/src/fennelcove/emulators/sockets.py
+++ b/packages/emulators/src/fennelcove/emulators/websocket_client.py
@@ -16,9 +16,9 @@
 from fennelcove.http1.messages import CodecLimits, ProtocolError, ResponseHead
 from fennelcove.http1.reader import MessageAssembler, Reader
 from fennelcove.websocket import handshake
-from fennelcove.websocket.conversation import Closed, Message, WebSocketProtocol
-from fennelcove.websocket.terms import Bounds, CloseCode
-from fennelcove.wire.socket import PATH, SUBPROTOCOL
+from fennelcove.websocket.protocol import Closed, Message, WebSocketProtocol
+from fennelcove.websocket.protocol_constants import Bounds, CloseCode
+from fennelcove.wire.websocket_messages import PATH, SUBPROTOCOL
 
 
 class WebSocketClient:
--- a/packages/emulators/src/fennelcove/emulators/websocket_clients.py
+++ b/packages/emulators/src/fennelcove/emulators/websocket_clients.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from fennelcove.emulators.clients import EmulatedClient, Response, Unanswered
-from fennelcove.emulators.sockets import WebSocketClient
+from fennelcove.emulators.websocket_client import WebSocketClient
 from fennelcove.http1.messages import ResponseHead
 
 STATUS_BY_TYPE = {"playing": 201, "throttled": 503, "terminated": 504, "fault": 400}
--- a/packages/errors/src/fennelcove/errors/__main__.py
+++ b/packages/errors/src/fennelcove/errors/__main__.py
@@ -22,8 +22,8 @@
 CALLER_HANDLED = {
     "fennelcove.core.requests.SessionStateError": "a program error, which is logged",
     "fennelcove.ingress.connection.TooSlow": "the connection gets a 408 response and is closed",
-    "fennelcove.fleet.asker._CallFailedError": "ends the call to one front; shown in the row of that front",
-    "fennelcove.hints.fields.FieldError": "the header field is ignored, as its specification requires",
+    "fennelcove.fleet.front_calls._CallFailedError": "ends the call to one front; shown in its row",
+    "fennelcove.hints.structured_fields.FieldError": "the field is ignored, as its specification requires",
     "fennelcove.http1.messages.ProtocolError": "a status code for the peer, or an error code of the caller",
     "fennelcove.isup.messages.ProtocolError": "the connection to the server is closed and opened again",
     "fennelcove.node.setup_request.InvalidRequestError": "the client gets a 451 response",
@@ -32,7 +32,7 @@
     "fennelcove.emulators.clients.Unanswered": "emulators only: written to the recording",
     "fennelcove.state_machine.UnknownTransitionError": "a program error, which is logged",
     "fennelcove.websocket.handshake.HandshakeError": "the client gets a response with its status code",
-    "fennelcove.websocket.terms.ProtocolViolationError": "the connection is closed with its close code",
+    "fennelcove.websocket.protocol_constants.ProtocolViolationError": "the connection is closed",
     "fennelcove.wire.events.EventError": "the stream is closed, which is reported as `peer-stream-broken`",
 }
 
--- a/packages/ingress/src/fennelcove/ingress/http_server.py
+++ b/packages/ingress/src/fennelcove/ingress/http_server.py
@@ -16,14 +16,14 @@
 from fennelcove.http1.messages import CodecLimits, ProtocolError
 from fennelcove.ingress import replies
 from fennelcove.ingress.connection import Connection, ConnectionLimits, ConnectionRejecter, TooSlow
-from fennelcove.ingress.control import OperatorCommands
+from fennelcove.ingress.operator_commands import OperatorCommands
 from fennelcove.ingress.routes import ChangePersister, Routes
 from fennelcove.ingress.session_setups import SessionSetups
 from fennelcove.ingress.tls import TlsKeys
 from fennelcove.ingress.websocket_server import WebSocketServer
 from fennelcove.upstream.wakeups import CancellationLatch, WakeReason, wait
 from fennelcove.websocket import handshake
-from fennelcove.wire.socket import PATH
+from fennelcove.wire.websocket_messages import PATH
 
 KEY_PROBLEM_KINDS = {ResponseKind.KEY_SPENT: "spent", ResponseKind.KEY_REUSED: "reused-key"}
 ACCEPT_RETRY_DELAY_US = 50_000  # prevents a busy loop while accept keeps failing
--- a/packages/ingress/src/fennelcove/ingress/operator_routes.py
+++ b/packages/ingress/src/fennelcove/ingress/operator_routes.py
@@ -10,7 +10,7 @@
 from fennelcove.ingress.replies import Reply
 from fennelcove.rollouts.coordinator import Command, CommandKind, CommandOutcome
 from fennelcove.rollouts.messages import PlaceKind, Plan
-from fennelcove.wire.orders import FenceOrder, OutOrder, PlanOrder
+from fennelcove.wire.operator_commands import FenceOrder, OutOrder, PlanOrder
 
 PLAN_COMMANDS = {"release-start": CommandKind.START, "release-change": CommandKind.CHANGE}
 FENCED_COMMANDS = {
--- a/packages/ingress/src/fennelcove/ingress/routes.py
+++ b/packages/ingress/src/fennelcove/ingress/routes.py
@@ -18,12 +18,12 @@
 from fennelcove.hints.cmcd import Cmcd
 from fennelcove.ingress import replies
 from fennelcove.ingress.connection import ReceivedRequest
-from fennelcove.ingress.control import OperatorCommands
+from fennelcove.ingress.operator_commands import OperatorCommands
 from fennelcove.ingress.playback_routes import PlaybackRoutes
 from fennelcove.ingress.replies import Reply
 from fennelcove.settings.schema import Author
 from fennelcove.timeline.model import Change
-from fennelcove.wire.orders import COMMANDS
+from fennelcove.wire.operator_commands import COMMANDS
 from fennelcove.wire.sessions import SeatRenewal, SeatState, SetUp, TopRung
 
 ChangePersister = Callable[[Change, bool, int], None]
--- a/packages/ingress/src/fennelcove/ingress/websocket_routes.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_routes.py
@@ -13,7 +13,7 @@
 from fennelcove.hints import cmcd
 from fennelcove.ingress.replies import playing_state
 from fennelcove.ingress.routes import build_session_request, client_hints
-from fennelcove.wire import socket as wire
+from fennelcove.wire import websocket_messages as wire
 
 if TYPE_CHECKING:
     from fennelcove.ingress.websocket_session import WebSocketSession
--- a/packages/ingress/src/fennelcove/ingress/websocket_server.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_server.py
@@ -15,9 +15,9 @@
 from fennelcove.ingress.session_setups import SessionSetups
 from fennelcove.ingress.websocket_session import WebSocketSession
 from fennelcove.websocket import handshake
-from fennelcove.websocket.conversation import WebSocketProtocol
-from fennelcove.websocket.terms import Bounds
-from fennelcove.wire.socket import SUBPROTOCOL
+from fennelcove.websocket.protocol import WebSocketProtocol
+from fennelcove.websocket.protocol_constants import Bounds
+from fennelcove.wire.websocket_messages import SUBPROTOCOL
 
 
 class WebSocketServer:
--- a/packages/ingress/src/fennelcove/ingress/websocket_session.py
+++ b/packages/ingress/src/fennelcove/ingress/websocket_session.py
@@ -34,9 +34,9 @@
 from fennelcove.ingress.replies import playing_state
 from fennelcove.ingress.session_setups import SessionSetups, SetUpResult
 from fennelcove.upstream.wakeups import WakeReason, Wakeup, wait
-from fennelcove.websocket.conversation import Closed, Message, PingReceived, State, WebSocketProtocol
-from fennelcove.websocket.terms import CloseCode
-from fennelcove.wire import socket as wire
+from fennelcove.websocket.protocol import Closed, Message, PingReceived, State, WebSocketProtocol
+from fennelcove.websocket.protocol_constants import CloseCode
+from fennelcove.wire import websocket_messages as wire
 from fennelcove.wire.sessions import PROBLEM_KINDS
 
 _ENCODER = msgspec.json.Encoder()
--- a/packages/node/src/fennelcove/node/config.py
+++ b/packages/node/src/fennelcove/node/config.py
@@ -6,12 +6,12 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from fennelcove import facts
+from fennelcove import platform_settings as settings_reader
 from fennelcove.errors import OperatorError
-from fennelcove.facts import ConnectionSettings, PlatformSettingsError
 from fennelcove.interface import Settings
 from fennelcove.node.address import Address, parse_address
 from fennelcove.node.discovery_events import DiscoveryBatch, DiscoveryError
+from fennelcove.platform_settings import ConnectionSettings, PlatformSettingsError
 
 DEFAULT_CONNECT_TIMEOUT_US = 250_000  # if the settings give none
 DEFAULT_IDLE_TIMEOUT_US = 30_000_000
@@ -112,9 +112,9 @@
     """
     if not isinstance(tree, dict):
         raise ConfigError("the configuration is not a JSON object")
-    settings, _ = facts.read_settings(tree.get("settings"))
-    connection = facts.connection_settings(tree.get("settings"))
-    limits = facts.SettingsReader(tree.get("limits", {}), "limits")
+    settings, _ = settings_reader.read_settings(tree.get("settings"))
+    connection = settings_reader.connection_settings(tree.get("settings"))
+    limits = settings_reader.SettingsReader(tree.get("limits", {}), "limits")
     seed = tree.get("seed", "0")
     return Config(
         name=str(tree.get("name", "")),
--- a/packages/node/src/fennelcove/node/outcome_mapping.py
+++ b/packages/node/src/fennelcove/node/outcome_mapping.py
@@ -4,9 +4,9 @@
 
 import math
 
-from fennelcove.facts import load_report
 from fennelcove.interface import LoadReport, Outcome, ReportKind
 from fennelcove.isup.messages import Cause, Message, Parameter
+from fennelcove.platform_settings import load_report
 
 # The kind of a session report, by its name in the message.
 REPORT_KINDS = {
--- a/packages/scenarios/src/fennelcove/scenarios/outages.py
+++ b/packages/scenarios/src/fennelcove/scenarios/outages.py
@@ -13,8 +13,8 @@
 import msgspec
 from fennelcove.emulators.recorder import Record
 from fennelcove.scenarios.exemptions import SLACK_US
-from fennelcove.scenarios.faults import MISSING_FAULT_RULE, TOO_MANY_OUT_RULE, Violation
 from fennelcove.scenarios.server_outages import check_server_outages
+from fennelcove.scenarios.violations import MISSING_FAULT_RULE, TOO_MANY_OUT_RULE, Violation
 
 STATUS_SERVED = 201
 NEVER = 1 << 62
--- a/packages/scenarios/src/fennelcove/scenarios/rig.py
+++ b/packages/scenarios/src/fennelcove/scenarios/rig.py
@@ -9,7 +9,7 @@
 from fennelcove.clock import Clock
 from fennelcove.emulators.endpoint_list_service import EmulatedListService, ListedServer, ListingState
 from fennelcove.emulators.fault_proxy.faults import Fault, FaultKind, Party
-from fennelcove.emulators.fault_proxy.gauge import LatencyProbe
+from fennelcove.emulators.fault_proxy.latency_probe import LatencyProbe
 from fennelcove.emulators.fault_proxy.relay import Relays
 from fennelcove.emulators.media_server import EmulatedServer, SetUpTimes
 from fennelcove.emulators.model import RackModel, ServerModel
--- a/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
+++ b/packages/scenarios/src/fennelcove/scenarios/schema_conformance.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from fennelcove.api import asyncapi, openapi
-from fennelcove.api.described import SchemaChecker
+from fennelcove.api.schema_checker import SchemaChecker
 from fennelcove.emulators.recorder import Recorder
 from fennelcove.ingress.routes import ROUTE_TABLE
 
--- a/packages/scenarios/src/fennelcove/scenarios/script.py
+++ b/packages/scenarios/src/fennelcove/scenarios/script.py
@@ -9,7 +9,6 @@
 from typing import Annotated, ClassVar, Literal
 
 import msgspec
-from fennelcove.settings.checks import find_violations
 from fennelcove.settings.reader import SettingsError, parse
 from fennelcove.settings.schema import (
     Count,
@@ -22,6 +21,7 @@
     StrictStruct,
     UnitFraction,
 )
+from fennelcove.settings.validation import find_violations
 from msgspec import Meta, field
 
 Seconds = Annotated[float, Meta(ge=0, le=600)]
--- a/packages/scenarios/src/fennelcove/scenarios/server_outages.py
+++ b/packages/scenarios/src/fennelcove/scenarios/server_outages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from fennelcove.emulators.recorder import Record
-from fennelcove.scenarios.faults import MISSING_FAULT_RULE, TOO_MANY_OUT_RULE, Violation
+from fennelcove.scenarios.violations import MISSING_FAULT_RULE, TOO_MANY_OUT_RULE, Violation
 
 NEVER = 1 << 62
 
--- a/packages/scenarios/src/fennelcove/scenarios/supervisor.py
+++ b/packages/scenarios/src/fennelcove/scenarios/supervisor.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from fennelcove.fleet.asker import Call, CallTimeouts, call_fronts
+from fennelcove.fleet.front_calls import Call, CallTimeouts, call_fronts
 from fennelcove.fleet.inventory import FrontEntry, Inventory
 from fennelcove.scenarios.fronts import START_TIMEOUT_S, FrontProcess, Fronts, ScenarioError
 from fennelcove.scenarios.rig import Rig
--- a/packages/simulator-adapter/src/fennelcove/simulator_adapter/codec.py
+++ b/packages/simulator-adapter/src/fennelcove/simulator_adapter/codec.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import TypeVar
 
-from fennelcove import facts as facts_reader
+from fennelcove import platform_settings as settings_reader
 from fennelcove.errors import OperatorError
 from fennelcove.interface import (
     AttemptCompleted,
@@ -213,7 +213,7 @@
     if len(parts) != len(names):
         raise WireError(f"{len(parts)} values instead of {len(names)}", "field Feedback")
     values = {name: number({"Feedback": part}, "Feedback") for name, part in zip(names, parts, strict=True)}
-    return facts_reader.load_report(values)
+    return settings_reader.load_report(values)
 
 
 def session_report(fields: Fields, settings: Settings) -> SessionReport | None:
@@ -243,8 +243,8 @@
 def read_settings(fields: Fields) -> tuple[Settings, tuple[str, ...]]:
     """The settings, and the names of a load report's values."""
     try:
-        return facts_reader.read_settings(json.loads(text(fields, "Facts")))
+        return settings_reader.read_settings(json.loads(text(fields, "Facts")))
     except json.JSONDecodeError as error:
         raise WireError(f"not JSON: {error}", "field Facts") from None
-    except facts_reader.PlatformSettingsError as error:
+    except settings_reader.PlatformSettingsError as error:
         raise WireError(error.happened, error.where) from None
--- a/packages/upstream/src/fennelcove/upstream/attempts.py
+++ b/packages/upstream/src/fennelcove/upstream/attempts.py
@@ -24,7 +24,7 @@
 from fennelcove.interface import Effect, Outcome
 from fennelcove.upstream.connection_pool import READ_BYTES, ConnectionPool, DialLimits, ServerConnection, dial
 from fennelcove.upstream.wakeups import CancellationLatch, WakeReason, wait
-from fennelcove.wire.boxes import TURNED_AWAY, JoinOrder, join_path
+from fennelcove.wire.servers import TURNED_AWAY, JoinOrder, join_path
 from fennelcove.wire.sessions import Problem
 
 _PROBLEM: msgspec.json.Decoder[Problem] = msgspec.json.Decoder(Problem)
--- a/packages/upstream/src/fennelcove/upstream/command_senders.py
+++ b/packages/upstream/src/fennelcove/upstream/command_senders.py
@@ -12,7 +12,7 @@
 from fennelcove.http1 import writer
 from fennelcove.http1.messages import ProtocolError, ResponseHead
 from fennelcove.upstream.connection_pool import ConnectionPool, DialLimits, ServerConnection, dial
-from fennelcove.wire.boxes import Mark, RungOrder, join_path
+from fennelcove.wire.servers import Mark, RungOrder, join_path
 
 SENDER_COUNT = 4
 MAX_WAIT_S = 1.0
--- a/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
+++ b/packages/upstream/src/fennelcove/upstream/endpoint_list_client.py
@@ -17,8 +17,8 @@
 from fennelcove.http1.messages import ProtocolError, ResponseHead
 from fennelcove.upstream.connection_pool import DialLimits, dial
 from fennelcove.upstream.event_stream import EventStream, PeerRefusedError, StreamBrokenError
+from fennelcove.wire.endpoint_list import ListMessage, to_endpoint_list_update
 from fennelcove.wire.events import EventError, ServerEvent
-from fennelcove.wire.lists import ListMessage, to_endpoint_list_update
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
 _MESSAGE: msgspec.json.Decoder[ListMessage] = msgspec.json.Decoder(ListMessage)
--- a/packages/upstream/src/fennelcove/upstream/health_checks.py
+++ b/packages/upstream/src/fennelcove/upstream/health_checks.py
@@ -16,8 +16,8 @@
 from fennelcove.upstream.attempts import HintReader
 from fennelcove.upstream.connection_pool import DialLimits
 from fennelcove.upstream.event_stream import EventStream, PeerRefusedError, StreamBrokenError
-from fennelcove.wire.boxes import REPORT, Report
 from fennelcove.wire.events import ServerEvent
+from fennelcove.wire.servers import REPORT, Report
 
 MAX_QUEUED_PROBES = 256
 THREAD_COUNT = 4
--- a/packages/upstream/src/fennelcove/upstream/server_event_streams.py
+++ b/packages/upstream/src/fennelcove/upstream/server_event_streams.py
@@ -15,8 +15,8 @@
 from fennelcove.upstream.command_senders import CommandSenders
 from fennelcove.upstream.connection_pool import DialLimits
 from fennelcove.upstream.event_stream import EventStream, PeerRefusedError, StreamBrokenError
-from fennelcove.wire.boxes import ENDED, HELLO, REPORT, Ended, Hello, Report
 from fennelcove.wire.events import EventError, ServerEvent
+from fennelcove.wire.servers import ENDED, HELLO, REPORT, Ended, Hello, Report
 
 MAX_STREAMS = 4096
 _HELLO: msgspec.json.Decoder[Hello] = msgspec.json.Decoder(Hello)
--- a/tests/generated_clients.py
+++ b/tests/generated_clients.py
@@ -6,9 +6,9 @@
 import re
 from typing import Any
 
-from fennelcove.api.described import SchemaChecker
+from fennelcove.api.schema_checker import SchemaChecker
 from fennelcove.emulators.clients import HttpClient, Response
-from fennelcove.emulators.sockets import WebSocketClient
+from fennelcove.emulators.websocket_client import WebSocketClient
 
 
 class UndescribedError(AssertionError):
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -17,19 +17,19 @@
 import msgspec
 from click.testing import CliRunner
 from fennelcove.api import asyncapi, openapi
-from fennelcove.api.described import KNOWN_KEYWORDS, SchemaChecker
 from fennelcove.api.diff import Comparison, is_breaking_version_step
+from fennelcove.api.schema_checker import KNOWN_KEYWORDS, SchemaChecker
 from fennelcove.cli.main import main
-from fennelcove.emulators.sockets import WebSocketClient
+from fennelcove.emulators.websocket_client import WebSocketClient
 from fennelcove.ingress.routes import ROUTE_TABLE
 from fennelcove.ingress.websocket_routes import HANDLERS
 from fennelcove.settings.schema import Author, MediaSettings, StitchSettings, Title
 from fennelcove.wire import sessions
-from fennelcove.wire import socket as wire
+from fennelcove.wire import websocket_messages as wire
 from openapi_spec_validator import validate
 
+from tests.front_case import FrontTestCase
 from tests.generated_clients import GeneratedHttp, GeneratedSocket, UndescribedError
-from tests.rig import FrontTestCase
 from tests.test_content_insertion import hash_key
 
 PUBLISHED_FOLDER = Path(__file__).parent.parent / "docs" / "api"
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.rig import wait_for
+from tests.front_case import wait_for
 
 MS = 1000
 
--- a/tests/test_concurrency_limits.py
+++ b/tests/test_concurrency_limits.py
@@ -47,7 +47,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks import slots_sim, slots_worlds
+from benchmarks import concurrency_limits_model_check, concurrency_limits_simulation
 
 MINUTE_US = 60_000_000
 
@@ -693,19 +693,19 @@
 
 class ModelCheckTest(unittest.TestCase):
     def test_random_walks_find_no_violation(self) -> None:
-        states, violation = slots_worlds.search(60, 300, 3)
+        states, violation = concurrency_limits_model_check.search(60, 300, 3)
         assert violation == ""
         assert states == 18000
 
     def test_planted_faults_are_detected(self) -> None:
         for fault in ("any-word", "from-receipt", "backs-used"):
-            with self.subTest(fault), slots_worlds.planted_fault(fault):
-                assert slots_worlds.search(400, 300, 1)[1] != ""
+            with self.subTest(fault), concurrency_limits_model_check.planted_fault(fault):
+                assert concurrency_limits_model_check.search(400, 300, 1)[1] != ""
 
 
 class SimulationTest(unittest.TestCase):
     def test_limit_follows_a_halved_knee_and_no_server_crashes(self) -> None:
-        sim = slots_sim.Simulation("learned", "shift", 4, 1, 1)
+        sim = concurrency_limits_simulation.Simulation("learned", "shift", 4, 1, 1)
         sim.run(50_000_000)
         before = sim.total_limit(0)
         assert before >= 0.75 * sim.knees[0]
--- a/tests/test_slots_front.py
+++ b/tests/test_concurrency_limits_front.py
@@ -9,10 +9,10 @@
 
 from fennelcove.concurrency_limits import persisted
 from fennelcove.emulators.media_server import SetUpTimes
-from fennelcove.settings.checks import find_violations
 from fennelcove.settings.schema import FairQueueingSettings, SlotSettings, StoreSettings
+from fennelcove.settings.validation import find_violations
 
-from tests.rig import FrontTestCase, wait_for
+from tests.front_case import FrontTestCase, wait_for
 
 
 class LearnedLimitFrontTest(FrontTestCase):
--- a/tests/test_content_insertion.py
+++ b/tests/test_content_insertion.py
@@ -19,7 +19,7 @@
 from fennelcove.emulators.media_server import EmulatedServer
 from fennelcove.settings.schema import Author, MediaSettings, StitchSettings, Title
 
-from tests.rig import FrontTestCase, wait_for
+from tests.front_case import FrontTestCase, wait_for
 
 JSON = ("Content-Type", "application/json")
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,9 +26,9 @@
 from fennelcove.interface import ListEntry, Outcome, ServerState
 from fennelcove.settings.reader import parse
 from fennelcove.settings.schema import FrontSettings
-from fennelcove.wire.boxes import Held
+from fennelcove.wire.servers import Held
 
-from tests.rig import SETTINGS
+from tests.front_case import SETTINGS
 
 MS = 1000
 
--- a/tests/test_fair_queueing.py
+++ b/tests/test_fair_queueing.py
@@ -27,7 +27,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from benchmarks.fair_sim import Simulation, SimulationCase
+from benchmarks.fair_queueing_simulation import Simulation, SimulationCase
 
 SECOND_US = 1_000_000
 SHAPE = ("room", 0, True)
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_queueing_front.py
@@ -11,10 +11,10 @@
 from fennelcove.emulators.clients import Response
 from fennelcove.emulators.media_server import SetUpTimes
 from fennelcove.fair_queueing.usage_gossip import UsageReport, UsageRow
-from fennelcove.settings.checks import find_violations
 from fennelcove.settings.schema import FairQueueingSettings, SlotSettings, TenantWeight
+from fennelcove.settings.validation import find_violations
 
-from tests.rig import FrontTestCase, wait_for
+from tests.front_case import FrontTestCase, wait_for
 
 
 class WaitQueueFrontTest(FrontTestCase):
--- a/tests/test_fault_proxy.py
+++ b/tests/test_fault_proxy.py
@@ -14,7 +14,7 @@
 from fennelcove.emulators.clients import HttpClient
 from fennelcove.emulators.fault_proxy import faults
 from fennelcove.emulators.fault_proxy.faults import Fault, FaultKind
-from fennelcove.emulators.fault_proxy.gauge import LatencyProbe
+from fennelcove.emulators.fault_proxy.latency_probe import LatencyProbe
 from fennelcove.emulators.fault_proxy.relay import Relays
 from fennelcove.emulators.media_server import EmulatedServer
 from fennelcove.emulators.model import RackModel, ServerModel
@@ -23,9 +23,9 @@
 from fennelcove.scenarios.fronts import FrontProcess, ScenarioError
 from fennelcove.scenarios.player import terms
 from fennelcove.scenarios.script import read
-from fennelcove.wire.boxes import JoinOrder, join_path
+from fennelcove.wire.servers import JoinOrder, join_path
 
-from tests.rig import wait_for
+from tests.front_case import wait_for
 
 FRONT_PARTY = frozenset({"fronts", "front-0", "zone-a"})
 SERVER_PARTY = frozenset({"boxes", "box-0", "zone-b"})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -43,7 +43,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.rig import FrontTestCase, wait_for
+from tests.front_case import FrontTestCase, wait_for
 
 OPERATOR_KEY, READ_ONLY_KEY = keyed_mac(b"k" * 32), keyed_mac(b"o" * 32)
 WALL_US = 10**15
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 import http_sfv
-from fennelcove.hints import cmcd, cmsd, fields
-from fennelcove.hints.fields import FieldError, Token
+from fennelcove.hints import cmcd, cmsd, structured_fields
+from fennelcove.hints.structured_fields import FieldError, Token
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -23,7 +23,7 @@
 
 
 def to_native(value: Any) -> Any:
-    """Convert a value of the reference parser to that of `fields`."""
+    """Convert a value of the reference parser to that of `structured_fields`."""
     if isinstance(value, http_sfv.Token):
         return str(value)
     if isinstance(value, bool | int | str | bytes):
@@ -34,9 +34,11 @@
 class FieldsTest(unittest.TestCase):
     @given(st.dictionaries(keys, bare_items, max_size=6))
     @settings(max_examples=150, deadline=None)
-    def test_both_parsers_read_a_written_dictionary_alike(self, values: dict[str, fields.BareItem]) -> None:
-        text = fields.write_dictionary(values)
-        parsed, dropped = fields.parse_dictionary(text)
+    def test_both_parsers_read_a_written_dictionary_alike(
+        self, values: dict[str, structured_fields.BareItem]
+    ) -> None:
+        text = structured_fields.write_dictionary(values)
+        parsed, dropped = structured_fields.parse_dictionary(text)
         reference = http_sfv.Dictionary()
         if text:
             reference.parse(text.encode())
@@ -47,12 +49,12 @@
     @given(st.text("ab=?01\"\\;,:*() -.'/", max_size=24))
     @settings(max_examples=600, deadline=None)
     def test_a_single_member_is_accepted_if_and_only_if_the_reference_accepts_it(self, text: str) -> None:
-        members = list(fields.split_members(text))
+        members = list(structured_fields.split_members(text))
         if len(members) != 1 or members[0] is None or ":" in text:
             # RFC 8941 asks parsers to accept byte sequences with non-zero pad bits; http_sfv rejects them.
             return
         try:
-            parsed: Any = fields.parse_item(members[0])
+            parsed: Any = structured_fields.parse_item(members[0])
         except FieldError:
             parsed = None
         reference = http_sfv.List()
@@ -64,19 +66,19 @@
         assert parsed is not None, text
 
     def test_a_malformed_member_is_dropped_without_the_others(self) -> None:
-        found, dropped = fields.parse_dictionary('a=1,b==,c="x,y",d=(1 2);q,,e=1.2345,f')
+        found, dropped = structured_fields.parse_dictionary('a=1,b==,c="x,y",d=(1 2);q,,e=1.2345,f')
         assert sorted(found) == ["a", "c", "d", "f"]
         assert dropped == 3
 
     def test_limits(self) -> None:
-        assert fields.parse_dictionary("a=1," * 2000)[0] == {}
-        found, dropped = fields.parse_dictionary(",".join(f"k{i}" for i in range(100)))
+        assert structured_fields.parse_dictionary("a=1," * 2000)[0] == {}
+        found, dropped = structured_fields.parse_dictionary(",".join(f"k{i}" for i in range(100)))
         assert (len(found), dropped) == (64, 1)
 
     def test_values_that_can_not_be_represented_are_rejected(self) -> None:
         for value in (float("nan"), float("inf"), 10**15, "\u00e9", Token("a b"), 1e12):
             with self.assertRaises(FieldError):
-                fields.write_bare(value)
+                structured_fields.write_bare(value)
 
 
 class CmcdTest(unittest.TestCase):
@@ -117,7 +119,7 @@
         cmcd.read({}, cmcd.query_arguments(query), {header: query})
 
     def test_written_headers_read_back(self) -> None:
-        values: dict[str, fields.BareItem] = {
+        values: dict[str, structured_fields.BareItem] = {
             "mtp": 900,
             "bs": False,
             "su": True,
--- a/tests/test_http_sessions.py
+++ b/tests/test_http_sessions.py
@@ -17,7 +17,7 @@
 from fennelcove.interface import Outcome
 from fennelcove.settings.schema import OverloadSettings
 
-from tests.rig import WAIT_TIMEOUT_S, FrontTestCase, read_responses, wait_for
+from tests.front_case import WAIT_TIMEOUT_S, FrontTestCase, read_responses, wait_for
 
 SET_UP_REQUEST = (
     b"POST /v1/subscriptions HTTP/1.1\r\nHost: f\r\nContent-Type: application/json\r\n"
--- a/tests/test_repeats.py
+++ b/tests/test_idempotency.py
@@ -18,12 +18,12 @@
     KeyState,
 )
 from fennelcove.emulators.clients import Unanswered
-from fennelcove.emulators.sockets import WebSocketClient
+from fennelcove.emulators.websocket_client import WebSocketClient
 from fennelcove.settings.schema import StoreSettings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.rig import FrontTestCase, wait_for
+from tests.front_case import FrontTestCase, wait_for
 
 NAME = KeyName("client", "key")
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -16,11 +16,11 @@
 from fennelcove.daemon import certificates, key_file
 from fennelcove.decisions.clients import access_tokens
 from fennelcove.decisions.clients.access_tokens import AccessToken, Permission, PresentedToken, TokenStatus
-from fennelcove.emulators.sockets import WebSocketClient
+from fennelcove.emulators.websocket_client import WebSocketClient
 from fennelcove.ingress.tls import TlsError, TlsKeys
 from fennelcove.settings.schema import TlsSettings
 
-from tests.rig import FrontTestCase, wait_for
+from tests.front_case import FrontTestCase, wait_for
 
 NAMES = ("localhost", "127.0.0.1")
 
--- a/tests/test_machine_stalls.py
+++ b/tests/test_machine_stalls.py
@@ -19,7 +19,7 @@
 from fennelcove.scenarios.script import read
 from msgspec.structs import replace
 
-from tests.test_judge import MS, RecordingBuilder
+from tests.test_checker import MS, RecordingBuilder
 
 LATE_MS = 400
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.worlds import AcknowledgesTooEarly, NeverExpiresReports
+from benchmarks.membership_model_check import AcknowledgesTooEarly, NeverExpiresReports
 
 INTERVAL_US = membership.HEARTBEAT_INTERVAL_US
 EXPIRY_US = 2 * membership.LEASE_US  # leases, reports and quarantines have ended by then
--- a/tests/test_node_platform_requirements.py
+++ b/tests/test_node_platform_requirements.py
@@ -15,7 +15,7 @@
 from typing import Any
 from unittest import mock
 
-from fennelcove import facts
+from fennelcove import platform_settings as settings_reader
 from fennelcove.clock import ManualClock, SystemClock
 from fennelcove.clock.timers import Timers
 from fennelcove.http1 import writer as http
@@ -77,7 +77,7 @@
         policies = []
         for index in range(fronts):
             settings = {**SETTINGS, "Balancers": fronts, "Index": index, "Rules": rules, "FamilyInfo": family}
-            front = PlacementPolicy(facts.read_settings(settings)[0], index, Recorder(), 0)
+            front = PlacementPolicy(settings_reader.read_settings(settings)[0], index, Recorder(), 0)
             front.handle(ListUpdate(ListMode.FULL, (entry("cold", 100 * SECOND_US),)), 100 * SECOND_US)
             policies.append(front)
         sent: list[int] = []
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from fennelcove import facts
+from fennelcove import platform_settings as settings_reader
 from fennelcove.interface import (
     AttemptCompleted,
     ListEntry,
@@ -75,7 +75,7 @@
 class IndependentPoliciesTest(unittest.TestCase):
     def run_front(self, platform_settings: dict[str, Any], seed: int) -> Iterator[list[tuple[Any, ...]]]:
         """Run a front under some load, and yield all its effects so far after each step."""
-        settings = facts.read_settings(platform_settings)[0]
+        settings = settings_reader.read_settings(platform_settings)[0]
         effects, rng, service_classes = Recorder(), Random(seed), list(settings.service_classes)
         front = PlacementPolicy(settings, seed, effects, 100 * SECOND_US)
         entries = tuple(
@@ -125,14 +125,14 @@
         assert interleaved == (alone["north"], alone["south"])
 
     def test_settings_that_only_another_customer_names_keep_their_defaults(self) -> None:
-        plain = facts.read_settings(SETTINGS)[0]
-        facts.read_settings(NORTH), facts.read_settings(SOUTH)
-        after = facts.read_settings(SETTINGS)[0]
+        plain = settings_reader.read_settings(SETTINGS)[0]
+        settings_reader.read_settings(NORTH), settings_reader.read_settings(SOUTH)
+        after = settings_reader.read_settings(SETTINGS)[0]
         for name in type(plain).__slots__:
             if name != "service_classes":  # its values are compared by identity
                 assert getattr(plain, name) == getattr(after, name), name
         assert list(after.service_classes) == ["recorded"]
-        assert facts.connection_settings({**NORTH, "Allowed": {}}).connect_us == 0
+        assert settings_reader.connection_settings({**NORTH, "Allowed": {}}).connect_us == 0
 
 
 SESSION_NUMBERS = itertools.count(1)
--- a/tests/test_release_side.py
+++ b/tests/test_rollout_runtime.py
@@ -35,14 +35,14 @@
     ServingState,
 )
 from fennelcove.scenarios import outages
-from fennelcove.scenarios.faults import MISSING_FAULT_RULE, TOO_MANY_OUT_RULE
-from fennelcove.settings.checks import find_violations
+from fennelcove.scenarios.violations import MISSING_FAULT_RULE, TOO_MANY_OUT_RULE
 from fennelcove.settings.reader import parse
 from fennelcove.settings.schema import FrontSettings, StoreSettings
+from fennelcove.settings.validation import find_violations
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.rig import SETTINGS, wait_for
+from tests.front_case import SETTINGS, wait_for
 
 uint32 = st.integers(0, 0xFFFF_FFFF)
 uint64 = st.integers(0, 0xFFFF_FFFF_FFFF_FFFF)
--- a/tests/test_releases.py
+++ b/tests/test_rollouts.py
@@ -41,8 +41,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.release_world import HEARTBEAT_US, PLAN, FleetModel
-from benchmarks.release_worlds import planted_fault, random_walk, search_states
+from benchmarks.rollout_model import HEARTBEAT_US, PLAN, FleetModel
+from benchmarks.rollout_model_check import planted_fault, random_walk, search_states
 
 LIMIT = DisruptionLimit(total=1, per_zone=1, capacity_margin=0.0)
 RECOVERED_US = 10_000_000  # the recovery time of all grantors and acceptors is over
--- a/tests/test_seats.py
+++ b/tests/test_seat_leases.py
@@ -23,12 +23,12 @@
     SeatTransition,
     replay_counts,
 )
-from fennelcove.emulators.sockets import WebSocketClient
+from fennelcove.emulators.websocket_client import WebSocketClient
 from fennelcove.settings.schema import StoreSettings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.rig import FrontTestCase, wait_for
+from tests.front_case import FrontTestCase, wait_for
 
 POOL, DURATION_US = SeatPool("t1", "few"), 1000
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,9 +10,9 @@
 from click.testing import CliRunner
 from fennelcove.cli.main import main
 from fennelcove.scenarios.script import names, read
-from fennelcove.settings.checks import load_front, to_policy_settings
 from fennelcove.settings.reader import SettingsError, parse
 from fennelcove.settings.schema import FrontSettings
+from fennelcove.settings.validation import load_front, to_policy_settings
 from fennelcove.settings.writer import write
 
 VALID_SETTINGS = """
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -20,7 +20,6 @@
     TopRungChanged,
 )
 from fennelcove.messages import encode
-from fennelcove.settings.checks import find_violations, to_policy_settings
 from fennelcove.settings.reader import parse
 from fennelcove.settings.schema import (
     FrontSettings,
@@ -31,11 +30,12 @@
     TenantQuota,
     UtilityWeights,
 )
+from fennelcove.settings.validation import find_violations, to_policy_settings
 from fennelcove.upstream.front_messaging import FrontMessaging
 
+from tests.front_case import SETTINGS as SETTINGS_TEXT
+from tests.front_case import FrontTestCase, wait_for
 from tests.helpers import SECOND_US, SETTINGS, Recorder, list_entry, request_session
-from tests.rig import SETTINGS as SETTINGS_TEXT
-from tests.rig import FrontTestCase, wait_for
 
 
 def unused_addresses(count: int) -> list[str]:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -36,7 +36,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.rig import FrontTestCase, wait_for
+from tests.front_case import FrontTestCase, wait_for
 
 SECOND = 1_000_000
 
@@ -483,7 +483,7 @@
         from fennelcove.settings.reader import parse
         from fennelcove.settings.schema import FrontSettings
 
-        from tests.rig import SETTINGS, recorded_ports
+        from tests.front_case import SETTINGS, recorded_ports
 
         clock = ManualClock(100 * SECOND, 10**15)
         core = Core(
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -38,7 +38,7 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from tests.rig import SETTINGS, recorded_ports
+from tests.front_case import SETTINGS, recorded_ports
 
 SECOND = 1_000_000
 KEY, OTHER = keyed_mac(b"k" * 32), keyed_mac(b"o" * 32)
--- a/tests/test_websocket_codec.py
+++ b/tests/test_websocket_codec.py
@@ -12,7 +12,9 @@
 from fennelcove.http1.messages import CodecLimits, RequestHead
 from fennelcove.http1.reader import MessageAssembler, Reader
 from fennelcove.websocket import frames, handshake
-from fennelcove.websocket.conversation import (
+from fennelcove.websocket.deflate import Inflater, deflate
+from fennelcove.websocket.frames import apply_mask, write
+from fennelcove.websocket.protocol import (
     CLOSING,
     MESSAGES,
     Closed,
@@ -25,9 +27,13 @@
     State,
     WebSocketProtocol,
 )
-from fennelcove.websocket.deflate import Inflater, deflate
-from fennelcove.websocket.frames import apply_mask, write
-from fennelcove.websocket.terms import Bounds, CloseCode, Opcode, ProtocolViolationError, is_valid_close_code
+from fennelcove.websocket.protocol_constants import (
+    Bounds,
+    CloseCode,
+    Opcode,
+    ProtocolViolationError,
+    is_valid_close_code,
+)
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from websockets.client import ClientProtocol
--- a/tests/test_websocket_sessions.py
+++ b/tests/test_websocket_sessions.py
@@ -17,7 +17,7 @@
 from fennelcove.decisions.clients.access_tokens import AccessToken
 from fennelcove.emulators.clients import Unanswered
 from fennelcove.emulators.endpoint_list_service import ListedServer
-from fennelcove.emulators.sockets import WebSocketClient
+from fennelcove.emulators.websocket_client import WebSocketClient
 from fennelcove.ingress.websocket_session import QueuedMessage
 from fennelcove.settings.schema import (
     AccessTokenSettings,
@@ -28,12 +28,12 @@
     WebSocketSettings,
 )
 from fennelcove.websocket.frames import write
-from fennelcove.websocket.terms import Opcode
-from fennelcove.wire.socket import PATH, SUBPROTOCOL
+from fennelcove.websocket.protocol_constants import Opcode
+from fennelcove.wire.websocket_messages import PATH, SUBPROTOCOL
 from websockets.exceptions import ConnectionClosed
 from websockets.sync.client import connect
 
-from tests.rig import FrontTestCase, wait_for
+from tests.front_case import FrontTestCase, wait_for
 from tests.test_content_insertion import hash_key
 
 
--- a/tests/warm_up_simulation.py
+++ b/tests/warm_up_simulation.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from fennelcove import facts
+from fennelcove import platform_settings as settings_reader
 from fennelcove.interface import (
     AttemptCompleted,
     ListEntry,
@@ -145,7 +145,10 @@
             self.scenario.fronts, index, self.server_count
         )
         policy = PlacementPolicy(
-            facts.read_settings(platform_settings)[0], self.random.randrange(2**32), Recorder(), self.now_us
+            settings_reader.read_settings(platform_settings)[0],
+            self.random.randrange(2**32),
+            Recorder(),
+            self.now_us,
         )
         policy.handle(ListUpdate(ListMode.FULL, self.server_list(index)), self.now_us)
         return policy
