--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import re
 import unittest
 from typing import Any
 
@@ -21,6 +22,8 @@
     st.from_regex(r"[A-Za-z*][A-Za-z0-9:/]{0,6}", fullmatch=True).map(Token),
 )
 
+DECIMAL_WITHOUT_FRACTION = re.compile(r"[0-9]\.(?![0-9])")
+
 
 def to_native(value: Any) -> Any:
     """Convert a value of the reference parser to that of `structured_fields`."""
@@ -63,7 +66,14 @@
         except ValueError:
             assert parsed is None, text
             return
-        assert parsed is not None, text
+        if parsed is None:
+            # RFC 8941 section 4.2.4 rejects a decimal that ends in its point; http_sfv accepts it.
+            assert DECIMAL_WITHOUT_FRACTION.search(text), text
+
+    def test_a_decimal_that_ends_in_its_point_is_rejected(self) -> None:
+        for text in ("0.", "1.", "-0.", "a;b=0.", "(0. 1)"):
+            with self.subTest(text), self.assertRaises(FieldError):
+                structured_fields.parse_item(text)
 
     def test_a_malformed_member_is_dropped_without_the_others(self) -> None:
         found, dropped = structured_fields.parse_dictionary('a=1,b==,c="x,y",d=(1 2);q,,e=1.2345,f')
