--- a/benchmarks/rollout_model.py
+++ b/benchmarks/rollout_model.py
@@ -1,7 +1,8 @@
 """A model of a small fleet that coordinates drains and rollouts, with the invariants that must hold.
 
 The coordinators are those of the package `rollouts`; processes, servers, stores, clocks and the network are
-simulated. The state search and the random walks are in `rollout_model_check`; `tests/test_rollouts.py` runs them.
+simulated. The state search and the random walks are in `rollout_model_check`; `tests/test_rollouts.py` runs
+them.
 """
 
 from __future__ import annotations
