--- a/Makefile
+++ b/Makefile
@@ -1,14 +1,15 @@
-# The two commands of a fresh machine. The environment is made anew when the pins or a package's needs change.
+# `make demo` and `make test` work on a fresh checkout. The virtual environment is updated when the pinned versions
+# or a package's pyproject.toml change.
 PYTHON ?= python3
 PACKAGES := $(sort $(wildcard packages/*))
 NEEDS := constraints.txt requirements-dev.txt $(wildcard packages/*/pyproject.toml)
 STAMP := .venv/.pins-$(shell cat $(NEEDS) | cksum | cut -d' ' -f1)
 PIP := .venv/bin/python -m pip --quiet --disable-pip-version-check install -c constraints.txt
-# What the packages declare of the registry; they themselves are set in afterwards, several at once.
+# Third-party dependencies of the packages; the packages themselves are installed afterwards, several in parallel.
 THIRD := $(shell sed -n 's/^    "\([a-zA-Z][a-zA-Z0-9_-]*\)",$$/\1/p' packages/*/pyproject.toml | grep -v fennelcove | sort -u)
 SOURCES := $(PACKAGES:%=%/src)
 empty :=
-# Days run in real time: beside other tests they would measure how full the machine is.
+# Scenario tests run in real time, so they do not run in parallel with other tests, whose load would distort them.
 DAYS := $(wildcard tests/test_*days.py)
 
 .PHONY: demo test unit days env lint types arrows sites
@@ -29,7 +30,7 @@
 
 env: $(STAMP)
 
-# The bench wants its own three files beside our sites; they are the platform's and stay out of the repository.
+# The platform's benchmark expects three site files of its own in deploy/sites; they are not part of the repository.
 SITES ?= ../given/kit/more/node/sites
 sites:
 	cp -f $(SITES)/real.json $(SITES)/wire.json $(SITES)/unlock.txt deploy/sites/
